--- a/include/greengagehub/quarantine/crash_detector.hpp
+++ b/include/greengagehub/quarantine/crash_detector.hpp
@@ -8,39 +8,41 @@
 
 namespace greengagehub {
 
-/// \brief A backend server's process has ended, and what ran there.
+/// \brief A crash of the local backend server and the runs that it interrupted.
 struct WorkerEnd
 {
-  /// Counts the ends seen by this daemon.
+  /// Increments with each crash seen by this daemon.
   std::uint64_t m_number{ 0 };
   std::vector<Witness> m_runs{};
 };
 
-/// \brief Tells the end of the backend server beside this daemon from a
-/// connection that was just lost.
+/// \brief Distinguishes a crash of the local backend server from other causes
+/// of a lost connection.
 ///
-/// A reset, a limit on connections and a faulty answer lose connections too,
-/// while the process lives on. It has ended only if nobody listens at its
-/// address any more, which is looked at once a connection with a request on it
-/// was closed. One that neither accepts nor refuses says nothing.
+/// A reset, a connection limit or a malformed answer also closes connections
+/// while the process keeps running. After a loss, the caller probes the address
+/// of the backend server: only a refused connection counts as a crash, a
+/// timeout does not.
 class CrashDetector
 {
 public:
-  /// \brief The backend server closed a connection on which a request ran.
-  /// \returns Whether to look now if it still listens.
+  /// \brief The backend server closed a connection while a request was running.
+  /// \returns Whether to probe the address now; false while a probe is pending.
   [[nodiscard]] bool OnLost(const Witness& aRun);
-  /// \brief What a look has shown.
-  /// \returns The end with all that was lost since the look before, if nobody
-  /// listens. More lost runs of the same end come with the same number.
-  [[nodiscard]] std::optional<WorkerEnd> OnLooked(bool aNobodyListens);
-  /// \brief It answered: the next end is another one.
-  void OnAlive() noexcept { m_ended = false; }
+  /// \brief Handles the result of a probe.
+  /// \returns The crash with all runs lost since the previous probe, if the
+  /// connection was refused. Further runs lost in the same crash are returned
+  /// with the same number.
+  [[nodiscard]] std::optional<WorkerEnd> OnLooked(bool aIsRefused);
+  /// \brief The backend server answered, so the next refused probe is a new
+  /// crash.
+  void OnAlive() noexcept { m_hasCrashed = false; }
 
 private:
-  std::vector<Witness> m_lost;
+  std::vector<Witness> m_lostRuns;
   std::uint64_t m_number{ 0 };
-  bool m_looking{ false };
-  bool m_ended{ false };
+  bool m_isProbing{ false };
+  bool m_hasCrashed{ false };
 };
 
 }
--- a/include/greengagehub/quarantine/fingerprint.hpp
+++ b/include/greengagehub/quarantine/fingerprint.hpp
@@ -9,26 +9,24 @@
 
 namespace greengagehub {
 
-/// \brief What makes two requests the same to a backend server, whichever
-/// daemon they came by and whatever their ids are.
-struct RequestContent
+/// \brief The parts of a request that identify it across daemons and retries;
+/// request ids are not among them.
+struct FingerprintInput
 {
-  /// Service beside which the request began, as its daemon knows it: what the
-  /// request says of itself would let one caller speak for another.
+  /// Calling service as its own daemon reports it. Request headers are not
+  /// trusted here, so that a caller cannot impersonate another one.
   std::string_view m_caller{};
   std::string_view m_host{};
-  /// Another method reaches other code of the backend server.
   std::string_view m_method{};
   /// Path and query.
   std::string_view m_target{};
   std::string_view m_body{};
 };
 
-/// \brief 128 bits of SHA-256 of a request's content.
+/// \brief 128 bits of the SHA-256 digest of a FingerprintInput.
 ///
-/// Of a long body the ends and the length count, so that the time it takes is
-/// bounded; requests that differ only in between are then taken for one: a good
-/// run of either speaks for both.
+/// Only the length and both ends of a long body are hashed, to bound the cost.
+/// Requests that differ only in between share a fingerprint.
 struct Fingerprint
 {
   std::uint64_t m_high{ 0 };
@@ -38,13 +36,13 @@
 };
 
 [[nodiscard]] Fingerprint
-FingerprintOf(const RequestContent& aContent);
+FingerprintOf(const FingerprintInput& aInput);
 
 /// \returns 32 lower-case hexadecimal digits.
 [[nodiscard]] std::string
 ToHex(Fingerprint aFingerprint);
 
-/// \param aHex as ToHex gives.
+/// \param aHex text in the format of ToHex().
 [[nodiscard]] Outcome<Fingerprint>
 ParseFingerprint(std::string_view aHex);
 
--- a/include/greengagehub/quarantine/quarantine.hpp
+++ b/include/greengagehub/quarantine/quarantine.hpp
@@ -9,204 +9,209 @@
 
 namespace greengagehub {
 
-/// \brief What a step has changed here.
+/// \brief Changes made by one operation on the quarantine.
 struct QuarantineChanges
 {
-  /// To be passed on to other daemons.
+  /// To be sent to other daemons.
   QuarantineNews m_news{};
-  /// New verdicts, in force here from now on.
+  /// New verdicts, already in force on this daemon.
   std::vector<ContentVerdict> m_verdicts{};
-  /// Those of them that this daemon gave, and was not told.
+  /// The subset of m_verdicts that this daemon reached itself, rather than
+  /// received.
   std::vector<ContentVerdict> m_own{};
 };
 
-/// \brief Requests that end the backend servers that run them, over the fleet:
-/// counts the ends under each content, holds what has ended too many, and lets
-/// go of what is found innocent.
+/// \brief Quarantine of requests that crash the backend servers they run on.
 ///
-/// Answers the load pattern of a request that is sent again and again, by any
-/// daemon and under new ids, and ends each backend server that begins it, with
-/// all that runs beside it there. All daemons have the same ends and verdicts,
-/// so that each decides alone.
+/// Targets a request that is retried through any daemon, under new ids, and
+/// crashes each backend server that runs it. Every daemon receives the same
+/// crash reports and verdicts, so each decides on its own.
 ///
-/// Which of the requests that ran at an end is the cause cannot be seen there.
-/// It is told from the others by these rules:
-/// - a run that ended well clears what was counted before it, and makes the
-///   content need twice as many ends for some time;
-/// - ends under runs that overlapped, all within a moment, count once: one
-///   cause from outside ends many at once, while a request that is sent again
-///   begins only after the end before;
-/// - an end at which a held request ran too counts for that one alone;
-/// - a content with kSuspectEnds (IsSuspect()) is sent to one worker by all
-///   daemons, and run there apart from other such contents and from its own
-///   copies: the next end tells one from the other, and costs one worker.
+/// A crash interrupts unrelated requests too. These rules find the cause:
+/// - a successful run clears the crashes before it and doubles the threshold
+/// for kRecentSuccess;
+/// - crashes of overlapping runs within kSameCauseWindow count once: an outage
+/// crashes many workers together, while a retry starts after the crash before
+/// it;
+/// - a crash that interrupted a quarantined request counts against that one
+/// only;
+/// - daemons send a suspect request (IsSuspect()) to one worker, which runs it
+/// without other suspects, so that the next crash has one candidate.
 ///
-/// Tables are bounded: of ends and verdicts the oldest leave first.
+/// Tables are bounded; the oldest crashes and verdicts are dropped first.
 class Quarantine
 {
 public:
-  /// Ends under a content that has never been seen to end well, for which it is
-  /// held. With two, a lookup that is repeated after one end, and meets the
-  /// request that caused it again, would be held as often as that request.
-  static constexpr std::uint32_t kHoldEnds = 3;
-  /// Ends after which a content runs at one place, apart from others, and is
-  /// not tried again at once.
+  /// Crashes after which a request without a recent success is quarantined. Two
+  /// would also catch an unrelated request that is retried once and meets the
+  /// cause again.
+  static constexpr std::uint32_t kCrashLimit = 3;
+  /// Crashes after which a request is a suspect: it runs in isolation and is
+  /// not retried at once.
   static constexpr std::uint32_t kSuspectEnds = 2;
-  /// The same for one that ended well within kGoodCounts before the first.
-  static constexpr std::uint32_t kHoldEndsOfGood = 2 * kHoldEnds;
-  static constexpr std::chrono::seconds kGoodCounts{ 60 };
-  /// Within which ends under overlapping runs count once: three times the 5 ms
-  /// by which daemons saw workers end apart of one cause. With 50 ms, copies
-  /// that run at the same time count for too few: five workers were gone with
-  /// two ends counted, and five more ended as they were back.
-  static constexpr std::chrono::milliseconds kOneMoment{ 15 };
-  /// How far apart two daemons may put the same moment: ages lack the time on
-  /// the way, some milliseconds.
-  static constexpr std::chrono::milliseconds kAgeError{ 10 };
-  /// How long a content is held; the platform's store keeps a lease no longer.
-  /// One end is then enough to hold it again.
+  /// Threshold for a request that succeeded within kRecentSuccess before its
+  /// first counted crash.
+  static constexpr std::uint32_t kCrashLimitAfterSuccess = 2 * kCrashLimit;
+  static constexpr std::chrono::seconds kRecentSuccess{ 60 };
+  /// Crashes of overlapping runs within this time count once. It covers the
+  /// delay between daemons in noticing one outage; a longer window would merge
+  /// separate crashes of concurrent copies.
+  static constexpr std::chrono::milliseconds kSameCauseWindow{ 15 };
+  /// Error of an age reported by another daemon: network delay is not included.
+  static constexpr std::chrono::milliseconds kAgeTolerance{ 10 };
+  /// How long a request stays quarantined; also the lease time of its key in
+  /// the store. A single crash afterwards quarantines it again.
   static constexpr std::chrono::minutes kHoldTime{ 10 };
-  /// How long ends and verdicts are remembered.
-  static constexpr std::chrono::minutes kRemember{ 20 };
-  static constexpr std::size_t kMaxEnds = 512;
+  /// How long crashes and verdicts are kept.
+  static constexpr std::chrono::minutes kRetention{ 20 };
+  static constexpr std::size_t kMaxCrashes = 512;
   static constexpr std::size_t kMaxVerdicts = 1024;
 
-  [[nodiscard]] bool IsHeld(TimePoint aNow, Fingerprint aContent) const;
-  /// \returns For how long from now on; nothing if it is not held.
+  [[nodiscard]] bool IsQuarantined(TimePoint aNow,
+                                   Fingerprint aFingerprint) const;
+  /// \returns The remaining quarantine time, if the request is quarantined.
   [[nodiscard]] std::optional<std::chrono::milliseconds> HeldFor(
     TimePoint aNow,
-    Fingerprint aContent) const;
-  /// \returns Ends that are counted against it.
-  [[nodiscard]] std::uint32_t EndsUnder(Fingerprint aContent) const;
-  /// \returns Whether it is close to being held.
-  [[nodiscard]] bool IsSuspect(Fingerprint aContent) const
+    Fingerprint aFingerprint) const;
+  /// \returns The number of crashes that count against the request.
+  [[nodiscard]] std::uint32_t EndsUnder(Fingerprint aFingerprint) const;
+  /// \returns Whether the request must run in isolation.
+  [[nodiscard]] bool IsSuspect(Fingerprint aFingerprint) const
   {
-    return EndsUnder(aContent) >= kSuspectEnds;
+    return EndsUnder(aFingerprint) >= kSuspectEnds;
   }
 
-  /// \brief The backend server beside this daemon ended under these runs.
-  /// \param aReport without what this daemon remembers of good runs.
+  /// \brief Adds a crash of the local backend server.
+  /// \param aReport without m_lastGood, which is filled in here.
   [[nodiscard]] QuarantineChanges OnOwnEnd(TimePoint aNow, EndReport aReport);
-  /// \brief Another daemon, or the store, told this.
+  /// \brief Applies crashes and verdicts from another daemon or the store.
   [[nodiscard]] QuarantineChanges OnNews(TimePoint aNow,
                                          const QuarantineNews& aNews);
-  /// \brief A run ended well beside this daemon.
+  /// \brief Records a successful run on the local backend server.
   [[nodiscard]] QuarantineChanges OnRanWell(TimePoint aNow,
-                                            Fingerprint aContent);
-  /// \brief An operator lets a held content go.
-  /// \returns Nothing if it is not held.
+                                            Fingerprint aFingerprint);
+  /// \brief Lifts a quarantine on behalf of an operator.
+  /// \returns Nothing if the request is not quarantined.
   [[nodiscard]] std::optional<QuarantineChanges> Lift(TimePoint aNow,
-                                                      Fingerprint aContent);
-  /// \brief Lets go of what was held for long enough, and forgets.
+                                                      Fingerprint aFingerprint);
+  /// \brief Lifts expired quarantines and drops old crashes and verdicts.
   [[nodiscard]] QuarantineChanges OnTick(TimePoint aNow);
 
-  /// \brief An end under a content, for people.
-  struct SeenEnd
+  /// \brief One crash, as shown to operators.
+  struct KnownCrash
   {
-    /// Of the daemon that saw it.
+    /// Slot of the daemon that reported the crash.
     std::string m_slot{};
     Duration m_age{};
-    /// How long the content had run.
+    /// How long the request had been running.
     Duration m_ran{};
   };
-  /// \returns The ends that are remembered, counted or not; none for a verdict
-  /// that was read from the store.
-  [[nodiscard]] std::vector<SeenEnd> EndsSeen(TimePoint aNow,
-                                              Fingerprint aContent) const;
-  /// \returns All verdicts, for a daemon that has others.
+  /// \returns All known crashes of the request, counted or not. Empty for a
+  /// verdict that was loaded from the store.
+  [[nodiscard]] std::vector<KnownCrash> EndsSeen(
+    TimePoint aNow,
+    Fingerprint aFingerprint) const;
+  /// \returns All verdicts, to synchronize another daemon.
   [[nodiscard]] std::vector<ContentVerdict> Verdicts(TimePoint aNow) const;
-  /// \returns A digest of Verdicts() without their ages; 0 if there are none.
+  /// \returns A digest of Verdicts() without ages; 0 if there are none.
   [[nodiscard]] std::uint64_t Summary() const noexcept { return m_summary; }
-  /// \returns How many contents are held.
-  [[nodiscard]] std::size_t CountHeld() const noexcept { return m_held; }
+  /// \returns The number of quarantined requests.
+  [[nodiscard]] std::size_t CountHeld() const noexcept
+  {
+    return m_quarantinedCount;
+  }
 
 private:
-  /// A run of a content that an end cut off.
-  struct Cut
+  /// A run that a crash runs.
+  struct LostRun
   {
-    std::uint64_t m_end{ 0 };
+    std::uint64_t m_crashId{ 0 };
     TimePoint m_begun;
     TimePoint m_ended;
   };
-  /// A content that ran at an end.
+  /// A request that was running during at least one crash.
   struct Suspect
   {
-    std::vector<Cut> m_cuts{};
-    /// When it last ended well, as all daemons know.
+    std::vector<LostRun> m_runs{};
+    /// Last success known to all daemons.
     std::optional<TimePoint> m_lastGood{};
   };
-  struct End
+  struct Crash
   {
     std::string m_slot{};
     TimePoint m_at;
-    /// Of the backend server beside this daemon.
-    bool m_isOwn{ false };
-    std::vector<Fingerprint> m_contents{};
+    /// Whether the local backend server crashed.
+    bool m_isLocal{ false };
+    std::vector<Fingerprint> m_fingerprints{};
   };
-  /// Ends that count.
-  struct Tally
+  struct CrashTally
   {
-    std::uint32_t m_ends{ 0 };
+    std::uint32_t m_count{ 0 };
     TimePoint m_first{};
   };
   struct Record
   {
     ContentVerdict m_verdict;
-    /// When it was given; the verdict's own age is not kept up.
+    /// When the verdict was given; m_verdict.m_age is not updated.
     TimePoint m_at;
   };
 
-  /// \returns The ends counted against it since it last ended well.
-  [[nodiscard]] Tally Count(const Suspect& aSuspect,
-                            Fingerprint aContent,
-                            std::optional<TimePoint> aLastGood) const;
-  /// \returns When it last ended well, as all daemons know and as only this
-  /// one does.
-  [[nodiscard]] std::optional<TimePoint> LastGood(const Suspect& aSuspect,
-                                                  Fingerprint aContent) const;
-  /// \returns Whether a held content other than this one ran at that end.
-  [[nodiscard]] bool IsExplained(std::uint64_t aEnd,
-                                 Fingerprint aContent) const;
-  [[nodiscard]] bool HasOwnEnd(const Suspect& aSuspect) const;
-  /// \returns Whether it told something new.
-  bool Add(TimePoint aNow, const EndReport& aReport, bool aIsOwn);
-  void Judge(TimePoint aNow, const EndReport& aReport, QuarantineChanges& aOut);
-  void JudgeContent(TimePoint aNow,
-                    const std::string& aService,
-                    Fingerprint aContent,
+  /// \returns The crashes that count against the request since its last
+  /// success.
+  [[nodiscard]] CrashTally CountCrashes(
+    const Suspect& aSuspect,
+    Fingerprint aFingerprint,
+    std::optional<TimePoint> aLastSuccess) const;
+  /// \returns The last success known to all daemons or to this one only.
+  [[nodiscard]] std::optional<TimePoint> LastSuccess(
+    const Suspect& aSuspect,
+    Fingerprint aFingerprint) const;
+  /// \returns Whether the crash also interrupted another request that has been
+  /// quarantined.
+  [[nodiscard]] bool HasKnownCause(std::uint64_t aCrash,
+                                   Fingerprint aFingerprint) const;
+  [[nodiscard]] bool HasLocalCrash(const Suspect& aSuspect) const;
+  /// \returns Whether the report added runs that were not known yet.
+  bool AddCrash(TimePoint aNow, const EndReport& aReport, bool aIsLocal);
+  void EvaluateCrash(TimePoint aNow,
+                     const EndReport& aReport,
+                     QuarantineChanges& aOut);
+  void EvaluateFingerprint(TimePoint aNow,
+                           const std::string& aService,
+                           Fingerprint aFingerprint,
+                           QuarantineChanges& aOut);
+  /// \brief Publishes a success that only this daemon knows of, if it lowers
+  /// the crash count of a suspect.
+  void PublishSuccess(TimePoint aNow,
+                      Suspect& aSuspect,
+                      Fingerprint aFingerprint,
+                      QuarantineChanges& aOut);
+  void ApplyVerdict(TimePoint aNow,
+                    const ContentVerdict& aVerdict,
                     QuarantineChanges& aOut);
-  /// \brief Tells the others of a good run that only this daemon knows of, if
-  /// it matters by now.
-  void TellGoodRun(TimePoint aNow,
-                   Suspect& aSuspect,
-                   Fingerprint aContent,
-                   QuarantineChanges& aOut);
-  void Take(TimePoint aNow,
-            const ContentVerdict& aVerdict,
-            QuarantineChanges& aOut);
-  void TakeGoodRun(TimePoint aNow,
-                   const ContentVerdict& aVerdict,
-                   QuarantineChanges& aOut);
-  /// \brief Puts a verdict in force that is new here.
-  void Put(TimePoint aAt,
-           const ContentVerdict& aVerdict,
-           QuarantineChanges& aOut);
-  void LiftRecord(TimePoint aNow,
-                  ContentVerdict aVerdict,
-                  VerdictCause aCause,
+  void ApplySuccess(TimePoint aNow,
+                    const ContentVerdict& aVerdict,
+                    QuarantineChanges& aOut);
+  /// \brief Stores a new verdict and adds it to the changes.
+  void SetVerdict(TimePoint aAt,
+                  const ContentVerdict& aVerdict,
                   QuarantineChanges& aOut);
-  void DropOldestEnd();
+  void LiftVerdict(TimePoint aNow,
+                   ContentVerdict aVerdict,
+                   VerdictCause aCause,
+                   QuarantineChanges& aOut);
+  void DropOldestCrash();
   void DropOldestRecord();
-  void EraseRecord(Fingerprint aContent);
+  void EraseRecord(Fingerprint aFingerprint);
 
-  SuccessLog m_goodRuns;
-  std::unordered_map<std::uint64_t, End> m_ends;
-  /// Their ids, in the order in which they came to be known.
-  std::deque<std::uint64_t> m_endOrder;
+  SuccessLog m_successes;
+  std::unordered_map<std::uint64_t, Crash> m_crashes;
+  /// Crash ids in order of arrival.
+  std::deque<std::uint64_t> m_crashOrder;
   std::unordered_map<Fingerprint, Suspect, FingerprintHash> m_suspects;
   std::unordered_map<Fingerprint, Record, FingerprintHash> m_records;
   std::uint64_t m_summary{ 0 };
-  std::size_t m_held{ 0 };
+  std::size_t m_quarantinedCount{ 0 };
 };
 
 }
--- a/include/greengagehub/quarantine/quarantine_news.hpp
+++ b/include/greengagehub/quarantine/quarantine_news.hpp
@@ -11,26 +11,26 @@
 
 namespace greengagehub {
 
-// What daemons tell each other of requests under which backend servers end.
-// Times travel as ages: clocks of two machines are never compared.
+// Messages between daemons about requests that crash backend servers. Times are
+// sent as ages, because clocks of different machines are never compared.
 
-/// \brief A request that ran when a backend server ended.
+/// \brief A request that was running when a backend server crashed.
 struct Witness
 {
   Fingerprint m_content{};
-  /// How long it had run.
+  /// How long the request had been running.
   Duration m_ran{};
-  /// How long ago, at the end, the daemon there saw such a request end well;
-  /// nothing where it does not remember one.
+  /// Time from the last success of this request on the same backend server to
+  /// the crash; unset if none is known.
   std::optional<Duration> m_lastGood{};
 };
 
-/// \brief The end of one backend server, as the daemon beside it saw it.
+/// \brief A crash of one backend server, reported by its daemon.
 struct EndReport
 {
-  /// Names the end over the fleet.
+  /// Unique across the fleet.
   std::uint64_t m_id{ 0 };
-  /// Slot of the daemon that saw it.
+  /// Slot of the reporting daemon.
   std::string m_slot{};
   std::string m_service{};
   Duration m_age{};
@@ -40,12 +40,12 @@
 /// \brief Why a verdict was given.
 enum class VerdictCause : std::uint8_t
 {
-  /// Backend servers have ended under it.
-  Ends,
-  /// A run of it ended well.
-  RanWell,
+  /// Too many crashes.
+  Crashes,
+  /// A successful run.
+  Succeeded,
   Operator,
-  /// It was held for as long as one is.
+  /// The quarantine time is over.
   Time,
 };
 
@@ -53,20 +53,20 @@
 [[nodiscard]] std::string_view
 NameOf(VerdictCause aCause) noexcept;
 
-/// \brief A request is held, or not any more.
+/// \brief Quarantines a request or lifts its quarantine.
 ///
-/// Of two verdicts on one content the one of the higher generation holds, and
-/// of one generation the one that lifts. Generation 0 only tells of a run that
-/// ended well, and holds or lifts nothing.
+/// The verdict with the higher generation takes precedence; within a
+/// generation, the one that lifts. Generation 0 only reports a successful run
+/// and changes no quarantine.
 struct ContentVerdict
 {
   Fingerprint m_content{};
-  /// Of the last backend server that ended.
+  /// Service of the last backend server that crashed.
   std::string m_service{};
   std::uint32_t m_generation{ 0 };
   bool m_isHeld{ false };
-  VerdictCause m_cause{ VerdictCause::Ends };
-  /// Backend servers that had ended under it.
+  VerdictCause m_cause{ VerdictCause::Crashes };
+  /// Number of crashes that count against the request.
   std::uint32_t m_ends{ 0 };
   Duration m_age{};
 };
@@ -82,8 +82,9 @@
   }
 };
 
-/// \returns The same news in parts that fit into a datagram of 1,400 bytes
-/// beside its sender; an end under many runs is told in several.
+/// \returns The update in parts that each fit into a datagram of 1,400 bytes
+/// together with the sender. A crash with many runs is split over several
+/// parts.
 [[nodiscard]] std::vector<QuarantineNews>
 SplitNews(const QuarantineNews& aNews);
 
--- a/include/greengagehub/quarantine/success_log.hpp
+++ b/include/greengagehub/quarantine/success_log.hpp
@@ -8,42 +8,41 @@
 
 namespace greengagehub {
 
-/// For tables by content: a fingerprint's bits are even already.
+/// Hash for unordered containers; the bits of a fingerprint are already
+/// uniformly distributed.
 struct FingerprintHash
 {
-  std::size_t operator()(const Fingerprint& aContent) const noexcept
+  std::size_t operator()(const Fingerprint& aFingerprint) const noexcept
   {
-    return aContent.m_low;
+    return aFingerprint.m_low;
   }
 };
 
-/// \brief When requests last ended well at the backend server beside this
-/// daemon.
+/// \brief Last success of each request on the local backend server.
 ///
-/// Two tables, of which the newer one becomes the older one when it is full:
-/// the last kEach contents at least are remembered, and at most twice as many.
-/// Whoever floods it with others has a content forgotten, which then needs
-/// fewer ends to be held, never more.
+/// Two generations of entries: a full newer one replaces the older one. At
+/// least the last kGenerationSize fingerprints are kept, and at most twice as
+/// many. Eviction can only lower the number of crashes that a quarantine takes.
 class SuccessLog
 {
 public:
-  /// A worker that runs 66 requests a second is remembered for a minute, in
-  /// 400 KB.
-  static constexpr std::size_t kEach = 4096;
+  /// Covers one minute of a worker that runs 66 requests per second; about 400
+  /// KB.
+  static constexpr std::size_t kGenerationSize = 4096;
 
-  void Note(TimePoint aNow, Fingerprint aContent)
+  void Record(TimePoint aNow, Fingerprint aFingerprint)
   {
-    m_newer.insert_or_assign(aContent, aNow);
-    if (m_newer.size() >= kEach) {
+    m_newer.insert_or_assign(aFingerprint, aNow);
+    if (m_newer.size() >= kGenerationSize) {
       m_older = std::move(m_newer);
       m_newer.clear();
     }
   }
 
-  [[nodiscard]] std::optional<TimePoint> LastOf(Fingerprint aContent) const
+  [[nodiscard]] std::optional<TimePoint> Find(Fingerprint aFingerprint) const
   {
     for (const Table* each : { &m_newer, &m_older }) {
-      const auto found = each->find(aContent);
+      const auto found = each->find(aFingerprint);
       if (found != each->end()) {
         return found->second;
       }
--- a/include/greengagehub/quarantine/verdict_writer.hpp
+++ b/include/greengagehub/quarantine/verdict_writer.hpp
@@ -10,46 +10,47 @@
 
 namespace greengagehub {
 
-/// Prefix of the keys under which held contents stand in the platform's store.
+/// Prefix of the keys of quarantined requests in the platform store.
 inline constexpr std::string_view kVerdictPrefix = "quarantine/";
 
-/// \returns The value under which a verdict stands in the store.
+/// \returns The value that represents the verdict in the store.
 [[nodiscard]] std::string
 VerdictToJson(const ContentVerdict& aVerdict);
 
-/// \param aKey as the store has it, with kVerdictPrefix.
-/// \returns The verdict, given just now; an error if another writer left
-/// something else there.
+/// \param aKey full key, including kVerdictPrefix.
+/// \returns The verdict with an age of zero, or an error if the key or value is
+/// malformed.
 [[nodiscard]] Outcome<ContentVerdict>
 ParseVerdict(std::string_view aKey, std::string_view aValue);
 
-/// \brief Keeps held contents in the platform's store, so that they are known
-/// after all daemons have lost power: two calls for each verdict, none for an
-/// end.
+/// \brief Persists quarantined requests in the platform store, so that they
+/// survive a restart of all daemons.
 ///
-/// Each key has a lease that nobody renews: the store itself lets go of a
-/// verdict that is over, also while no daemon runs.
+/// Each verdict takes two calls to the store. Its key has a lease that is not
+/// renewed, so the store expires it without any daemon running.
 class VerdictWriter
 {
 public:
-  /// \brief A content is held.
-  /// \param aFrom when to write it.
-  /// \param aLooksFirst another daemon should have written it by then.
-  void Hold(ContentVerdict aVerdict, TimePoint aFrom, bool aLooksFirst);
-  /// \brief A content is let go: its key is deleted.
-  void Lift(Fingerprint aContent, TimePoint aNow);
-  /// \returns The next call to the store, if one is due and none is under way.
+  /// \brief Queues the write of a quarantined request.
+  /// \param aNotBefore when to write it.
+  /// \param aChecksFirst whether to read the key first and skip the write if
+  /// another daemon has done it.
+  void Hold(ContentVerdict aVerdict, TimePoint aNotBefore, bool aChecksFirst);
+  /// \brief Queues the deletion of the request's key.
+  void Lift(Fingerprint aFingerprint, TimePoint aNow);
+  /// \returns The next call to the store, if one is due and none is in
+  /// progress.
   [[nodiscard]] std::optional<StoreRequest> OnTick(TimePoint aNow);
-  /// \returns The call that follows.
+  /// \returns The follow-up call, if there is one.
   [[nodiscard]] std::optional<StoreRequest> OnReply(TimePoint aNow,
                                                     const StoreReply& aReply);
-  /// \returns Changes that the store has not taken yet.
+  /// \returns The number of queued changes, including the one in progress.
   [[nodiscard]] std::size_t Waiting() const noexcept { return m_jobs.size(); }
 
 private:
   enum class Step : std::uint8_t
   {
-    Look,
+    Check,
     Lease,
     Put,
     Delete,
@@ -62,17 +63,17 @@
   };
 
   [[nodiscard]] StoreRequest Begin(Step aStep);
-  [[nodiscard]] StoreRequest PutOver(Revision aExpected);
+  [[nodiscard]] StoreRequest PutIfRevision(Revision aExpected);
   std::optional<StoreRequest> OnPutReply(TimePoint aNow,
                                          const StoreReply& aReply);
-  void Drop(Fingerprint aContent);
-  void Done();
-  void TryLater(TimePoint aNow);
+  void DropJobs(Fingerprint aFingerprint);
+  void FinishJob();
+  void RetryLater(TimePoint aNow);
 
-  /// The first one is under way while m_step is set.
+  /// The front job is in progress while m_step is set.
   std::deque<Job> m_jobs;
   std::optional<Step> m_step;
-  /// The one under way has been replaced by a newer change.
+  /// The job in progress is superseded by a newer change.
   bool m_isStale{ false };
   std::uint64_t m_lease{ 0 };
 };
--- a/src/quarantine/crash_detector.cpp
+++ b/src/quarantine/crash_detector.cpp
@@ -7,20 +7,20 @@
 bool
 CrashDetector::OnLost(const Witness& aRun)
 {
-  m_lost.push_back(aRun);
-  return !std::exchange(m_looking, true);
+  m_lostRuns.push_back(aRun);
+  return !std::exchange(m_isProbing, true);
 }
 
 std::optional<WorkerEnd>
-CrashDetector::OnLooked(bool aNobodyListens)
+CrashDetector::OnLooked(bool aIsRefused)
 {
-  m_looking = false;
-  std::vector<Witness> lost = std::exchange(m_lost, {});
-  if (!aNobodyListens) {
-    m_ended = false;
+  m_isProbing = false;
+  std::vector<Witness> lost = std::exchange(m_lostRuns, {});
+  if (!aIsRefused) {
+    m_hasCrashed = false;
     return std::nullopt;
   }
-  if (!std::exchange(m_ended, true)) {
+  if (!std::exchange(m_hasCrashed, true)) {
     ++m_number;
   }
   return WorkerEnd{ m_number, std::move(lost) };
--- a/src/quarantine/fingerprint.cpp
+++ b/src/quarantine/fingerprint.cpp
@@ -9,15 +9,13 @@
 
 namespace {
 
-/// Of a longer body so much counts at its begin and at its end: hashing both
-/// takes a tenth of a millisecond.
-constexpr std::size_t kEndBytes = 32UL * 1024;
-constexpr std::size_t kDigits = 16;
+/// Bytes hashed at each end of a body that is longer than twice this.
+constexpr std::size_t kHashedEdgeBytes = 32UL * 1024;
+constexpr std::size_t kDigitsPerWord = 16;
 
-/// Parts stand behind their lengths, so that bytes cannot move from one to the
-/// next.
+/// The length prefix keeps the concatenation unambiguous.
 void
-Append(std::string& aText, std::string_view aPart)
+AppendWithLength(std::string& aText, std::string_view aPart)
 {
   aText += fmt::format("{}:", aPart.size());
   aText += aPart;
@@ -26,26 +24,26 @@
 void
 AppendBody(std::string& aText, std::string_view aBody)
 {
-  if (aBody.size() <= 2 * kEndBytes) {
+  if (aBody.size() <= 2 * kHashedEdgeBytes) {
     aText += aBody;
     return;
   }
-  aText += aBody.substr(0, kEndBytes);
-  aText += aBody.substr(aBody.size() - kEndBytes);
+  aText += aBody.substr(0, kHashedEdgeBytes);
+  aText += aBody.substr(aBody.size() - kHashedEdgeBytes);
 }
 
 }
 
 Fingerprint
-FingerprintOf(const RequestContent& aContent)
+FingerprintOf(const FingerprintInput& aInput)
 {
   std::string text;
-  Append(text, aContent.m_caller);
-  Append(text, aContent.m_host);
-  Append(text, aContent.m_method);
-  Append(text, aContent.m_target);
-  text += fmt::format("{}:", aContent.m_body.size());
-  AppendBody(text, aContent.m_body);
+  AppendWithLength(text, aInput.m_caller);
+  AppendWithLength(text, aInput.m_host);
+  AppendWithLength(text, aInput.m_method);
+  AppendWithLength(text, aInput.m_target);
+  text += fmt::format("{}:", aInput.m_body.size());
+  AppendBody(text, aInput.m_body);
   const Digest digest = HashOf(text);
   return { WordOf(digest, 0), WordOf(digest, 1) };
 }
@@ -60,13 +58,14 @@
 ParseFingerprint(std::string_view aHex)
 {
   constexpr int kBase = 16;
-  const Error bad{ ErrorCode::Invalid, "not 32 hexadecimal digits" };
-  if (aHex.size() != 2 * kDigits) {
+  const Error bad{ ErrorCode::Invalid,
+                   "fingerprint: expected 32 hexadecimal digits" };
+  if (aHex.size() != 2 * kDigitsPerWord) {
     return bad;
   }
   Fingerprint fingerprint;
-  const char* middle = aHex.data() + kDigits;
-  const char* end = middle + kDigits;
+  const char* middle = aHex.data() + kDigitsPerWord;
+  const char* end = middle + kDigitsPerWord;
   const auto high =
     std::from_chars(aHex.data(), middle, fingerprint.m_high, kBase);
   const auto low = std::from_chars(middle, end, fingerprint.m_low, kBase);
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -19,14 +19,15 @@
                                  aVerdict.m_isHeld));
 }
 
-/// \returns Whether what was held is still taken for the cause of an end.
+/// \returns Whether the request counts as the cause of crashes that it was part
+/// of. An expired quarantine does not clear it.
 bool
-Explains(const ContentVerdict& aVerdict) noexcept
+IsKnownCause(const ContentVerdict& aVerdict) noexcept
 {
   return aVerdict.m_isHeld || aVerdict.m_cause == VerdictCause::Time;
 }
 
-/// \returns Whether the second verdict holds where both are known.
+/// \returns Whether the new verdict takes precedence over the old one.
 bool
 Overrides(const ContentVerdict& aNew, const ContentVerdict& aOld) noexcept
 {
@@ -42,9 +43,9 @@
 NameOf(VerdictCause aCause) noexcept
 {
   switch (aCause) {
-    case VerdictCause::Ends:
+    case VerdictCause::Crashes:
       return "ends";
-    case VerdictCause::RanWell:
+    case VerdictCause::Succeeded:
       return "ran-well";
     case VerdictCause::Operator:
       return "operator";
@@ -54,13 +55,10 @@
   return "time";
 }
 
-// ---------------------------------------------------------------------------
-// Questions
-
 std::optional<std::chrono::milliseconds>
-Quarantine::HeldFor(TimePoint aNow, Fingerprint aContent) const
+Quarantine::HeldFor(TimePoint aNow, Fingerprint aFingerprint) const
 {
-  const auto found = m_records.find(aContent);
+  const auto found = m_records.find(aFingerprint);
   if (found == m_records.end() || !found->second.m_verdict.m_isHeld) {
     return std::nullopt;
   }
@@ -72,90 +70,94 @@
 }
 
 bool
-Quarantine::IsHeld(TimePoint aNow, Fingerprint aContent) const
+Quarantine::IsQuarantined(TimePoint aNow, Fingerprint aFingerprint) const
 {
-  return HeldFor(aNow, aContent).has_value();
+  return HeldFor(aNow, aFingerprint).has_value();
 }
 
 std::uint32_t
-Quarantine::EndsUnder(Fingerprint aContent) const
+Quarantine::EndsUnder(Fingerprint aFingerprint) const
 {
-  const auto found = m_suspects.find(aContent);
+  const auto found = m_suspects.find(aFingerprint);
   if (found == m_suspects.end()) {
     return 0;
   }
-  return Count(found->second, aContent, LastGood(found->second, aContent))
-    .m_ends;
+  return CountCrashes(found->second,
+                      aFingerprint,
+                      LastSuccess(found->second, aFingerprint))
+    .m_count;
 }
 
 std::optional<TimePoint>
-Quarantine::LastGood(const Suspect& aSuspect, Fingerprint aContent) const
+Quarantine::LastSuccess(const Suspect& aSuspect, Fingerprint aFingerprint) const
 {
-  return std::max(aSuspect.m_lastGood, m_goodRuns.LastOf(aContent));
+  return std::max(aSuspect.m_lastGood, m_successes.Find(aFingerprint));
 }
 
 bool
-Quarantine::IsExplained(std::uint64_t aEnd, Fingerprint aContent) const
+Quarantine::HasKnownCause(std::uint64_t aCrash, Fingerprint aFingerprint) const
 {
-  const auto end = m_ends.find(aEnd);
-  return end != m_ends.end() &&
-         std::ranges::any_of(end->second.m_contents, [&](Fingerprint aOther) {
-           const auto record = m_records.find(aOther);
-           return aOther != aContent && record != m_records.end() &&
-                  Explains(record->second.m_verdict);
-         });
+  const auto crash = m_crashes.find(aCrash);
+  return crash != m_crashes.end() &&
+         std::ranges::any_of(
+           crash->second.m_fingerprints, [&](Fingerprint aOther) {
+             const auto record = m_records.find(aOther);
+             return aOther != aFingerprint && record != m_records.end() &&
+                    IsKnownCause(record->second.m_verdict);
+           });
 }
 
-Quarantine::Tally
-Quarantine::Count(const Suspect& aSuspect,
-                  Fingerprint aContent,
-                  std::optional<TimePoint> aLastGood) const
+Quarantine::CrashTally
+Quarantine::CountCrashes(const Suspect& aSuspect,
+                         Fingerprint aFingerprint,
+                         std::optional<TimePoint> aLastSuccess) const
 {
-  std::vector<Cut> cuts;
-  for (const Cut& each : aSuspect.m_cuts) {
-    const bool cleared = aLastGood && each.m_ended <= *aLastGood;
-    if (!cleared && !IsExplained(each.m_end, aContent)) {
-      cuts.push_back(each);
+  std::vector<LostRun> runs;
+  for (const LostRun& each : aSuspect.m_runs) {
+    const bool cleared = aLastSuccess && each.m_ended <= *aLastSuccess;
+    if (!cleared && !HasKnownCause(each.m_crashId, aFingerprint)) {
+      runs.push_back(each);
     }
   }
-  std::ranges::sort(cuts, {}, &Cut::m_ended);
-  Tally tally;
-  TimePoint last{};
-  for (const Cut& each : cuts) {
-    const bool apart = tally.m_ends == 0 || each.m_ended - last > kOneMoment ||
-                       each.m_begun + kAgeError >= last;
-    if (apart) {
-      tally.m_first = tally.m_ends == 0 ? each.m_ended : tally.m_first;
-      ++tally.m_ends;
-      last = each.m_ended;
+  std::ranges::sort(runs, {}, &LostRun::m_ended);
+  CrashTally tally;
+  TimePoint lastCounted{};
+  for (const LostRun& each : runs) {
+    const bool isSeparate = tally.m_count == 0 ||
+                            each.m_ended - lastCounted > kSameCauseWindow ||
+                            each.m_begun + kAgeTolerance >= lastCounted;
+    if (isSeparate) {
+      tally.m_first = tally.m_count == 0 ? each.m_ended : tally.m_first;
+      ++tally.m_count;
+      lastCounted = each.m_ended;
     }
   }
   return tally;
 }
 
 bool
-Quarantine::HasOwnEnd(const Suspect& aSuspect) const
+Quarantine::HasLocalCrash(const Suspect& aSuspect) const
 {
-  return std::ranges::any_of(aSuspect.m_cuts, [this](const Cut& aCut) {
-    const auto end = m_ends.find(aCut.m_end);
-    return end != m_ends.end() && end->second.m_isOwn;
+  return std::ranges::any_of(aSuspect.m_runs, [this](const LostRun& aRun) {
+    const auto crash = m_crashes.find(aRun.m_crashId);
+    return crash != m_crashes.end() && crash->second.m_isLocal;
   });
 }
 
-std::vector<Quarantine::SeenEnd>
-Quarantine::EndsSeen(TimePoint aNow, Fingerprint aContent) const
+std::vector<Quarantine::KnownCrash>
+Quarantine::EndsSeen(TimePoint aNow, Fingerprint aFingerprint) const
 {
-  std::vector<SeenEnd> seen;
-  const auto suspect = m_suspects.find(aContent);
+  std::vector<KnownCrash> known;
+  const auto suspect = m_suspects.find(aFingerprint);
   if (suspect == m_suspects.end()) {
-    return seen;
+    return known;
   }
-  for (const Cut& each : suspect->second.m_cuts) {
-    seen.push_back({ m_ends.at(each.m_end).m_slot,
-                     aNow - each.m_ended,
-                     each.m_ended - each.m_begun });
+  for (const LostRun& each : suspect->second.m_runs) {
+    known.push_back({ m_crashes.at(each.m_crashId).m_slot,
+                      aNow - each.m_ended,
+                      each.m_ended - each.m_begun });
   }
-  return seen;
+  return known;
 }
 
 std::vector<ContentVerdict>
@@ -163,241 +165,239 @@
 {
   std::vector<ContentVerdict> all;
   all.reserve(m_records.size());
-  for (const auto& [content, record] : m_records) {
+  for (const auto& [fingerprint, record] : m_records) {
     all.push_back(record.m_verdict);
     all.back().m_age = aNow - record.m_at;
   }
   return all;
 }
 
-// ---------------------------------------------------------------------------
-// Ends
-
 QuarantineChanges
 Quarantine::OnOwnEnd(TimePoint aNow, EndReport aReport)
 {
   QuarantineChanges out;
   for (Witness& each : aReport.m_ran) {
-    if (const auto good = m_goodRuns.LastOf(each.m_content)) {
-      each.m_lastGood = aNow - aReport.m_age - *good;
+    if (const auto lastSuccess = m_successes.Find(each.m_content)) {
+      each.m_lastGood = aNow - aReport.m_age - *lastSuccess;
     }
   }
-  if (Add(aNow, aReport, true)) {
-    Judge(aNow, aReport, out);
+  if (AddCrash(aNow, aReport, true)) {
+    EvaluateCrash(aNow, aReport, out);
     out.m_news.m_ends.push_back(std::move(aReport));
   }
   return out;
 }
 
 bool
-Quarantine::Add(TimePoint aNow, const EndReport& aReport, bool aIsOwn)
+Quarantine::AddCrash(TimePoint aNow, const EndReport& aReport, bool aIsLocal)
 {
-  if (aReport.m_age > kRemember) {
+  if (aReport.m_age > kRetention) {
     return false;
   }
-  const auto [found, isNew] = m_ends.try_emplace(aReport.m_id);
-  End& end = found->second;
+  const auto [found, isNew] = m_crashes.try_emplace(aReport.m_id);
+  Crash& crash = found->second;
   if (isNew) {
-    end.m_slot = aReport.m_slot;
-    end.m_at = aNow - aReport.m_age;
-    end.m_isOwn = aIsOwn;
-    m_endOrder.push_back(aReport.m_id);
+    crash.m_slot = aReport.m_slot;
+    crash.m_at = aNow - aReport.m_age;
+    crash.m_isLocal = aIsLocal;
+    m_crashOrder.push_back(aReport.m_id);
   }
-  bool toldNew = false;
+  bool addsRuns = false;
   for (const Witness& each : aReport.m_ran) {
-    if (std::ranges::find(end.m_contents, each.m_content) !=
-        end.m_contents.end()) {
+    if (std::ranges::find(crash.m_fingerprints, each.m_content) !=
+        crash.m_fingerprints.end()) {
       continue;
     }
-    toldNew = true;
-    end.m_contents.push_back(each.m_content);
+    addsRuns = true;
+    crash.m_fingerprints.push_back(each.m_content);
     Suspect& suspect = m_suspects[each.m_content];
-    suspect.m_cuts.push_back({ aReport.m_id, end.m_at - each.m_ran, end.m_at });
+    suspect.m_runs.push_back(
+      { aReport.m_id, crash.m_at - each.m_ran, crash.m_at });
     if (each.m_lastGood) {
       suspect.m_lastGood = std::max<std::optional<TimePoint>>(
-        suspect.m_lastGood, end.m_at - *each.m_lastGood);
+        suspect.m_lastGood, crash.m_at - *each.m_lastGood);
     }
   }
-  if (m_ends.size() > kMaxEnds) {
-    DropOldestEnd();
+  if (m_crashes.size() > kMaxCrashes) {
+    DropOldestCrash();
   }
-  return toldNew;
+  return addsRuns;
 }
 
 void
-Quarantine::Judge(TimePoint aNow,
-                  const EndReport& aReport,
-                  QuarantineChanges& aOut)
+Quarantine::EvaluateCrash(TimePoint aNow,
+                          const EndReport& aReport,
+                          QuarantineChanges& aOut)
 {
   for (const Witness& each : aReport.m_ran) {
-    JudgeContent(aNow, aReport.m_service, each.m_content, aOut);
+    EvaluateFingerprint(aNow, aReport.m_service, each.m_content, aOut);
   }
 }
 
 void
-Quarantine::JudgeContent(TimePoint aNow,
-                         const std::string& aService,
-                         Fingerprint aContent,
-                         QuarantineChanges& aOut)
+Quarantine::EvaluateFingerprint(TimePoint aNow,
+                                const std::string& aService,
+                                Fingerprint aFingerprint,
+                                QuarantineChanges& aOut)
 {
-  const auto found = m_suspects.find(aContent);
-  if (found == m_suspects.end() || IsHeld(aNow, aContent)) {
+  const auto found = m_suspects.find(aFingerprint);
+  if (found == m_suspects.end() || IsQuarantined(aNow, aFingerprint)) {
     return;
   }
   Suspect& suspect = found->second;
-  TellGoodRun(aNow, suspect, aContent, aOut);
-  const auto good = LastGood(suspect, aContent);
-  const Tally tally = Count(suspect, aContent, good);
-  const bool wasGood = good && tally.m_first - *good <= kGoodCounts;
-  if (tally.m_ends < (wasGood ? kHoldEndsOfGood : kHoldEnds)) {
+  PublishSuccess(aNow, suspect, aFingerprint, aOut);
+  const auto lastSuccess = LastSuccess(suspect, aFingerprint);
+  const CrashTally tally = CountCrashes(suspect, aFingerprint, lastSuccess);
+  const bool hadRecentSuccess =
+    lastSuccess && tally.m_first - *lastSuccess <= kRecentSuccess;
+  if (tally.m_count <
+      (hadRecentSuccess ? kCrashLimitAfterSuccess : kCrashLimit)) {
     return;
   }
-  const auto record = m_records.find(aContent);
+  const auto record = m_records.find(aFingerprint);
   ContentVerdict verdict;
-  verdict.m_content = aContent;
+  verdict.m_content = aFingerprint;
   verdict.m_service = aService;
   verdict.m_generation =
     record == m_records.end() ? 1 : record->second.m_verdict.m_generation + 1;
   verdict.m_isHeld = true;
-  verdict.m_ends = tally.m_ends;
-  Put(aNow, verdict, aOut);
-  if (HasOwnEnd(suspect)) {
+  verdict.m_ends = tally.m_count;
+  SetVerdict(aNow, verdict, aOut);
+  if (HasLocalCrash(suspect)) {
     aOut.m_own.push_back(std::move(verdict));
   }
 }
 
 void
-Quarantine::DropOldestEnd()
+Quarantine::DropOldestCrash()
 {
-  const std::uint64_t id = m_endOrder.front();
-  m_endOrder.pop_front();
-  for (const Fingerprint content : m_ends.at(id).m_contents) {
-    const auto suspect = m_suspects.find(content);
+  const std::uint64_t id = m_crashOrder.front();
+  m_crashOrder.pop_front();
+  for (const Fingerprint fingerprint : m_crashes.at(id).m_fingerprints) {
+    const auto suspect = m_suspects.find(fingerprint);
     if (suspect == m_suspects.end()) {
       continue;
     }
-    std::erase_if(suspect->second.m_cuts,
-                  [id](const Cut& aCut) { return aCut.m_end == id; });
-    if (suspect->second.m_cuts.empty()) {
+    std::erase_if(suspect->second.m_runs,
+                  [id](const LostRun& aRun) { return aRun.m_crashId == id; });
+    if (suspect->second.m_runs.empty()) {
       m_suspects.erase(suspect);
     }
   }
-  m_ends.erase(id);
+  m_crashes.erase(id);
 }
 
-// ---------------------------------------------------------------------------
-// Runs that ended well
-
 QuarantineChanges
-Quarantine::OnRanWell(TimePoint aNow, Fingerprint aContent)
+Quarantine::OnRanWell(TimePoint aNow, Fingerprint aFingerprint)
 {
   QuarantineChanges out;
-  m_goodRuns.Note(aNow, aContent);
-  if (const auto record = m_records.find(aContent);
+  m_successes.Record(aNow, aFingerprint);
+  if (const auto record = m_records.find(aFingerprint);
       record != m_records.end() && record->second.m_verdict.m_isHeld) {
-    LiftRecord(aNow, record->second.m_verdict, VerdictCause::RanWell, out);
-  } else if (const auto suspect = m_suspects.find(aContent);
+    LiftVerdict(aNow, record->second.m_verdict, VerdictCause::Succeeded, out);
+  } else if (const auto suspect = m_suspects.find(aFingerprint);
              suspect != m_suspects.end()) {
-    TellGoodRun(aNow, suspect->second, aContent, out);
+    PublishSuccess(aNow, suspect->second, aFingerprint, out);
   }
   return out;
 }
 
 void
-Quarantine::TellGoodRun(TimePoint aNow,
-                        Suspect& aSuspect,
-                        Fingerprint aContent,
-                        QuarantineChanges& aOut)
+Quarantine::PublishSuccess(TimePoint aNow,
+                           Suspect& aSuspect,
+                           Fingerprint aFingerprint,
+                           QuarantineChanges& aOut)
 {
-  const auto own = m_goodRuns.LastOf(aContent);
-  if (!own || own <= aSuspect.m_lastGood) {
+  const auto localSuccess = m_successes.Find(aFingerprint);
+  if (!localSuccess || localSuccess <= aSuspect.m_lastGood) {
     return;
   }
-  // One end alone says little, and most contents that ran at one end well soon
-  // after: telling of each would be most of the news.
-  const auto counted = Count(aSuspect, aContent, aSuspect.m_lastGood).m_ends;
-  const bool matters =
-    counted >= kSuspectEnds && Count(aSuspect, aContent, own).m_ends < counted;
-  if (!matters) {
+  // Most requests that were interrupted once succeed soon after. Publishing
+  // each of these would dominate the traffic.
+  const auto counted =
+    CountCrashes(aSuspect, aFingerprint, aSuspect.m_lastGood).m_count;
+  const bool lowersCount =
+    counted >= kSuspectEnds &&
+    CountCrashes(aSuspect, aFingerprint, localSuccess).m_count < counted;
+  if (!lowersCount) {
     return;
   }
-  aSuspect.m_lastGood = own;
-  ContentVerdict told;
-  told.m_content = aContent;
-  told.m_cause = VerdictCause::RanWell;
-  told.m_age = aNow - *own;
-  aOut.m_news.m_verdicts.push_back(std::move(told));
+  aSuspect.m_lastGood = localSuccess;
+  ContentVerdict update;
+  update.m_content = aFingerprint;
+  update.m_cause = VerdictCause::Succeeded;
+  update.m_age = aNow - *localSuccess;
+  aOut.m_news.m_verdicts.push_back(std::move(update));
 }
 
 void
-Quarantine::TakeGoodRun(TimePoint aNow,
-                        const ContentVerdict& aVerdict,
-                        QuarantineChanges& aOut)
+Quarantine::ApplySuccess(TimePoint aNow,
+                         const ContentVerdict& aVerdict,
+                         QuarantineChanges& aOut)
 {
   const auto suspect = m_suspects.find(aVerdict.m_content);
   if (suspect == m_suspects.end()) {
     return;
   }
-  std::optional<TimePoint>& last = suspect->second.m_lastGood;
+  std::optional<TimePoint>& lastSuccess = suspect->second.m_lastGood;
   const TimePoint at = aNow - aVerdict.m_age;
-  const auto counted = Count(suspect->second, aVerdict.m_content, last).m_ends;
+  const auto counted =
+    CountCrashes(suspect->second, aVerdict.m_content, lastSuccess).m_count;
   const bool isNew =
-    !(last >= at) &&
-    Count(suspect->second, aVerdict.m_content, at).m_ends < counted;
+    !(lastSuccess >= at) &&
+    CountCrashes(suspect->second, aVerdict.m_content, at).m_count < counted;
   if (isNew) {
-    last = at;
+    lastSuccess = at;
     aOut.m_news.m_verdicts.push_back(aVerdict);
   }
 }
 
-// ---------------------------------------------------------------------------
-// Verdicts
-
 QuarantineChanges
 Quarantine::OnNews(TimePoint aNow, const QuarantineNews& aNews)
 {
   QuarantineChanges out;
-  // Before the ends on which they rest, or all would give them again.
+  // Verdicts first; otherwise this daemon would reach them again from the
+  // crashes.
   for (const ContentVerdict& each : aNews.m_verdicts) {
-    Take(aNow, each, out);
+    ApplyVerdict(aNow, each, out);
   }
   for (const EndReport& each : aNews.m_ends) {
-    if (Add(aNow, each, false)) {
+    if (AddCrash(aNow, each, false)) {
       out.m_news.m_ends.push_back(each);
-      Judge(aNow, each, out);
+      EvaluateCrash(aNow, each, out);
     }
   }
   return out;
 }
 
 void
-Quarantine::Take(TimePoint aNow,
-                 const ContentVerdict& aVerdict,
-                 QuarantineChanges& aOut)
+Quarantine::ApplyVerdict(TimePoint aNow,
+                         const ContentVerdict& aVerdict,
+                         QuarantineChanges& aOut)
 {
   if (aVerdict.m_generation == 0) {
-    TakeGoodRun(aNow, aVerdict, aOut);
+    ApplySuccess(aNow, aVerdict, aOut);
     return;
   }
-  const bool isOver = aVerdict.m_age > kRemember ||
-                      (aVerdict.m_isHeld && aVerdict.m_age > kHoldTime);
-  if (isOver) {
+  const bool isExpired = aVerdict.m_age > kRetention ||
+                         (aVerdict.m_isHeld && aVerdict.m_age > kHoldTime);
+  if (isExpired) {
     return;
   }
   const TimePoint at = aNow - aVerdict.m_age;
   const auto known = m_records.find(aVerdict.m_content);
   if (known == m_records.end() ||
       Overrides(aVerdict, known->second.m_verdict)) {
-    Put(at, aVerdict, aOut);
+    SetVerdict(at, aVerdict, aOut);
   } else if (!Overrides(known->second.m_verdict, aVerdict)) {
     known->second.m_at = std::min(known->second.m_at, at);
   }
 }
 
 void
-Quarantine::Put(TimePoint aAt,
-                const ContentVerdict& aVerdict,
-                QuarantineChanges& aOut)
+Quarantine::SetVerdict(TimePoint aAt,
+                       const ContentVerdict& aVerdict,
+                       QuarantineChanges& aOut)
 {
   EraseRecord(aVerdict.m_content);
   if (m_records.size() >= kMaxVerdicts) {
@@ -405,11 +405,11 @@
   }
   m_records.emplace(aVerdict.m_content, Record{ aVerdict, aAt });
   m_summary ^= DigestOf(aVerdict);
-  m_held += aVerdict.m_isHeld ? 1 : 0;
+  m_quarantinedCount += aVerdict.m_isHeld ? 1 : 0;
   const auto suspect = m_suspects.find(aVerdict.m_content);
-  const bool clears =
+  const bool clearsCrashes =
     !aVerdict.m_isHeld && aVerdict.m_cause != VerdictCause::Time;
-  if (clears && suspect != m_suspects.end()) {
+  if (clearsCrashes && suspect != m_suspects.end()) {
     suspect->second.m_lastGood =
       std::max<std::optional<TimePoint>>(suspect->second.m_lastGood, aAt);
   }
@@ -418,26 +418,26 @@
 }
 
 void
-Quarantine::LiftRecord(TimePoint aNow,
-                       ContentVerdict aVerdict,
-                       VerdictCause aCause,
-                       QuarantineChanges& aOut)
+Quarantine::LiftVerdict(TimePoint aNow,
+                        ContentVerdict aVerdict,
+                        VerdictCause aCause,
+                        QuarantineChanges& aOut)
 {
   aVerdict.m_isHeld = false;
   aVerdict.m_cause = aCause;
   aVerdict.m_age = Duration{};
-  Put(aNow, aVerdict, aOut);
+  SetVerdict(aNow, aVerdict, aOut);
 }
 
 std::optional<QuarantineChanges>
-Quarantine::Lift(TimePoint aNow, Fingerprint aContent)
+Quarantine::Lift(TimePoint aNow, Fingerprint aFingerprint)
 {
-  const auto record = m_records.find(aContent);
+  const auto record = m_records.find(aFingerprint);
   if (record == m_records.end() || !record->second.m_verdict.m_isHeld) {
     return std::nullopt;
   }
   QuarantineChanges out;
-  LiftRecord(aNow, record->second.m_verdict, VerdictCause::Operator, out);
+  LiftVerdict(aNow, record->second.m_verdict, VerdictCause::Operator, out);
   return out;
 }
 
@@ -445,47 +445,47 @@
 Quarantine::OnTick(TimePoint aNow)
 {
   QuarantineChanges out;
-  while (!m_endOrder.empty() &&
-         aNow - m_ends.at(m_endOrder.front()).m_at > kRemember) {
-    DropOldestEnd();
+  while (!m_crashOrder.empty() &&
+         aNow - m_crashes.at(m_crashOrder.front()).m_at > kRetention) {
+    DropOldestCrash();
   }
-  std::vector<ContentVerdict> over;
+  std::vector<ContentVerdict> expired;
   std::vector<Fingerprint> forgotten;
-  for (const auto& [content, record] : m_records) {
+  for (const auto& [fingerprint, record] : m_records) {
     const Duration age = aNow - record.m_at;
     if (record.m_verdict.m_isHeld && age >= kHoldTime) {
-      over.push_back(record.m_verdict);
-    } else if (age > kRemember) {
-      forgotten.push_back(content);
+      expired.push_back(record.m_verdict);
+    } else if (age > kRetention) {
+      forgotten.push_back(fingerprint);
     }
   }
-  for (const ContentVerdict& each : over) {
-    LiftRecord(aNow, each, VerdictCause::Time, out);
+  for (const ContentVerdict& each : expired) {
+    LiftVerdict(aNow, each, VerdictCause::Time, out);
   }
   for (const Fingerprint each : forgotten) {
     EraseRecord(each);
   }
-  // All know by themselves that its time is over.
+  // Each daemon expires verdicts on its own.
   out.m_news = {};
   return out;
 }
 
 void
-Quarantine::EraseRecord(Fingerprint aContent)
+Quarantine::EraseRecord(Fingerprint aFingerprint)
 {
-  const auto found = m_records.find(aContent);
+  const auto found = m_records.find(aFingerprint);
   if (found == m_records.end()) {
     return;
   }
   m_summary ^= DigestOf(found->second.m_verdict);
-  m_held -= found->second.m_verdict.m_isHeld ? 1 : 0;
+  m_quarantinedCount -= found->second.m_verdict.m_isHeld ? 1 : 0;
   m_records.erase(found);
 }
 
 void
 Quarantine::DropOldestRecord()
 {
-  // Those that were lifted go first: what is held protects workers.
+  // Lifted verdicts first, since quarantined ones protect workers.
   const auto oldest =
     std::ranges::min_element(m_records, {}, [](const auto& aEach) {
       return std::pair{ aEach.second.m_verdict.m_isHeld, aEach.second.m_at };
--- a/src/quarantine/quarantine_news.cpp
+++ b/src/quarantine/quarantine_news.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-/// A run takes some 30 bytes on the wire, a verdict some 50: with these and a
-/// sender of 200 a datagram stays below 1,200 bytes.
-constexpr std::size_t kRunsInPart = 30;
-constexpr std::size_t kVerdictsInPart = 18;
+/// Limits that keep a datagram below 1,200 bytes, at about 30 bytes per run, 50
+/// per verdict and 200 for the sender.
+constexpr std::size_t kMaxRunsPerPart = 30;
+constexpr std::size_t kMaxVerdictsPerPart = 18;
 
 void
-AppendEnd(std::vector<QuarantineNews>& aParts, const EndReport& aReport)
+AppendCrash(std::vector<QuarantineNews>& aParts, const EndReport& aReport)
 {
-  for (std::size_t i = 0; i < aReport.m_ran.size(); i += kRunsInPart) {
-    const std::size_t end = std::min(i + kRunsInPart, aReport.m_ran.size());
+  for (std::size_t i = 0; i < aReport.m_ran.size(); i += kMaxRunsPerPart) {
+    const std::size_t end = std::min(i + kMaxRunsPerPart, aReport.m_ran.size());
     EndReport part{
       aReport.m_id, aReport.m_slot, aReport.m_service, aReport.m_age, {}
     };
@@ -32,17 +32,18 @@
 SplitNews(const QuarantineNews& aNews)
 {
   std::vector<QuarantineNews> parts;
-  // Verdicts first: who hears of an end and its verdict need not judge.
-  for (std::size_t i = 0; i < aNews.m_verdicts.size(); i += kVerdictsInPart) {
+  // Verdicts first, so that receivers need not reach them from the crashes.
+  for (std::size_t i = 0; i < aNews.m_verdicts.size();
+       i += kMaxVerdictsPerPart) {
     const std::size_t end =
-      std::min(i + kVerdictsInPart, aNews.m_verdicts.size());
+      std::min(i + kMaxVerdictsPerPart, aNews.m_verdicts.size());
     const auto first = aNews.m_verdicts.begin();
     parts.push_back({ {},
                       { first + static_cast<std::ptrdiff_t>(i),
                         first + static_cast<std::ptrdiff_t>(end) } });
   }
   for (const EndReport& each : aNews.m_ends) {
-    AppendEnd(parts, each);
+    AppendCrash(parts, each);
   }
   return parts;
 }
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -13,15 +13,15 @@
 using Json = nlohmann::json;
 using Status = StoreReply::Status;
 
-/// Between two tries while the store is away.
-constexpr std::chrono::milliseconds kRetry{ 1000 };
-/// Of this form of the value.
-constexpr std::uint64_t kFormat = 1;
+/// Delay after a failed call to the store.
+constexpr std::chrono::milliseconds kRetryDelay{ 1000 };
+/// Version of the stored JSON format.
+constexpr std::uint64_t kFormatVersion = 1;
 
 std::string
-KeyOf(Fingerprint aContent)
+KeyOf(Fingerprint aFingerprint)
 {
-  return std::string{ kVerdictPrefix } + ToHex(aContent);
+  return std::string{ kVerdictPrefix } + ToHex(aFingerprint);
 }
 
 }
@@ -30,7 +30,7 @@
 VerdictToJson(const ContentVerdict& aVerdict)
 {
   return Json{
-    { "format", kFormat },
+    { "format", kFormatVersion },
     { "service", aVerdict.m_service },
     { "generation", aVerdict.m_generation },
     { "ends", aVerdict.m_ends }
@@ -41,22 +41,22 @@
 ParseVerdict(std::string_view aKey, std::string_view aValue)
 {
   const bool hasPrefix = aKey.starts_with(kVerdictPrefix);
-  const auto content =
+  const auto fingerprint =
     ParseFingerprint(hasPrefix ? aKey.substr(kVerdictPrefix.size()) : "");
-  if (!content) {
-    return content.error();
+  if (!fingerprint) {
+    return fingerprint.error();
   }
   const Json json = Json::parse(aValue, nullptr, false);
   FieldReader fields{ json };
   ContentVerdict verdict;
-  verdict.m_content = content.value();
+  verdict.m_content = fingerprint.value();
   verdict.m_isHeld = true;
   verdict.m_service = fields.Text("service");
   verdict.m_generation =
     static_cast<std::uint32_t>(fields.Whole("generation", UINT32_MAX));
   verdict.m_ends = static_cast<std::uint32_t>(fields.Whole("ends", UINT32_MAX));
-  if (fields.Whole("format") != kFormat || verdict.m_generation == 0) {
-    fields.Note("format", "a verdict of a known form");
+  if (fields.Whole("format") != kFormatVersion || verdict.m_generation == 0) {
+    fields.Note("format", "a supported format with a generation above 0");
   }
   if (!fields.Fault().empty()) {
     return Error{ ErrorCode::Corrupt, fields.Fault() };
@@ -67,10 +67,10 @@
 // ---------------------------------------------------------------------------
 
 void
-VerdictWriter::Drop(Fingerprint aContent)
+VerdictWriter::DropJobs(Fingerprint aFingerprint)
 {
-  const auto isSame = [aContent](const Job& aJob) {
-    return aJob.m_verdict.m_content == aContent;
+  const auto isSame = [aFingerprint](const Job& aJob) {
+    return aJob.m_verdict.m_content == aFingerprint;
   };
   const auto first = m_jobs.begin() + (m_step ? 1 : 0);
   m_isStale = m_isStale || (m_step && isSame(m_jobs.front()));
@@ -78,19 +78,22 @@
 }
 
 void
-VerdictWriter::Hold(ContentVerdict aVerdict, TimePoint aFrom, bool aLooksFirst)
+VerdictWriter::Hold(ContentVerdict aVerdict,
+                    TimePoint aNotBefore,
+                    bool aChecksFirst)
 {
-  Drop(aVerdict.m_content);
-  m_jobs.push_back(
-    { std::move(aVerdict), aFrom, aLooksFirst ? Step::Look : Step::Lease });
+  DropJobs(aVerdict.m_content);
+  m_jobs.push_back({ std::move(aVerdict),
+                     aNotBefore,
+                     aChecksFirst ? Step::Check : Step::Lease });
 }
 
 void
-VerdictWriter::Lift(Fingerprint aContent, TimePoint aNow)
+VerdictWriter::Lift(Fingerprint aFingerprint, TimePoint aNow)
 {
-  Drop(aContent);
+  DropJobs(aFingerprint);
   ContentVerdict verdict;
-  verdict.m_content = aContent;
+  verdict.m_content = aFingerprint;
   m_jobs.push_back({ std::move(verdict), aNow, Step::Delete });
 }
 
@@ -100,7 +103,7 @@
   m_step = aStep;
   const std::string key = KeyOf(m_jobs.front().m_verdict.m_content);
   switch (aStep) {
-    case Step::Look:
+    case Step::Check:
       return MakeGet(key);
     case Step::Delete:
       return MakeDelete(key);
@@ -111,7 +114,7 @@
 }
 
 StoreRequest
-VerdictWriter::PutOver(Revision aExpected)
+VerdictWriter::PutIfRevision(Revision aExpected)
 {
   m_step = Step::Put;
   const ContentVerdict& verdict = m_jobs.front().m_verdict;
@@ -138,16 +141,16 @@
 }
 
 void
-VerdictWriter::Done()
+VerdictWriter::FinishJob()
 {
   m_jobs.pop_front();
   m_step.reset();
 }
 
 void
-VerdictWriter::TryLater(TimePoint aNow)
+VerdictWriter::RetryLater(TimePoint aNow)
 {
-  m_jobs.front().m_due = aNow + kRetry;
+  m_jobs.front().m_due = aNow + kRetryDelay;
   m_step.reset();
 }
 
@@ -158,33 +161,33 @@
     return std::nullopt;
   }
   if (m_isStale) {
-    Done();
+    FinishJob();
     return std::nullopt;
   }
   const bool ok = aReply.m_status == Status::Ok;
-  const bool none = aReply.m_status == Status::NotFound;
+  const bool isMissing = aReply.m_status == Status::NotFound;
   switch (*m_step) {
-    case Step::Look:
-      if (none) {
+    case Step::Check:
+      if (isMissing) {
         return Begin(Step::Lease);
       }
       break;
     case Step::Lease:
       if (ok) {
         m_lease = aReply.m_lease;
-        return PutOver(0);
+        return PutIfRevision(0);
       }
-      TryLater(aNow);
+      RetryLater(aNow);
       return std::nullopt;
     case Step::Put:
       return OnPutReply(aNow, aReply);
     case Step::Delete:
       break;
   }
-  if (ok || none) {
-    Done();
+  if (ok || isMissing) {
+    FinishJob();
   } else {
-    TryLater(aNow);
+    RetryLater(aNow);
   }
   return std::nullopt;
 }
@@ -193,17 +196,18 @@
 VerdictWriter::OnPutReply(TimePoint aNow, const StoreReply& aReply)
 {
   if (aReply.m_status == Status::Conflict) {
-    const bool stands =
+    const bool isStored =
       aReply.m_value == VerdictToJson(m_jobs.front().m_verdict);
-    if (!stands) {
-      // Of an earlier generation, with a lease that runs out sooner.
-      return PutOver(aReply.m_revision);
+    if (!isStored) {
+      // The stored verdict is from an earlier generation, whose lease expires
+      // sooner.
+      return PutIfRevision(aReply.m_revision);
     }
-    Done();
+    FinishJob();
   } else if (aReply.m_status == Status::Ok) {
-    Done();
+    FinishJob();
   } else {
-    TryLater(aNow);
+    RetryLater(aNow);
   }
   return std::nullopt;
 }
--- a/tests/quarantine/crash_detector.cpp
+++ b/tests/quarantine/crash_detector.cpp
@@ -8,53 +8,52 @@
 namespace {
 
 Witness
-Run(std::uint64_t aContent)
+Run(std::uint64_t aFingerprint)
 {
-  return { { 0, aContent }, 40ms, std::nullopt };
+  return { { 0, aFingerprint }, 40ms, std::nullopt };
 }
 
 }
 
-TEST_CASE("what was lost as a worker ended is told with its end")
+TEST_CASE("a crash is reported with all runs that it interrupted")
 {
-  // A process that ends closes all its connections at once. The first of them
-  // has somebody look whether it still listens; the others come meanwhile.
-  CrashDetector watch;
-  CHECK(watch.OnLost(Run(1)));
-  CHECK_FALSE(watch.OnLost(Run(2)));
-  CHECK_FALSE(watch.OnLost(Run(3)));
-  const auto end = watch.OnLooked(true);
-  REQUIRE(end);
-  CHECK(end->m_runs.size() == 3);
-
-  SUBCASE("one that comes later belongs to the same end")
+  // Several connections close before the first probe returns.
+  CrashDetector detector;
+  CHECK(detector.OnLost(Run(1)));
+  CHECK_FALSE(detector.OnLost(Run(2)));
+  CHECK_FALSE(detector.OnLost(Run(3)));
+  const auto crash = detector.OnLooked(true);
+  REQUIRE(crash);
+  CHECK(crash->m_runs.size() == 3);
+
+  SUBCASE("a run lost later belongs to the same crash")
   {
-    CHECK(watch.OnLost(Run(4)));
-    const auto more = watch.OnLooked(true);
+    CHECK(detector.OnLost(Run(4)));
+    const auto more = detector.OnLooked(true);
     REQUIRE(more);
-    CHECK(more->m_number == end->m_number);
+    CHECK(more->m_number == crash->m_number);
     CHECK(more->m_runs.size() == 1);
   }
-  SUBCASE("after the next start has answered it is another end")
+  SUBCASE("a loss after the restarted server has answered is a new crash")
   {
-    watch.OnAlive();
-    CHECK(watch.OnLost(Run(4)));
-    const auto next = watch.OnLooked(true);
+    detector.OnAlive();
+    CHECK(detector.OnLost(Run(4)));
+    const auto next = detector.OnLooked(true);
     REQUIRE(next);
-    CHECK(next->m_number == end->m_number + 1);
+    CHECK(next->m_number == crash->m_number + 1);
   }
 }
 
-TEST_CASE("a connection that a living worker closes is no end")
+TEST_CASE("a connection closed by a running worker is not a crash")
 {
-  // A reset of connections, or a worker that breaks off its answers.
-  CrashDetector watch;
-  CHECK(watch.OnLost(Run(1)));
-  CHECK_FALSE(watch.OnLooked(false));
-  // What was lost then is not held against the request later.
-  CHECK(watch.OnLost(Run(2)));
-  const auto end = watch.OnLooked(true);
-  REQUIRE(end);
-  CHECK(end->m_runs.size() == 1);
-  CHECK(end->m_runs.front().m_content == Fingerprint{ 0, 2 });
+  // Resets and aborted answers would otherwise count against requests.
+  CrashDetector detector;
+  CHECK(detector.OnLost(Run(1)));
+  CHECK_FALSE(detector.OnLooked(false));
+  // The earlier loss does not count in a later crash.
+  CHECK(detector.OnLost(Run(2)));
+  const auto crash = detector.OnLooked(true);
+  REQUIRE(crash);
+  CHECK(crash->m_runs.size() == 1);
+  CHECK(crash->m_runs.front().m_content == Fingerprint{ 0, 2 });
 }
--- a/tests/quarantine/crash_replay.hpp
+++ b/tests/quarantine/crash_replay.hpp
@@ -13,19 +13,19 @@
 
 using namespace std::chrono_literals;
 
-/// What is played.
-struct CrashDay
+/// Workload and faults of one replay.
+struct CrashScenario
 {
   std::uint64_t m_seed{ 1 };
   int m_workers{ 9 };
-  /// Requests a second of a kind that each come once.
-  double m_unique{ 100.0 };
-  /// Contents that come again and again, and how often each.
-  int m_repeated{ 20 };
-  Duration m_repeatEvery{ 500ms };
-  /// The request that ends its workers comes so often; zero: never.
-  Duration m_crashingEvery{};
-  /// Workers are ended from outside: when, and which share of them.
+  /// Rate of requests that are each sent once.
+  double m_uniquePerSecond{ 100.0 };
+  /// Number of distinct requests that are sent repeatedly.
+  int m_repeatedCount{ 20 };
+  Duration m_repeatInterval{ 500ms };
+  /// Interval of the crashing request; zero disables it.
+  Duration m_crashingInterval{};
+  /// An external kill of a share of the workers.
   struct Kill
   {
     Duration m_at;
@@ -37,47 +37,51 @@
 
 struct CrashResult
 {
-  /// Ends under the request that ends its workers.
-  int m_ends{ 0 };
-  /// Its runs that began later than three seconds after its third end.
+  /// Crashes caused by the crashing request.
+  int m_crashes{ 0 };
+  /// Runs of the crashing request that started more than three seconds after
+  /// its third crash.
   int m_lateRuns{ 0 };
-  int m_innocent{ 0 };
-  int m_innocentHeld{ 0 };
-  /// Of contents that come again.
-  std::set<Fingerprint> m_repeatedHeld{};
+  int m_otherRequests{ 0 };
+  int m_othersQuarantined{ 0 };
+  /// Fingerprints of repeated requests that were quarantined.
+  std::set<Fingerprint> m_repeatedQuarantined{};
 };
 
-/// \brief A fleet in virtual time: workers with their daemons, each with a
-/// quarantine of its own, whose news reaches the others some milliseconds
-/// later; callers that send again after a failure, at any daemon.
+/// \brief Simulates a fleet in virtual time: workers with one quarantine each,
+/// updates that arrive some milliseconds later, and clients that retry through
+/// any daemon.
 class CrashReplay
 {
 public:
-  explicit CrashReplay(const CrashDay& aDay)
-    : m_day(aDay)
-    , m_random(aDay.m_seed)
-    , m_workers(static_cast<std::size_t>(aDay.m_workers))
+  explicit CrashReplay(const CrashScenario& aScenario)
+    : m_scenario(aScenario)
+    , m_random(aScenario.m_seed)
+    , m_workers(static_cast<std::size_t>(aScenario.m_workers))
   {
   }
 
   CrashResult Run()
   {
-    Repeat(kUniqueFirst, PerSecond(m_day.m_unique), true);
-    for (int i = 0; i < m_day.m_repeated; ++i) {
-      Repeat({ 1, static_cast<std::uint64_t>(i) }, m_day.m_repeatEvery, false);
+    ScheduleRepeated(
+      kUniqueFirst, PerSecond(m_scenario.m_uniquePerSecond), true);
+    for (int i = 0; i < m_scenario.m_repeatedCount; ++i) {
+      ScheduleRepeated({ 1, static_cast<std::uint64_t>(i) },
+                       m_scenario.m_repeatInterval,
+                       false);
     }
-    if (m_day.m_crashingEvery > Duration{}) {
-      Repeat(kCrashing, m_day.m_crashingEvery, false);
+    if (m_scenario.m_crashingInterval > Duration{}) {
+      ScheduleRepeated(kCrashing, m_scenario.m_crashingInterval, false);
     }
-    for (const CrashDay::Kill& each : m_day.m_kills) {
-      At(kStart + each.m_at, [this, each] { Kill(each.m_share); });
+    for (const CrashScenario::Kill& each : m_scenario.m_kills) {
+      ScheduleAt(kStart + each.m_at, [this, each] { Kill(each.m_share); });
     }
-    while (!m_events.empty() && m_events.begin()->first < kStart + kWhole) {
+    while (!m_events.empty() && m_events.begin()->first < kStart + kTotalTime) {
       const auto next = m_events.begin();
       m_now = next->first;
-      const auto act = std::move(next->second);
+      const auto action = std::move(next->second);
       m_events.erase(next);
-      act();
+      action();
     }
     return m_result;
   }
@@ -87,26 +91,26 @@
   {
     std::uint64_t m_id{ 0 };
     Fingerprint m_content{};
-    TimePoint m_begun{};
+    TimePoint m_started{};
     int m_attempts{ 0 };
-    int m_tries{ 0 };
+    int m_clientTries{ 0 };
     std::size_t m_caller{ 0 };
   };
   struct Worker
   {
     Quarantine m_quarantine;
     std::vector<Running> m_running;
-    bool m_up{ true };
+    bool m_isUp{ true };
   };
 
   static constexpr Fingerprint kCrashing{ 2, 0 };
   static constexpr Fingerprint kUniqueFirst{ 3, 0 };
   static constexpr TimePoint kStart{ 1h };
-  static constexpr Duration kWhole{ 60s };
-  static constexpr int kAttempts = 2;
-  static constexpr int kClientTries = 3;
+  static constexpr Duration kTotalTime{ 60s };
+  static constexpr int kMaxAttempts = 2;
+  static constexpr int kMaxClientTries = 3;
 
-  Duration Between(Duration aLow, Duration aHigh)
+  Duration RandomDuration(Duration aLow, Duration aHigh)
   {
     std::uniform_int_distribution<Duration::rep> even{ aLow.count(),
                                                        aHigh.count() };
@@ -117,110 +121,116 @@
     return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>{ 1.0 / aRate });
   }
-  void At(TimePoint aWhen, std::function<void()> aAct)
+  void ScheduleAt(TimePoint aWhen, std::function<void()> aAction)
   {
-    m_events.emplace(aWhen, std::move(aAct));
+    m_events.emplace(aWhen, std::move(aAction));
   }
 
-  void Repeat(Fingerprint aContent, Duration aEvery, bool aIsUnique)
+  void ScheduleRepeated(Fingerprint aFingerprint,
+                        Duration aInterval,
+                        bool aIsUnique)
   {
-    const Duration pause = Between(aEvery / 2, aEvery + aEvery / 2);
-    At(m_now + pause, [this, aContent, aEvery, aIsUnique] {
-      Fingerprint content = aContent;
+    const Duration delay =
+      RandomDuration(aInterval / 2, aInterval + aInterval / 2);
+    ScheduleAt(m_now + delay, [this, aFingerprint, aInterval, aIsUnique] {
+      Fingerprint fingerprint = aFingerprint;
       if (aIsUnique) {
-        content.m_low = ++m_lastUnique;
+        fingerprint.m_low = ++m_lastUnique;
       }
-      Ask({ .m_content = content });
-      if (m_now < kStart + m_day.m_length) {
-        Repeat(aContent, aEvery, aIsUnique);
+      SendFromClient({ .m_content = fingerprint });
+      if (m_now < kStart + m_scenario.m_length) {
+        ScheduleRepeated(aFingerprint, aInterval, aIsUnique);
       }
     });
   }
 
-  /// A client sends it, to any daemon.
-  void Ask(Running aRun)
+  /// A client sends the request through a random daemon.
+  void SendFromClient(Running aRun)
   {
-    m_result.m_innocent += aRun.m_content == kCrashing ? 0 : 1;
+    m_result.m_otherRequests += aRun.m_content == kCrashing ? 0 : 1;
     aRun.m_caller = Below(m_random, m_workers.size());
     aRun.m_attempts = 0;
-    ++aRun.m_tries;
+    ++aRun.m_clientTries;
     Send(aRun);
   }
 
   void Send(Running aRun)
   {
-    std::vector<std::size_t> up;
+    std::vector<std::size_t> available;
     for (std::size_t i = 0; i < m_workers.size(); ++i) {
-      if (m_workers[i].m_up) {
-        up.push_back(i);
+      if (m_workers[i].m_isUp) {
+        available.push_back(i);
       }
     }
-    if (m_workers[aRun.m_caller].m_quarantine.IsHeld(m_now, aRun.m_content)) {
-      NoteHeld(aRun.m_content);
+    if (m_workers[aRun.m_caller].m_quarantine.IsQuarantined(m_now,
+                                                            aRun.m_content)) {
+      RecordQuarantined(aRun.m_content);
       return;
     }
-    if (up.empty()) {
-      AskAgain(aRun);
+    if (available.empty()) {
+      RetryFromClient(aRun);
       return;
     }
-    // All send a suspect to the same worker.
+    // Suspects always go to the same worker.
     const bool isSuspect =
       m_workers[aRun.m_caller].m_quarantine.IsSuspect(aRun.m_content);
-    const std::size_t place =
-      isSuspect ? aRun.m_content.m_low % up.size() : Below(m_random, up.size());
-    Begin(up[place], aRun);
+    const std::size_t index = isSuspect
+                                ? aRun.m_content.m_low % available.size()
+                                : Below(m_random, available.size());
+    Begin(available[index], aRun);
   }
 
-  void NoteHeld(Fingerprint aContent)
+  void RecordQuarantined(Fingerprint aFingerprint)
   {
-    if (aContent == kCrashing) {
+    if (aFingerprint == kCrashing) {
       return;
     }
-    ++m_result.m_innocentHeld;
-    if (aContent.m_high == 1) {
-      m_result.m_repeatedHeld.insert(aContent);
+    ++m_result.m_othersQuarantined;
+    if (aFingerprint.m_high == 1) {
+      m_result.m_repeatedQuarantined.insert(aFingerprint);
     }
   }
 
-  void AskAgain(Running aRun)
+  void RetryFromClient(Running aRun)
   {
-    if (aRun.m_tries < kClientTries) {
-      At(m_now + Between(20ms, 300ms), [this, aRun] { Ask(aRun); });
+    if (aRun.m_clientTries < kMaxClientTries) {
+      ScheduleAt(m_now + RandomDuration(20ms, 300ms),
+                 [this, aRun] { SendFromClient(aRun); });
     }
   }
 
   void Begin(std::size_t aWorker, Running aRun)
   {
     Worker& worker = m_workers[aWorker];
-    if (worker.m_quarantine.IsHeld(m_now, aRun.m_content)) {
-      NoteHeld(aRun.m_content);
+    if (worker.m_quarantine.IsQuarantined(m_now, aRun.m_content)) {
+      RecordQuarantined(aRun.m_content);
       return;
     }
-    const bool apart =
+    const bool isRejected =
       worker.m_quarantine.IsSuspect(aRun.m_content) &&
       std::ranges::any_of(worker.m_running, [&](const Running& aOther) {
         return worker.m_quarantine.IsSuspect(aOther.m_content);
       });
-    if (apart) {
-      AskAgain(aRun);
+    if (isRejected) {
+      RetryFromClient(aRun);
       return;
     }
     aRun.m_id = ++m_lastRun;
-    aRun.m_begun = m_now;
+    aRun.m_started = m_now;
     ++aRun.m_attempts;
     worker.m_running.push_back(aRun);
-    const bool crashes = aRun.m_content == kCrashing;
-    if (crashes && m_result.m_ends >= 3 && m_now > m_thirdEnd + 3s) {
+    const bool isCrashing = aRun.m_content == kCrashing;
+    if (isCrashing && m_result.m_crashes >= 3 && m_now > m_thirdCrash + 3s) {
       ++m_result.m_lateRuns;
     }
-    const Duration takes =
-      crashes ? Between(40ms, 125ms) : Between(20ms, 250ms);
-    At(m_now + takes, [this, aWorker, id = aRun.m_id, crashes] {
-      Finish(aWorker, id, crashes);
+    const Duration duration =
+      isCrashing ? RandomDuration(40ms, 125ms) : RandomDuration(20ms, 250ms);
+    ScheduleAt(m_now + duration, [this, aWorker, id = aRun.m_id, isCrashing] {
+      Finish(aWorker, id, isCrashing);
     });
   }
 
-  void Finish(std::size_t aWorker, std::uint64_t aRun, bool aCrashes)
+  void Finish(std::size_t aWorker, std::uint64_t aRun, bool aIsCrashing)
   {
     Worker& worker = m_workers[aWorker];
     const auto found =
@@ -228,16 +238,16 @@
     if (found == worker.m_running.end()) {
       return;
     }
-    if (aCrashes) {
-      if (++m_result.m_ends == 3) {
-        m_thirdEnd = m_now;
+    if (aIsCrashing) {
+      if (++m_result.m_crashes == 3) {
+        m_thirdCrash = m_now;
       }
-      End(aWorker);
+      Crash(aWorker);
       return;
     }
-    const Fingerprint content = found->m_content;
+    const Fingerprint fingerprint = found->m_content;
     worker.m_running.erase(found);
-    Spread(aWorker, worker.m_quarantine.OnRanWell(m_now, content));
+    Broadcast(aWorker, worker.m_quarantine.OnRanWell(m_now, fingerprint));
   }
 
   void Kill(double aShare)
@@ -245,64 +255,66 @@
     const auto count =
       static_cast<std::size_t>(aShare * static_cast<double>(m_workers.size()));
     for (std::size_t i = 0; i < count; ++i) {
-      // Each daemon notices some milliseconds later or sooner.
-      At(m_now + Between(0ms, 5ms), [this, i] { End(i); });
+      // Daemons notice the crash at slightly different times.
+      ScheduleAt(m_now + RandomDuration(0ms, 5ms), [this, i] { Crash(i); });
     }
   }
 
-  void End(std::size_t aWorker)
+  void Crash(std::size_t aWorker)
   {
     Worker& worker = m_workers[aWorker];
-    if (!worker.m_up) {
+    if (!worker.m_isUp) {
       return;
     }
-    worker.m_up = false;
+    worker.m_isUp = false;
     const std::vector<Running> lost = std::exchange(worker.m_running, {});
-    EndReport report{ ++m_lastEnd, "w", "s", {}, {} };
+    EndReport report{ ++m_lastCrash, "w", "s", {}, {} };
     for (const Running& each : lost) {
       report.m_ran.push_back(
-        { each.m_content, m_now - each.m_begun, std::nullopt });
+        { each.m_content, m_now - each.m_started, std::nullopt });
     }
-    Spread(aWorker, worker.m_quarantine.OnOwnEnd(m_now, std::move(report)));
-    At(m_now + Between(3s, 3500ms), [&worker] { worker.m_up = true; });
+    Broadcast(aWorker, worker.m_quarantine.OnOwnEnd(m_now, std::move(report)));
+    ScheduleAt(m_now + RandomDuration(3s, 3500ms),
+               [&worker] { worker.m_isUp = true; });
     for (const Running& each : lost) {
-      At(m_now + Between(1ms, 5ms), [this, aWorker, each] {
-        const bool again =
-          each.m_attempts < kAttempts &&
+      ScheduleAt(m_now + RandomDuration(1ms, 5ms), [this, aWorker, each] {
+        const bool isRetried =
+          each.m_attempts < kMaxAttempts &&
           !m_workers[aWorker].m_quarantine.IsSuspect(each.m_content);
-        if (again) {
+        if (isRetried) {
           Send(each);
         } else {
-          AskAgain(each);
+          RetryFromClient(each);
         }
       });
     }
   }
 
-  void Spread(std::size_t aFrom, const QuarantineChanges& aChanges)
+  void Broadcast(std::size_t aSender, const QuarantineChanges& aChanges)
   {
     if (aChanges.m_news.IsEmpty()) {
       return;
     }
     for (std::size_t i = 0; i < m_workers.size(); ++i) {
-      if (i != aFrom) {
-        At(m_now + Between(1ms, 20ms), [this, i, news = aChanges.m_news] {
-          static_cast<void>(m_workers[i].m_quarantine.OnNews(m_now, news));
-        });
+      if (i != aSender) {
+        ScheduleAt(
+          m_now + RandomDuration(1ms, 20ms), [this, i, news = aChanges.m_news] {
+            static_cast<void>(m_workers[i].m_quarantine.OnNews(m_now, news));
+          });
       }
     }
   }
 
-  CrashDay m_day;
+  CrashScenario m_scenario;
   Random m_random;
   std::vector<Worker> m_workers;
   std::multimap<TimePoint, std::function<void()>> m_events;
   TimePoint m_now{ kStart };
-  TimePoint m_thirdEnd{};
+  TimePoint m_thirdCrash{};
   CrashResult m_result;
   std::uint64_t m_lastUnique{ 0 };
   std::uint64_t m_lastRun{ 0 };
-  std::uint64_t m_lastEnd{ 0 };
+  std::uint64_t m_lastCrash{ 0 };
 };
 
 }
--- a/tests/quarantine/error_rates.cpp
+++ b/tests/quarantine/error_rates.cpp
@@ -2,150 +2,150 @@
 
 #include <doctest/doctest.h>
 
-// Both errors of the quarantine over replayed days: requests that go on ending
-// workers, and requests that did nothing and are held.
+// Error rates of the quarantine: crashing requests that are missed, and other
+// requests that are quarantined.
 
 using namespace greengagehub;
 using namespace std::chrono_literals;
-using test::CrashDay;
 using test::CrashReplay;
 using test::CrashResult;
+using test::CrashScenario;
 
 namespace {
 
-constexpr std::uint64_t kDays = 40;
+constexpr std::uint64_t kReplays = 40;
 
-/// Runs that may begin later than three seconds after the third end: operators
-/// allow three.
-constexpr int kLateRuns = 3;
+/// Allowed runs of the crashing request more than three seconds after its third
+/// crash.
+constexpr int kMaxLateRuns = 3;
 
-/// Of days with other luck.
-struct Days
+/// Totals over replays with different seeds.
+struct Totals
 {
   CrashResult m_sum;
-  int m_mostEnds{ 0 };
-  int m_mostLateRuns{ 0 };
+  int m_maxCrashes{ 0 };
+  int m_maxLateRuns{ 0 };
 };
 
-Days
-Play(CrashDay aDay)
+Totals
+RunReplays(CrashScenario aScenario)
 {
-  Days days;
-  CrashResult& sum = days.m_sum;
-  for (std::uint64_t seed = 1; seed <= kDays; ++seed) {
-    aDay.m_seed = seed;
-    const CrashResult day = CrashReplay{ aDay }.Run();
-    days.m_mostEnds = std::max(days.m_mostEnds, day.m_ends);
-    days.m_mostLateRuns = std::max(days.m_mostLateRuns, day.m_lateRuns);
-    sum.m_ends += day.m_ends;
-    sum.m_lateRuns += day.m_lateRuns;
-    sum.m_innocent += day.m_innocent;
-    sum.m_innocentHeld += day.m_innocentHeld;
-    sum.m_repeatedHeld.insert(day.m_repeatedHeld.begin(),
-                              day.m_repeatedHeld.end());
+  Totals totals;
+  CrashResult& sum = totals.m_sum;
+  for (std::uint64_t seed = 1; seed <= kReplays; ++seed) {
+    aScenario.m_seed = seed;
+    const CrashResult result = CrashReplay{ aScenario }.Run();
+    totals.m_maxCrashes = std::max(totals.m_maxCrashes, result.m_crashes);
+    totals.m_maxLateRuns = std::max(totals.m_maxLateRuns, result.m_lateRuns);
+    sum.m_crashes += result.m_crashes;
+    sum.m_lateRuns += result.m_lateRuns;
+    sum.m_otherRequests += result.m_otherRequests;
+    sum.m_othersQuarantined += result.m_othersQuarantined;
+    sum.m_repeatedQuarantined.insert(result.m_repeatedQuarantined.begin(),
+                                     result.m_repeatedQuarantined.end());
   }
-  MESSAGE(sum.m_ends << " ends, most " << days.m_mostEnds << " a day, "
-                     << sum.m_lateRuns << " late runs, most "
-                     << days.m_mostLateRuns << "; held " << sum.m_innocentHeld
-                     << " of " << sum.m_innocent << " others, "
-                     << sum.m_repeatedHeld.size()
-                     << " contents that come again");
-  return days;
+  MESSAGE(sum.m_crashes << " crashes, at most " << totals.m_maxCrashes
+                        << " a replay, " << sum.m_lateRuns
+                        << " late runs, at most " << totals.m_maxLateRuns
+                        << "; quarantined " << sum.m_othersQuarantined << " of "
+                        << sum.m_otherRequests << " other requests, "
+                        << sum.m_repeatedQuarantined.size()
+                        << " repeated requests");
+  return totals;
 }
 
 }
 
-TEST_CASE("a request that ends its workers is held in time, and only that")
+TEST_CASE("a crashing request is quarantined in time, and no other")
 {
-  // The incident's load: it comes a few times a second, each copy is sent again
-  // by its client, and workers are back after three seconds.
-  CrashDay day;
-  day.m_crashingEvery = 300ms;
-  bool manyAtOnce = false;
+  // Guards against a retried request that crashes worker after worker.
+  CrashScenario scenario;
+  scenario.m_crashingInterval = 300ms;
+  bool hasConcurrentCopies = false;
   SUBCASE("five workers")
   {
-    day.m_workers = 5;
+    scenario.m_workers = 5;
   }
   SUBCASE("nine workers") {}
   SUBCASE("sixty workers")
   {
-    day.m_workers = 60;
-    day.m_unique = 600.0;
+    scenario.m_workers = 60;
+    scenario.m_uniquePerSecond = 600.0;
   }
-  SUBCASE("nine workers, many copies at once")
+  SUBCASE("nine workers, many concurrent copies")
   {
-    // Two run at any moment, each with its repeats: all may end at once.
-    day.m_crashingEvery = 60ms;
-    manyAtOnce = true;
+    // Two copies run at any time, so several workers can crash together.
+    scenario.m_crashingInterval = 60ms;
+    hasConcurrentCopies = true;
   }
-  SUBCASE("five workers, many copies at once")
+  SUBCASE("five workers, many concurrent copies")
   {
-    day.m_workers = 5;
-    day.m_crashingEvery = 60ms;
-    manyAtOnce = true;
+    scenario.m_workers = 5;
+    scenario.m_crashingInterval = 60ms;
+    hasConcurrentCopies = true;
   }
-  SUBCASE("five workers, some copies at once")
+  SUBCASE("five workers, some concurrent copies")
   {
-    day.m_workers = 5;
-    day.m_crashingEvery = 120ms;
-    manyAtOnce = true;
+    scenario.m_workers = 5;
+    scenario.m_crashingInterval = 120ms;
+    hasConcurrentCopies = true;
   }
-  SUBCASE("nine workers, a copy each ten seconds")
+  SUBCASE("nine workers, one copy every ten seconds")
   {
-    day.m_crashingEvery = 10s;
+    scenario.m_crashingInterval = 10s;
   }
-  const Days days = Play(day);
-  if (!manyAtOnce) {
-    // Three, and as many as were under way when the third became known.
-    CHECK(days.m_mostEnds <= 6);
+  const Totals totals = RunReplays(scenario);
+  if (!hasConcurrentCopies) {
+    // Three, plus those that were running when the third was reported.
+    CHECK(totals.m_maxCrashes <= 6);
   }
-  CHECK(days.m_mostLateRuns <= kLateRuns);
-  CHECK(days.m_sum.m_repeatedHeld.empty());
+  CHECK(totals.m_maxLateRuns <= kMaxLateRuns);
+  CHECK(totals.m_sum.m_repeatedQuarantined.empty());
 }
 
-TEST_CASE("workers that end from outside have no request held")
+TEST_CASE("no request is quarantined when workers are killed externally")
 {
-  CrashDay day;
-  SUBCASE("a third at once, again and again")
+  CrashScenario scenario;
+  SUBCASE("a third at once, repeatedly")
   {
     for (int i = 1; i <= 6; ++i) {
-      day.m_kills.push_back({ i * 4s, 0.34 });
+      scenario.m_kills.push_back({ i * 4s, 0.34 });
     }
   }
   SUBCASE("all at once")
   {
-    day.m_kills = { { 3s, 1.0 }, { 10s, 1.0 }, { 17s, 1.0 } };
+    scenario.m_kills = { { 3s, 1.0 }, { 10s, 1.0 }, { 17s, 1.0 } };
   }
-  SUBCASE("two thirds, of a few lookups that are always under way")
+  SUBCASE("two thirds at once, while a few lookups are always running")
   {
-    day.m_unique = 10.0;
-    day.m_repeated = 3;
-    day.m_repeatEvery = 20ms;
+    scenario.m_uniquePerSecond = 10.0;
+    scenario.m_repeatedCount = 3;
+    scenario.m_repeatInterval = 20ms;
     for (int i = 1; i <= 6; ++i) {
-      day.m_kills.push_back({ i * 4s, 0.67 });
+      scenario.m_kills.push_back({ i * 4s, 0.67 });
     }
   }
   SUBCASE("sixty workers, a quarter of them in turn")
   {
-    day.m_workers = 60;
-    day.m_unique = 600.0;
+    scenario.m_workers = 60;
+    scenario.m_uniquePerSecond = 600.0;
     for (int i = 1; i <= 12; ++i) {
-      day.m_kills.push_back({ i * 2s, 0.25 });
+      scenario.m_kills.push_back({ i * 2s, 0.25 });
     }
   }
-  const Days days = Play(day);
-  CHECK(days.m_sum.m_innocentHeld == 0);
+  const Totals totals = RunReplays(scenario);
+  CHECK(totals.m_sum.m_othersQuarantined == 0);
 }
 
-TEST_CASE("both at once")
+TEST_CASE("a crashing request is quarantined while workers are killed")
 {
-  // Workers are killed while a request ends others.
-  CrashDay day;
-  day.m_crashingEvery = 300ms;
+  // External kills must neither hide the cause nor implicate other requests.
+  CrashScenario scenario;
+  scenario.m_crashingInterval = 300ms;
   for (int i = 0; i <= 6; ++i) {
-    day.m_kills.push_back({ 200ms + i * 3s, 0.34 });
+    scenario.m_kills.push_back({ 200ms + i * 3s, 0.34 });
   }
-  const Days days = Play(day);
-  CHECK(days.m_mostLateRuns <= kLateRuns);
-  CHECK(days.m_sum.m_repeatedHeld.empty());
+  const Totals totals = RunReplays(scenario);
+  CHECK(totals.m_maxLateRuns <= kMaxLateRuns);
+  CHECK(totals.m_sum.m_repeatedQuarantined.empty());
 }
--- a/tests/quarantine/fingerprint.cpp
+++ b/tests/quarantine/fingerprint.cpp
@@ -4,16 +4,16 @@
 
 using namespace greengagehub;
 
-TEST_CASE("requests are the same by caller, host, method, target and body")
+TEST_CASE("a fingerprint depends on caller, host, method, target and body")
 {
-  const RequestContent first{ .m_caller = "desk",
-                              .m_host = "a.example",
-                              .m_method = "POST",
-                              .m_target = "/release/7?x=1",
-                              .m_body = "{}" };
+  const FingerprintInput first{ .m_caller = "desk",
+                                .m_host = "a.example",
+                                .m_method = "POST",
+                                .m_target = "/release/7?x=1",
+                                .m_body = "{}" };
   const Fingerprint one = FingerprintOf(first);
   CHECK(FingerprintOf(first) == one);
-  RequestContent other = first;
+  FingerprintInput other = first;
   SUBCASE("caller")
   {
     other.m_caller = "kiosk";
@@ -34,7 +34,7 @@
   {
     other.m_body = "{ }";
   }
-  SUBCASE("bytes that moved from one part to the next")
+  SUBCASE("bytes moved from one part to the next")
   {
     other.m_target = "/release/7?x=1{}";
     other.m_body = "";
@@ -42,29 +42,29 @@
   CHECK(FingerprintOf(other) != one);
 }
 
-TEST_CASE("of a long body the ends and the length count")
+TEST_CASE("a fingerprint of a long body depends on its length and both ends")
 {
   const std::string body(1024UL * 1024, 'a');
   const auto of = [](const std::string& aBody) {
     return FingerprintOf({ .m_method = "POST", .m_body = aBody });
   };
   std::string other = body;
-  SUBCASE("at its begin")
+  SUBCASE("at the beginning")
   {
     other[10] = 'b';
   }
-  SUBCASE("at its end")
+  SUBCASE("at the end")
   {
     other.back() = 'b';
   }
-  SUBCASE("in length")
+  SUBCASE("length")
   {
     other += 'a';
   }
   CHECK(of(other) != of(body));
 }
 
-TEST_CASE("a fingerprint is read as it is written, and nothing else is")
+TEST_CASE("hexadecimal fingerprints round-trip and malformed text is rejected")
 {
   const Fingerprint one = FingerprintOf({ .m_target = "/" });
   const std::string hex = ToHex(one);
--- a/tests/quarantine/quarantine.cpp
+++ b/tests/quarantine/quarantine.cpp
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-// What is counted against a request, and what is not.
+// Which crashes count against a request.
 
 using namespace greengagehub;
 using namespace std::chrono_literals;
@@ -13,199 +13,200 @@
 constexpr Fingerprint kCrashing{ 7, 7 };
 constexpr Fingerprint kOther{ 8, 8 };
 
-/// \param aRan how long each of them had run.
+/// \param aRan how long each request had been running.
 EndReport
-End(std::uint64_t aId, std::vector<Fingerprint> aContents, Duration aRan = 60ms)
+MakeReport(std::uint64_t aId,
+           std::vector<Fingerprint> aFingerprints,
+           Duration aRan = 60ms)
 {
   EndReport report{ aId, "lockers-1", "locker-app", {}, {} };
-  for (const Fingerprint each : aContents) {
+  for (const Fingerprint each : aFingerprints) {
     report.m_ran.push_back({ each, aRan, std::nullopt });
   }
   return report;
 }
 
-/// Ends apart from each other under the same contents.
+/// Reports separate crashes that each interrupted the same requests.
 void
-EndTimes(Quarantine& aQuarantine,
-         TimePoint aFrom,
-         int aTimes,
-         const std::vector<Fingerprint>& aContents)
+ReportCrashes(Quarantine& aQuarantine,
+              TimePoint aFrom,
+              int aCount,
+              const std::vector<Fingerprint>& aFingerprints)
 {
   static std::uint64_t id = 1000;
-  for (int i = 0; i < aTimes; ++i) {
-    static_cast<void>(
-      aQuarantine.OnNews(aFrom + i * 500ms, { { End(++id, aContents) }, {} }));
+  for (int i = 0; i < aCount; ++i) {
+    static_cast<void>(aQuarantine.OnNews(
+      aFrom + i * 500ms, { { MakeReport(++id, aFingerprints) }, {} }));
   }
 }
 
 }
 
-TEST_CASE("a content is held with its third end, whoever reports it")
+TEST_CASE(
+  "a request is quarantined after its third crash, whichever daemon reports it")
 {
   Quarantine quarantine;
-  const auto first = quarantine.OnOwnEnd(kStart, End(1, { kCrashing }));
+  const auto first = quarantine.OnOwnEnd(kStart, MakeReport(1, { kCrashing }));
   CHECK(first.m_news.m_ends.size() == 1);
   CHECK_FALSE(quarantine.IsSuspect(kCrashing));
   static_cast<void>(
-    quarantine.OnNews(kStart + 1s, { { End(2, { kCrashing }) }, {} }));
+    quarantine.OnNews(kStart + 1s, { { MakeReport(2, { kCrashing }) }, {} }));
   CHECK(quarantine.IsSuspect(kCrashing));
-  CHECK_FALSE(quarantine.IsHeld(kStart + 1s, kCrashing));
+  CHECK_FALSE(quarantine.IsQuarantined(kStart + 1s, kCrashing));
   const auto third =
-    quarantine.OnNews(kStart + 2s, { { End(3, { kCrashing }) }, {} });
-  CHECK(quarantine.IsHeld(kStart + 2s, kCrashing));
+    quarantine.OnNews(kStart + 2s, { { MakeReport(3, { kCrashing }) }, {} });
+  CHECK(quarantine.IsQuarantined(kStart + 2s, kCrashing));
   CHECK(third.m_verdicts.size() == 1);
   CHECK(third.m_own.size() == 1);
   CHECK(quarantine.CountHeld() == 1);
 }
 
-TEST_CASE("the same end told twice counts once")
+TEST_CASE("a crash that is reported twice counts once")
 {
   Quarantine quarantine;
   for (int i = 0; i < 5; ++i) {
-    const auto heard =
-      quarantine.OnNews(kStart + i * 1s, { { End(1, { kCrashing }) }, {} });
-    CHECK(heard.m_news.IsEmpty() == (i > 0));
+    const auto changes = quarantine.OnNews(
+      kStart + i * 1s, { { MakeReport(1, { kCrashing }) }, {} });
+    CHECK(changes.m_news.IsEmpty() == (i > 0));
   }
   CHECK(quarantine.EndsUnder(kCrashing) == 1);
 }
 
-TEST_CASE("one cause that ends many workers at once is one end")
+TEST_CASE("an outage of many workers counts as one crash")
 {
-  // A rack loses power. The same small read of one caller is under way on four
-  // of its workers, and has never been seen before. Each daemon reports what
-  // ran, within some milliseconds; the read did nothing.
+  // Guards against quarantining a request that was running on four workers when
+  // they lost power.
   Quarantine quarantine;
   for (std::uint64_t i = 1; i <= 4; ++i) {
     static_cast<void>(quarantine.OnNews(
       kStart + std::chrono::milliseconds{ 2 * i },
-      { { End(i, { kOther }, std::chrono::milliseconds{ 20 + 10 * i }) },
+      { { MakeReport(i, { kOther }, std::chrono::milliseconds{ 20 + 10 * i }) },
         {} }));
   }
   CHECK(quarantine.EndsUnder(kOther) == 1);
-  CHECK_FALSE(quarantine.IsHeld(kStart + 1s, kOther));
+  CHECK_FALSE(quarantine.IsQuarantined(kStart + 1s, kOther));
 }
 
-TEST_CASE("a request that is sent on after an end counts each time")
+TEST_CASE("each crash of a retried request counts")
 {
-  // It is sent on as its worker ends, and ends the next one 40 ms later: within
-  // the same moment, but it began only after the end before.
+  // The crashes are close together, but each retry starts after the crash
+  // before it.
   Quarantine quarantine;
   TimePoint now = kStart;
   for (std::uint64_t i = 1; i <= 3; ++i) {
     now += 45ms;
     static_cast<void>(
-      quarantine.OnNews(now, { { End(i, { kCrashing }, 40ms) }, {} }));
+      quarantine.OnNews(now, { { MakeReport(i, { kCrashing }, 40ms) }, {} }));
   }
-  CHECK(quarantine.IsHeld(now, kCrashing));
+  CHECK(quarantine.IsQuarantined(now, kCrashing));
 }
 
-TEST_CASE("a run that ended well clears what was counted before")
+TEST_CASE("a successful run clears earlier crashes")
 {
   Quarantine quarantine;
-  EndTimes(quarantine, kStart, 2, { kOther });
-  const auto told = quarantine.OnRanWell(kStart + 2s, kOther);
+  ReportCrashes(quarantine, kStart, 2, { kOther });
+  const auto changes = quarantine.OnRanWell(kStart + 2s, kOther);
   CHECK(quarantine.EndsUnder(kOther) == 0);
-  // The others counted two as well and could hold it with the next.
-  REQUIRE(told.m_news.m_verdicts.size() == 1);
+  // The other daemons counted two crashes and must clear them too.
+  REQUIRE(changes.m_news.m_verdicts.size() == 1);
   Quarantine elsewhere;
-  EndTimes(elsewhere, kStart, 2, { kOther });
-  static_cast<void>(elsewhere.OnNews(kStart + 2s, told.m_news));
+  ReportCrashes(elsewhere, kStart, 2, { kOther });
+  static_cast<void>(elsewhere.OnNews(kStart + 2s, changes.m_news));
   CHECK(elsewhere.EndsUnder(kOther) == 0);
 }
 
-TEST_CASE("a content that ran well lately needs twice as many ends")
+TEST_CASE("a recent success doubles the number of crashes to quarantine")
 {
-  // A lookup that all callers make is under way at any worker that ends. It is
-  // seen to end well all the time, but not always between two ends.
+  // Guards against quarantining a frequent lookup that is running during most
+  // crashes.
   Quarantine quarantine;
   static_cast<void>(quarantine.OnRanWell(kStart, kOther));
-  EndTimes(quarantine, kStart + 1s, 3, { kOther });
-  CHECK_FALSE(quarantine.IsHeld(kStart + 3s, kOther));
-  // One that has turned bad, by a change of configuration, is held all the
-  // same.
-  EndTimes(quarantine, kStart + 5s, 3, { kOther });
-  CHECK(quarantine.IsHeld(kStart + 8s, kOther));
+  ReportCrashes(quarantine, kStart + 1s, 3, { kOther });
+  CHECK_FALSE(quarantine.IsQuarantined(kStart + 3s, kOther));
+  // A request that starts to crash later is still quarantined.
+  ReportCrashes(quarantine, kStart + 5s, 3, { kOther });
+  CHECK(quarantine.IsQuarantined(kStart + 8s, kOther));
 }
 
-TEST_CASE("what ran beside a held request is not held for that")
+TEST_CASE("crashes of a quarantined request do not count against others")
 {
-  // A lookup's caller tries again at once and meets the request that ends its
-  // workers three times.
+  // Guards against quarantining a lookup that ran beside the crashing request.
   Quarantine quarantine;
-  EndTimes(quarantine, kStart, 3, { kCrashing });
-  CHECK(quarantine.IsHeld(kStart + 2s, kCrashing));
-  EndTimes(quarantine, kStart + 3s, 5, { kCrashing, kOther });
+  ReportCrashes(quarantine, kStart, 3, { kCrashing });
+  CHECK(quarantine.IsQuarantined(kStart + 2s, kCrashing));
+  ReportCrashes(quarantine, kStart + 3s, 5, { kCrashing, kOther });
   CHECK(quarantine.EndsUnder(kOther) == 0);
-  CHECK_FALSE(quarantine.IsHeld(kStart + 6s, kOther));
+  CHECK_FALSE(quarantine.IsQuarantined(kStart + 6s, kOther));
 }
 
-TEST_CASE("a good run lets go of what is held, everywhere")
+TEST_CASE("a successful run lifts a quarantine on all daemons")
 {
-  // Copies of it were under way as it was held, and end well after all.
+  // A copy that was already running succeeds after the quarantine.
   Quarantine quarantine;
-  EndTimes(quarantine, kStart, 3, { kOther });
-  REQUIRE(quarantine.IsHeld(kStart + 2s, kOther));
+  ReportCrashes(quarantine, kStart, 3, { kOther });
+  REQUIRE(quarantine.IsQuarantined(kStart + 2s, kOther));
   Quarantine elsewhere;
   static_cast<void>(
     elsewhere.OnNews(kStart + 2s, { {}, quarantine.Verdicts(kStart + 2s) }));
-  REQUIRE(elsewhere.IsHeld(kStart + 2s, kOther));
+  REQUIRE(elsewhere.IsQuarantined(kStart + 2s, kOther));
 
   const auto lifted = quarantine.OnRanWell(kStart + 3s, kOther);
-  CHECK_FALSE(quarantine.IsHeld(kStart + 3s, kOther));
+  CHECK_FALSE(quarantine.IsQuarantined(kStart + 3s, kOther));
   static_cast<void>(elsewhere.OnNews(kStart + 3s, lifted.m_news));
-  CHECK_FALSE(elsewhere.IsHeld(kStart + 3s, kOther));
-  // The verdict that was lifted comes late, by another way.
+  CHECK_FALSE(elsewhere.IsQuarantined(kStart + 3s, kOther));
+  // The superseded verdict arrives late.
   ContentVerdict late;
   late.m_content = kOther;
   late.m_generation = 1;
   late.m_isHeld = true;
   static_cast<void>(elsewhere.OnNews(kStart + 4s, { {}, { late } }));
-  CHECK_FALSE(elsewhere.IsHeld(kStart + 4s, kOther));
+  CHECK_FALSE(elsewhere.IsQuarantined(kStart + 4s, kOther));
   CHECK(elsewhere.Summary() == quarantine.Summary());
 }
 
-TEST_CASE("an operator lets go, and another verdict is a new one")
+TEST_CASE(
+  "an operator lifts a quarantine, and the next verdict has a new generation")
 {
   Quarantine quarantine;
   CHECK_FALSE(quarantine.Lift(kStart, kCrashing));
-  EndTimes(quarantine, kStart, 3, { kCrashing });
+  ReportCrashes(quarantine, kStart, 3, { kCrashing });
   CHECK(quarantine.Lift(kStart + 2s, kCrashing));
-  CHECK_FALSE(quarantine.IsHeld(kStart + 2s, kCrashing));
-  EndTimes(quarantine, kStart + 2min, 3, { kCrashing });
-  CHECK(quarantine.IsHeld(kStart + 122s, kCrashing));
+  CHECK_FALSE(quarantine.IsQuarantined(kStart + 2s, kCrashing));
+  ReportCrashes(quarantine, kStart + 2min, 3, { kCrashing });
+  CHECK(quarantine.IsQuarantined(kStart + 122s, kCrashing));
   CHECK(quarantine.Verdicts(kStart + 122s).at(0).m_generation == 2);
 }
 
-TEST_CASE("a content is not held for ever, and one end holds it again")
+TEST_CASE("a quarantine expires, and one more crash renews it")
 {
   Quarantine quarantine;
-  EndTimes(quarantine, kStart, 3, { kCrashing });
+  ReportCrashes(quarantine, kStart, 3, { kCrashing });
   const TimePoint over = kStart + 2s + Quarantine::kHoldTime;
   const auto lifted = quarantine.OnTick(over);
   CHECK(lifted.m_verdicts.size() == 1);
   CHECK(lifted.m_news.IsEmpty());
-  CHECK_FALSE(quarantine.IsHeld(over, kCrashing));
+  CHECK_FALSE(quarantine.IsQuarantined(over, kCrashing));
   CHECK(quarantine.IsSuspect(kCrashing));
-  EndTimes(quarantine, over + 1s, 1, { kCrashing });
-  CHECK(quarantine.IsHeld(over + 1s, kCrashing));
+  ReportCrashes(quarantine, over + 1s, 1, { kCrashing });
+  CHECK(quarantine.IsQuarantined(over + 1s, kCrashing));
 
-  const auto late = quarantine.OnTick(over + 2 * Quarantine::kRemember);
+  const auto late = quarantine.OnTick(over + 2 * Quarantine::kRetention);
   static_cast<void>(late);
-  static_cast<void>(quarantine.OnTick(over + 4 * Quarantine::kRemember));
+  static_cast<void>(quarantine.OnTick(over + 4 * Quarantine::kRetention));
   CHECK(quarantine.EndsUnder(kCrashing) == 0);
   CHECK(quarantine.Summary() == 0);
 }
 
-TEST_CASE("a flood of ends and verdicts stays within bounds")
+TEST_CASE("tables stay bounded under many crashes and verdicts")
 {
-  // Ends of other requests push the oldest ones out; what is held stays.
+  // Old crashes are dropped, while quarantined requests stay.
   Quarantine quarantine;
-  EndTimes(quarantine, kStart, 3, { kCrashing });
-  for (std::uint64_t i = 1; i <= 2 * Quarantine::kMaxEnds; ++i) {
+  ReportCrashes(quarantine, kStart, 3, { kCrashing });
+  for (std::uint64_t i = 1; i <= 2 * Quarantine::kMaxCrashes; ++i) {
     static_cast<void>(quarantine.OnNews(
-      kStart + 10s, { { End(i, { Fingerprint{ i, i } }) }, {} }));
+      kStart + 10s, { { MakeReport(i, { Fingerprint{ i, i } }) }, {} }));
   }
-  CHECK(quarantine.IsHeld(kStart + 11s, kCrashing));
+  CHECK(quarantine.IsQuarantined(kStart + 11s, kCrashing));
   std::vector<ContentVerdict> lifted;
   for (std::uint64_t i = 1; i <= 2 * Quarantine::kMaxVerdicts; ++i) {
     ContentVerdict verdict;
@@ -215,13 +216,13 @@
   }
   static_cast<void>(quarantine.OnNews(kStart + 12s, { {}, lifted }));
   CHECK(quarantine.Verdicts(kStart + 12s).size() <= Quarantine::kMaxVerdicts);
-  CHECK(quarantine.IsHeld(kStart + 12s, kCrashing));
+  CHECK(quarantine.IsQuarantined(kStart + 12s, kCrashing));
 }
 
-TEST_CASE("an end under many runs is told in parts that fit")
+TEST_CASE("a crash with many runs is split into datagrams")
 {
   QuarantineNews news;
-  news.m_ends.push_back(End(1, std::vector<Fingerprint>(100, kOther)));
+  news.m_ends.push_back(MakeReport(1, std::vector<Fingerprint>(100, kOther)));
   for (std::uint64_t i = 0; i < 100; ++i) {
     news.m_ends[0].m_ran[i].m_content = { i, i };
   }
--- a/tests/quarantine/verdict_writer.cpp
+++ b/tests/quarantine/verdict_writer.cpp
@@ -12,7 +12,7 @@
 const TimePoint kStart{ 1h };
 
 ContentVerdict
-Held(std::uint32_t aGeneration = 1)
+MakeVerdict(std::uint32_t aGeneration = 1)
 {
   ContentVerdict verdict;
   verdict.m_content = { 1, 2 };
@@ -24,7 +24,7 @@
 }
 
 StoreReply
-Reply(Status aStatus)
+MakeReply(Status aStatus)
 {
   StoreReply reply;
   reply.m_status = aStatus;
@@ -35,14 +35,14 @@
 
 }
 
-TEST_CASE("a verdict is read as it is written, and nothing else is")
+TEST_CASE("verdicts round-trip and malformed values are rejected")
 {
   const std::string key =
-    std::string{ kVerdictPrefix } + ToHex(Held().m_content);
-  const std::string value = VerdictToJson(Held(4));
+    std::string{ kVerdictPrefix } + ToHex(MakeVerdict().m_content);
+  const std::string value = VerdictToJson(MakeVerdict(4));
   const auto read = ParseVerdict(key, value);
   REQUIRE(read);
-  CHECK(read.value().m_content == Held().m_content);
+  CHECK(read.value().m_content == MakeVerdict().m_content);
   CHECK(read.value().m_generation == 4);
   CHECK(read.value().m_isHeld);
   CHECK_FALSE(ParseVerdict(key + "0", value));
@@ -64,82 +64,82 @@
   }
 }
 
-TEST_CASE("a verdict takes a lease and a write")
+TEST_CASE("a verdict is written with a lease")
 {
   VerdictWriter writer;
-  writer.Hold(Held(), kStart, false);
+  writer.Hold(MakeVerdict(), kStart, false);
   const auto lease = writer.OnTick(kStart);
   REQUIRE(lease);
   CHECK(lease->m_kind == Kind::LeaseGrant);
   CHECK_FALSE(writer.OnTick(kStart));
-  const auto put = writer.OnReply(kStart, Reply(Status::Ok));
+  const auto put = writer.OnReply(kStart, MakeReply(Status::Ok));
   REQUIRE(put);
   CHECK(put->m_kind == Kind::Put);
   CHECK(put->m_lease == 5);
   CHECK(put->m_expected == 0);
 
-  SUBCASE("taken")
+  SUBCASE("written")
   {
-    CHECK_FALSE(writer.OnReply(kStart, Reply(Status::Ok)));
+    CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
     CHECK(writer.Waiting() == 0);
   }
-  SUBCASE("another daemon was first")
+  SUBCASE("another daemon wrote the same verdict")
   {
-    StoreReply there = Reply(Status::Conflict);
-    there.m_value = VerdictToJson(Held());
-    CHECK_FALSE(writer.OnReply(kStart, there));
+    StoreReply conflict = MakeReply(Status::Conflict);
+    conflict.m_value = VerdictToJson(MakeVerdict());
+    CHECK_FALSE(writer.OnReply(kStart, conflict));
     CHECK(writer.Waiting() == 0);
   }
-  SUBCASE("an earlier verdict stands there")
+  SUBCASE("an earlier verdict is replaced")
   {
-    StoreReply there = Reply(Status::Conflict);
-    there.m_value = "older";
-    const auto again = writer.OnReply(kStart, there);
+    StoreReply conflict = MakeReply(Status::Conflict);
+    conflict.m_value = "older";
+    const auto again = writer.OnReply(kStart, conflict);
     REQUIRE(again);
     CHECK(again->m_expected == 9);
   }
-  SUBCASE("the answer is lost: once more")
+  SUBCASE("a lost answer is retried")
   {
-    CHECK_FALSE(writer.OnReply(kStart, Reply(Status::Unknown)));
+    CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Unknown)));
     CHECK(writer.Waiting() == 1);
     CHECK_FALSE(writer.OnTick(kStart));
     CHECK(writer.OnTick(kStart + 2s)->m_kind == Kind::LeaseGrant);
   }
-  SUBCASE("lifted meanwhile: the key is deleted after that")
+  SUBCASE("a verdict lifted during its write is deleted afterwards")
   {
-    writer.Lift(Held().m_content, kStart);
+    writer.Lift(MakeVerdict().m_content, kStart);
     CHECK_FALSE(writer.OnTick(kStart));
-    CHECK_FALSE(writer.OnReply(kStart, Reply(Status::Ok)));
+    CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
     const auto gone = writer.OnTick(kStart);
     REQUIRE(gone);
     CHECK(gone->m_kind == Kind::Delete);
-    CHECK_FALSE(writer.OnReply(kStart, Reply(Status::Ok)));
+    CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
     CHECK(writer.Waiting() == 0);
   }
 }
 
-TEST_CASE("another's verdict is written only if it is missing")
+TEST_CASE("a verdict of another daemon is written only if it is missing")
 {
-  // The daemons beside the workers that ended lost power with them.
+  // The daemon that reached the verdict may have lost power before writing it.
   VerdictWriter writer;
-  writer.Hold(Held(), kStart + 1s, true);
+  writer.Hold(MakeVerdict(), kStart + 1s, true);
   CHECK_FALSE(writer.OnTick(kStart));
-  const auto look = writer.OnTick(kStart + 1s);
-  REQUIRE(look);
-  CHECK(look->m_kind == Kind::Get);
-  SUBCASE("it stands there")
+  const auto check = writer.OnTick(kStart + 1s);
+  REQUIRE(check);
+  CHECK(check->m_kind == Kind::Get);
+  SUBCASE("the key exists")
   {
-    CHECK_FALSE(writer.OnReply(kStart, Reply(Status::Ok)));
+    CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
     CHECK(writer.Waiting() == 0);
   }
-  SUBCASE("it is missing")
+  SUBCASE("the key is missing")
   {
-    CHECK(writer.OnReply(kStart, Reply(Status::NotFound))->m_kind ==
+    CHECK(writer.OnReply(kStart, MakeReply(Status::NotFound))->m_kind ==
           Kind::LeaseGrant);
   }
-  SUBCASE("the store is away")
+  SUBCASE("the store is unavailable")
   {
-    CHECK_FALSE(writer.OnReply(kStart, Reply(Status::Unavailable)));
+    CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Unavailable)));
     CHECK(writer.Waiting() == 1);
   }
 }
