--- a/include/greengagehub/rollout/rollout.hpp
+++ b/include/greengagehub/rollout/rollout.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
 /// \file
-/// \brief Versions of a service tried, judged, and completed or rolled back.
+/// \brief Roll-outs of a new version of a service: canary analysis, completion
+/// and rollback.
 
 #include "greengagehub/rollout/rollout_holder.hpp"
 #include "greengagehub/rollout/rollout_plan.hpp"
--- a/include/greengagehub/rollout/rollout_holder.hpp
+++ b/include/greengagehub/rollout/rollout_holder.hpp
@@ -6,60 +6,60 @@
 
 namespace greengagehub {
 
-/// \brief Leads one roll-out: collects counts, has them judged, and lends leave
-/// to try step by step.
+/// \brief Leads one roll-out: collects run counts, evaluates them and grants
+/// permits step by step.
 ///
-/// Every daemon can: all it needs is the record, which tells how far it came,
-/// and counts, which daemons tell from the order on. One that takes over goes
-/// on at the step that was reached. Two that lead at once lend the same leaves
-/// or smaller ones, and the store takes the word of one of them.
+/// Every daemon receives the record and the counts, so any of them can take
+/// over and continue at the current step. Two concurrent leaders grant the same
+/// permits or smaller ones, and the store accepts the result of one of them.
 class RolloutHolder
 {
 public:
-  /// Workers that take calls, by version.
+  /// Workers that accept calls, by version.
   struct Workers
   {
     std::uint32_t m_old{ 0 };
     std::uint32_t m_new{ 0 };
   };
 
-  /// \brief What is to be told to all.
+  /// \brief The decision to publish to all daemons.
   struct Lead
   {
     RolloutRecord m_record;
-    /// It differs from the record by more than a renewed leave.
+    /// Whether the state or the canary share changes; false if the permit is
+    /// only renewed.
     bool m_isStep{ false };
     VersionJudge::Judgement m_judgement{};
-    RolloutView m_view{};
+    StepInputs m_view{};
   };
 
   RolloutHolder(TimePoint aNow, std::string aTarget, RolloutLimits aLimits);
 
   [[nodiscard]] const std::string& Target() const noexcept { return m_target; }
   void OnCounts(const WorkerCounts& aCounts) { m_judge.OnCounts(aCounts); }
-  /// \param aRecord as known now.
-  /// \returns The record to be told, if one is due.
+  /// \param aRecord the current record.
+  /// \returns The decision to publish, if one is due.
   [[nodiscard]] std::optional<Lead> OnTick(TimePoint aNow,
                                            const RolloutRecord& aRecord,
                                            const Workers& aWorkers);
 
 private:
-  void Look(TimePoint aNow);
-  [[nodiscard]] RolloutView ViewOf(TimePoint aNow,
-                                   const RolloutRecord& aRecord,
-                                   const Workers& aWorkers) const;
+  void Evaluate(TimePoint aNow);
+  [[nodiscard]] StepInputs MakeInputs(TimePoint aNow,
+                                      const RolloutRecord& aRecord,
+                                      const Workers& aWorkers) const;
 
   std::string m_target;
   RolloutLimits m_limits;
   VersionJudge m_judge;
   VersionJudge::Judgement m_judgement;
-  TimePoint m_began;
-  TimePoint m_lookedAt{};
-  TimePoint m_toldAt{};
-  /// The share that calls have had, and since when.
+  TimePoint m_startedAt;
+  TimePoint m_evaluatedAt{};
+  TimePoint m_publishedAt{};
+  /// Current canary share, in thousandths, and when it was set.
   std::uint32_t m_permille{ 0 };
   TimePoint m_permilleSince{};
-  std::uint32_t m_idleLooks{ 0 };
+  std::uint32_t m_idleEvaluations{ 0 };
   double m_callsPerSecond{ 0.0 };
 };
 
--- a/include/greengagehub/rollout/rollout_record.hpp
+++ b/include/greengagehub/rollout/rollout_record.hpp
@@ -9,24 +9,25 @@
 
 namespace greengagehub {
 
-/// \brief An operator wants a service's calls to move to another version of its
-/// software, whose workers run beside those of the version in service.
+/// \brief An operator's order to move a service's calls to another version,
+/// whose workers run beside those of the version in service.
 struct RolloutOrder
 {
   std::string m_service{};
-  /// The version to be tried.
+  /// The new version.
   std::string m_target{};
-  /// Within which it is to be completed or rolled back.
+  /// Time allowed until completion or rollback.
   std::chrono::milliseconds m_duration{ 0 };
 };
 
-/// \brief How far a roll-out has come. A later state in this list overrides an
-/// earlier one; what the store has accepted is never changed.
+/// \brief State of a roll-out. A later state in this list overrides an earlier
+/// one; a state that the store has accepted never changes.
 enum class RolloutState : std::uint8_t
 {
-  /// Tried on a share of the calls.
+  /// The canary receives a share of the calls.
   Running,
-  /// Judged good: calls go to the new version only, and the store is to say so.
+  /// All calls go to the new version; the store has not accepted the completion
+  /// yet.
   Completing,
   RolledBack,
   Completed,
@@ -36,7 +37,7 @@
 [[nodiscard]] std::string_view
 NameOf(RolloutState aState) noexcept;
 
-/// \returns Whether nothing comes after it.
+/// \returns Whether no other state follows.
 [[nodiscard]] constexpr bool
 IsFinal(RolloutState aState) noexcept
 {
@@ -47,71 +48,72 @@
 enum class RollbackCause : std::uint8_t
 {
   None,
-  /// More of its runs failed than of the version in service.
+  /// More failed runs than in the version in service.
   Failures,
-  /// More of its runs were lost or spoilt.
+  /// More lost or incomplete answers.
   LostAnswers,
-  /// More of its runs were slow.
+  /// More slow runs.
   Slowness,
-  /// Too few runs to judge it by, before time was up.
+  /// No conclusive verdict before the deadline.
   TooFewRuns,
-  /// Nobody remembers how far it had come.
-  Forgotten,
+  /// No daemon knows the progress of the roll-out.
+  StateLost,
   Operator,
-  /// Another order took its place.
+  /// Superseded by another order.
   Replaced,
 };
 
-/// \returns "failures", "too-few-runs" and the like.
+/// \returns The name used in records and logs, such as "too-few-runs".
 [[nodiscard]] std::string_view
 NameOf(RollbackCause aCause) noexcept;
 
-/// \brief Leave to send calls to the version that is tried. It is lent: a
-/// daemon that hears nothing of it any more stops by itself.
-struct TrialLeave
+/// \brief Permit to send calls to the canary. It expires unless renewed, so a
+/// daemon without updates stops on its own.
+struct CanaryPermit
 {
-  /// Share of the service's calls, in thousandths.
+  /// Canary share of the service's calls, in thousandths.
   std::uint32_t m_permille{ 0 };
-  /// How many of the new workers are used, the same ones by all daemons; 0:
-  /// all. A small share on few workers puts them under the load of the others.
+  /// Number of new workers in use, the same ones on all daemons; 0 for all. A
+  /// few workers reach the load per worker of the others with a small share.
   std::uint32_t m_workers{ 0 };
-  /// In an order that all daemons share, the first one used; beyond the last
-  /// one it goes on with the first.
+  /// Index of the first worker in use, in an order that all daemons share;
+  /// wraps around.
   std::uint32_t m_first{ 0 };
-  /// For how long from now on.
+  /// Remaining validity.
   Duration m_left{};
 };
 
-/// \brief What a verdict on a version rests on.
-struct RolloutGrounds
+/// \brief Counts behind a verdict on a version.
+struct VerdictEvidence
 {
-  /// Runs of the version that counted, how many came to harm, and how many of
-  /// as many would have in the version in service.
+  /// Evaluated runs of the version, the bad ones among them, and the number of
+  /// bad runs expected from the version in service.
   std::uint32_t m_runs{ 0 };
   std::uint32_t m_harmed{ 0 };
   std::uint32_t m_expected{ 0 };
 };
 
-/// \brief One roll-out as daemons tell each other of it. Times travel as ages:
-/// clocks of two machines are never compared.
+/// \brief A roll-out as exchanged between daemons. Times are sent as ages,
+/// because clocks of different machines are never compared.
 struct RolloutRecord
 {
   RolloutOrder m_order{};
-  /// Counts a service's orders; of two the higher one holds.
+  /// Number of the order within the service; the higher one takes precedence.
   std::uint64_t m_generation{ 0 };
-  /// Version in service when it was ordered; empty: not known.
+  /// Version in service at the time of the order; empty if unknown.
   std::string m_base{};
   RolloutState m_state{ RolloutState::Running };
-  /// The store has accepted the state, which is a final one.
+  /// Whether the store has accepted the final state.
   bool m_isWritten{ false };
-  /// Known only from the store, as being under way; not told to others.
+  /// Whether the roll-out is known only from the store, as running; such a
+  /// record is not sent to other daemons.
   bool m_isResumed{ false };
   RollbackCause m_cause{ RollbackCause::None };
-  RolloutGrounds m_grounds{};
-  /// Grows with each leave that its holder lends.
+  VerdictEvidence m_grounds{};
+  /// Incremented with each permit that the leader grants.
   std::uint64_t m_step{ 0 };
-  TrialLeave m_leave{};
-  /// Since the order was first seen.
+  CanaryPermit m_leave{};
+  /// Time since the order was first seen.
   Duration m_age{};
 };
 
--- a/include/greengagehub/rollout/rollout_table.hpp
+++ b/include/greengagehub/rollout/rollout_table.hpp
@@ -12,35 +12,35 @@
 
 namespace greengagehub {
 
-/// \brief Which workers of a service a call may go to.
+/// \brief Selects the workers of a service that a call may go to, by version.
 struct VersionRule
 {
   enum class Kind : std::uint8_t
   {
-    /// Those of the version.
+    /// Only workers of the version.
     Only,
-    /// All but those of the version.
+    /// All workers except those of the version.
     AllBut,
   };
   Kind m_kind{ Kind::Only };
   std::string_view m_version{};
-  /// As in TrialLeave.
+  /// See CanaryPermit.
   std::uint32_t m_workers{ 0 };
   std::uint32_t m_first{ 0 };
-  /// Also those that have not told their version.
-  bool m_takesUntold{ false };
+  /// Whether workers that have not reported a version are included.
+  bool m_allowsUnknownVersion{ false };
 
   [[nodiscard]] bool Allows(std::string_view aVersion) const noexcept
   {
     if (aVersion.empty()) {
-      return m_takesUntold;
+      return m_allowsUnknownVersion;
     }
     return (m_kind == Kind::Only) == (aVersion == m_version);
   }
 };
 
-/// \brief Rules for one call, in the order in which they are tried; none: any
-/// worker may have it. Valid until the table changes.
+/// \brief Rules for one call, tried in order; without rules, any worker may be
+/// selected. Valid until the table changes.
 class VersionRules
 {
 public:
@@ -60,103 +60,101 @@
   std::size_t m_count{ 0 };
 };
 
-/// \brief The roll-outs that this daemon knows of, and where calls may go by
-/// them.
+/// \brief The known roll-outs, and the routing rules that follow from them.
 ///
-/// A worker of a version on trial gets nothing but by a leave that has not run
-/// out, which a daemon cut off from the others no longer has after
-/// kLeaveTime. A version that was rolled back gets nothing, and one that is
-/// completed gets everything. Of a service without an order nothing is known
-/// here.
+/// A canary receives calls only under a valid permit, so a daemon that is cut
+/// off from its peers stops using it after kPermitTime. A version that was
+/// rolled back receives no calls, and a completed one receives all.
 ///
-/// An order is named by its service and version: one that was decided is not
-/// tried again, also if the store tells it anew after it came back from an
-/// older copy.
+/// An order is identified by its service and version. A decided order is not
+/// run again, even if the store is restored from an older copy that still
+/// contains it.
 class RolloutTable
 {
 public:
-  /// For how long a leave is lent. Longer than three tellings take, and short
-  /// beside the seconds within which a version that fails has to be left.
-  static constexpr std::chrono::milliseconds kLeaveTime{ 1500 };
-  /// After this a worker that has not told its version is not of the other
-  /// one: those were stopped, or have left.
-  static constexpr std::chrono::seconds kOthersGone{ 5 };
-  /// Decided orders of a service that are remembered.
-  static constexpr std::size_t kMaxFormer = 16;
-
-  /// \brief What a step has changed here.
+  /// Validity of a permit. It outlasts three renewals and limits the use of a
+  /// bad version without updates.
+  static constexpr std::chrono::milliseconds kPermitTime{ 1500 };
+  /// Time after a final state until a worker without a reported version is
+  /// assumed to be of the remaining version, since the others have stopped.
+  static constexpr std::chrono::seconds kOldWorkersGoneAfter{ 5 };
+  /// Number of earlier orders kept per service.
+  static constexpr std::size_t kMaxEarlierTargets = 16;
+
+  /// \brief Effect of an update on the table.
   enum class Change : std::uint8_t
   {
     None,
-    /// The same state with another leave.
+    /// The same state with another permit.
     Leave,
     /// A new order, or another state.
     State,
   };
 
-  /// \brief The store tells an order.
-  /// \param aInService version that most workers of the service have, as far
-  /// as is known.
-  /// \param aIsUnderWay whether the store tells it to be running already.
+  /// \brief Handles an order read from the store.
+  /// \param aInService version of most workers of the service, if known.
+  /// \param aIsRunning whether the store lists it as running already.
   [[nodiscard]] Change OnOrder(TimePoint aNow,
                                const RolloutOrder& aOrder,
                                const std::string& aInService,
-                               bool aIsUnderWay = false);
-  /// \brief The store tells how far an order has come.
+                               bool aIsRunning = false);
+  /// \brief Handles a status read from the store.
   [[nodiscard]] Change OnStatus(TimePoint aNow,
                                 const std::string& aService,
                                 const std::string& aTarget,
                                 RolloutState aState);
-  /// \brief Another daemon, or the holder here, tells this.
+  /// \brief Applies a record from another daemon or the local leader.
   [[nodiscard]] Change Take(TimePoint aNow, const RolloutRecord& aRecord);
 
-  /// \returns Whether a call draws the version on trial.
+  /// \returns Whether a call is randomly assigned to the canary.
   [[nodiscard]] bool DrawsTrial(TimePoint aNow,
                                 const std::string& aService,
                                 Random& aRandom) const;
-  /// \param aTrial whether the call has drawn the version on trial.
+  /// \param aIsCanary whether the call is assigned to the canary.
   [[nodiscard]] VersionRules RulesFor(TimePoint aNow,
                                       const std::string& aService,
-                                      bool aTrial) const;
-  /// \returns Whether a worker of the version may be given a call now.
+                                      bool aIsCanary) const;
+  /// \returns Whether a worker of the version may run a call now.
   [[nodiscard]] bool MayRun(TimePoint aNow,
                             const std::string& aService,
                             std::string_view aVersion) const;
 
-  /// \returns The service's newest order with ages as of now, if there is one.
+  /// \returns The service's newest order with current ages, if there is one.
   [[nodiscard]] std::optional<RolloutRecord> Find(
     TimePoint aNow,
     const std::string& aService) const;
-  /// \returns All of them, for a daemon that has others.
+  /// \returns All records, to synchronize another daemon.
   [[nodiscard]] std::vector<RolloutRecord> All(TimePoint aNow) const;
   [[nodiscard]] bool IsEmpty() const noexcept { return m_entries.empty(); }
-  /// \returns How many are neither completed nor rolled back.
+  /// \returns The number of roll-outs that are neither completed nor rolled
+  /// back.
   [[nodiscard]] std::size_t CountOpen() const;
-  /// \returns A digest of All() without leaves and ages; 0 if there are none.
+  /// \returns A digest of All() without permits and ages; 0 if there are none.
   [[nodiscard]] std::uint64_t Summary() const noexcept { return m_summary; }
-  /// \brief Forgets leaves: the process stood still for longer than they last.
+  /// \brief Revokes all permits, after the process was paused for longer than
+  /// they last.
   void DropLeaves();
 
 private:
   struct Entry
   {
     RolloutRecord m_record;
-    TimePoint m_ordered;
-    TimePoint m_leaveUntil{};
-    /// When its last state came to be known; unset: it stood in the store at
-    /// the start.
+    TimePoint m_orderedAt;
+    TimePoint m_permitUntil{};
+    /// When the final state became known; unset if the store had it at the
+    /// start.
     std::optional<TimePoint> m_finalSince{};
-    /// Decided before.
-    std::deque<std::string> m_former{};
+    /// Targets of earlier orders.
+    std::deque<std::string> m_earlierTargets{};
   };
 
   [[nodiscard]] const Entry* FindEntry(const std::string& aService) const;
   [[nodiscard]] static bool Overrides(const RolloutRecord& aNew,
                                       const RolloutRecord& aOld) noexcept;
-  [[nodiscard]] static VersionRule InService(TimePoint aNow,
-                                             const Entry& aEntry);
+  [[nodiscard]] static VersionRule InServiceRule(TimePoint aNow,
+                                                 const Entry& aEntry);
   void Replace(TimePoint aNow, Entry& aEntry, RolloutRecord aRecord);
-  void Sum();
+  void UpdateSummary();
 
   std::map<std::string, Entry, std::less<>> m_entries;
   std::uint64_t m_summary{ 0 };
--- a/include/greengagehub/rollout/run_counts.hpp
+++ b/include/greengagehub/rollout/run_counts.hpp
@@ -9,59 +9,58 @@
 
 namespace greengagehub {
 
-/// \brief Times of runs in buckets, each reaching half as far again as the one
-/// before; the last one is open.
+/// \brief Histogram of run times. Each bucket ends at 1.5 times the end of the
+/// one before; the last one is unbounded.
 class TimeCounts
 {
 public:
   static constexpr std::size_t kBuckets = 24;
-  /// Upper end of the first one.
-  static constexpr std::chrono::milliseconds kFirst{ 2 };
+  /// Upper bound of the first bucket.
+  static constexpr std::chrono::milliseconds kFirstBucketEnd{ 2 };
 
   using Buckets = std::array<std::uint32_t, kBuckets>;
 
   [[nodiscard]] static std::size_t BucketOf(Duration aTook) noexcept;
-  /// \returns Sum of the buckets from `aFirst` on.
+  /// \returns The sum of the buckets from `aFirst` on.
   [[nodiscard]] static double SumFrom(const Buckets& aBuckets,
                                       std::size_t aFirst) noexcept;
 };
 
-/// \brief What runs of one route at one worker came to, since the order.
+/// \brief Results of the runs of one route on one worker since the order.
 struct RouteCounts
 {
-  /// Digest of the route's key; 0: all those for which there was no room.
+  /// Digest of the route's key; 0 for all routes beyond RunTally::kMaxRoutes.
   std::uint64_t m_route{ 0 };
   std::uint32_t m_runs{ 0 };
-  /// The worker answered with a failure of its own.
+  /// The worker answered with an error of its own.
   std::uint32_t m_failed{ 0 };
-  /// No answer came, or one that was not whole.
+  /// The answer was lost or incomplete.
   std::uint32_t m_lost{ 0 };
-  /// Of runs that were answered well or ran out of time; as if it had been
-  /// warm, where the worker was cold.
+  /// Times of successful and expired runs, corrected for cold workers.
   TimeCounts::Buckets m_times{};
 };
 
-/// \brief What one daemon counted beside its worker. Counts only grow, so that
-/// one that is lost or comes twice does no harm.
+/// \brief Counts of one daemon's worker. They only grow, so lost and duplicate
+/// reports are harmless.
 struct WorkerCounts
 {
   std::string m_slot{};
-  /// Process of the daemon; another one counts anew.
+  /// Process of the daemon; counts restart with a new one.
   std::uint64_t m_process{ 0 };
   std::string m_service{};
   std::string m_version{};
-  /// Calls that the worker runs or that wait for it.
+  /// Running and queued calls.
   std::uint32_t m_atWork{ 0 };
-  /// Calls that came for it.
+  /// Calls received since the order.
   std::uint32_t m_arrived{ 0 };
   std::vector<RouteCounts> m_routes{};
 };
 
-/// \brief Counts the runs of the worker beside this daemon.
+/// \brief Counts the runs of the local worker.
 class RunTally
 {
 public:
-  /// Routes counted apart.
+  /// Routes with counts of their own.
   static constexpr std::size_t kMaxRoutes = 8;
 
   enum class Result : std::uint8_t
@@ -69,14 +68,14 @@
     Good,
     Failed,
     Lost,
-    /// It ran out of time.
+    /// The run exceeded its deadline.
     Expired,
   };
 
-  /// \brief Counts anew, for another order.
+  /// \brief Resets all counts for a new order.
   void Clear();
   void Arrived() noexcept { ++m_arrived; }
-  /// \param aIsCold whether the worker is still slow after its start.
+  /// \param aIsCold whether the worker is still warming up.
   void Ended(std::uint64_t aRoute,
              Result aResult,
              Duration aTook,
--- a/include/greengagehub/rollout/status_writer.hpp
+++ b/include/greengagehub/rollout/status_writer.hpp
@@ -12,18 +12,18 @@
 
 namespace greengagehub {
 
-/// \brief What the store is to say, or says, of a roll-out.
+/// \brief Status of a roll-out as stored for operators.
 struct RolloutStatus
 {
   std::string m_service{};
   std::string m_target{};
-  /// Never Completing.
+  /// Never Completing, which is internal to the daemons.
   RolloutState m_state{ RolloutState::Running };
-  /// Why it was rolled back; told to operators, not read back.
+  /// Written for operators and not read back.
   RollbackCause m_cause{ RollbackCause::None };
 };
 
-/// \brief How statuses stand in a store.
+/// \brief Converts statuses to and from the keys and values of a store.
 template<class T>
 concept StatusForm = requires(const RolloutStatus& aStatus,
                               std::string_view aText)
@@ -39,42 +39,41 @@
     } -> std::same_as<Outcome<RolloutStatus>>;
 };
 
-/// \brief Writes how roll-outs stand to the store, one compare-and-swap each.
+/// \brief Writes statuses of roll-outs to the store by compare-and-swap.
 ///
-/// Several daemons may want to write, and not the same: one that holds the
-/// roll-out and one that took over. What the store took first stands, and is
-/// told to the other, who follows. A final state is never written over, nor by
-/// the same order's "running". An answer that was lost is asked for by writing
-/// again: the conflict tells what stands.
-template<StatusForm Form>
+/// Several daemons may write different statuses of one order, such as an old
+/// and a new leader. The first final status that the store accepts is kept; a
+/// conflict reports it to the other writers, which adopt it. A write whose
+/// answer was lost is repeated, and the conflict shows the stored status.
+template<StatusForm Codec>
 class StatusWriter
 {
 public:
-  /// \brief What follows an answer of the store.
+  /// \brief Result of a reply from the store.
   struct Step
   {
     std::optional<StoreRequest> m_next{};
-    /// What the store holds of the order for certain.
+    /// The status that the store is known to hold.
     std::optional<RolloutStatus> m_written{};
   };
 
-  /// \brief The store is to say this, from `aFrom` on; takes the place of what
-  /// was wanted of the service before. Nothing, where the store has told that
-  /// the order ended otherwise.
-  void Want(RolloutStatus aStatus, TimePoint aFrom)
+  /// \brief Queues a status, to be written from `aNotBefore` on. It replaces a
+  /// queued status of the same service. Ignored if the store has already
+  /// accepted another final status of the order.
+  void Want(RolloutStatus aStatus, TimePoint aNotBefore)
   {
     Drop(aStatus.m_service);
-    const auto final = m_finals.find(aStatus.m_service);
-    const bool isDecided = final != m_finals.end() &&
+    const auto final = m_finalStatuses.find(aStatus.m_service);
+    const bool isDecided = final != m_finalStatuses.end() &&
                            final->second.m_target == aStatus.m_target &&
                            final->second.m_state != aStatus.m_state;
     if (isDecided) {
       return;
     }
-    m_jobs.push_back({ std::move(aStatus), aFrom });
+    m_jobs.push_back({ std::move(aStatus), aNotBefore });
   }
 
-  /// \brief It need not be written any more, as another did.
+  /// \brief Cancels the queued status of a service.
   void Drop(const std::string& aService)
   {
     const auto first = m_jobs.begin() + (m_isBusy ? 1 : 0);
@@ -85,10 +84,11 @@
     m_jobs.erase(std::remove_if(first, m_jobs.end(), isSame), m_jobs.end());
   }
 
-  /// \brief Revisions known here are of another time. How orders ended stays.
+  /// \brief Forgets the known revisions after the store was restored from a
+  /// copy. Final statuses are kept.
   void OnStoreRestored() { m_revisions.clear(); }
 
-  /// \returns Whether this is wanted and the store has not taken it yet.
+  /// \returns Whether this status is queued or being written.
   [[nodiscard]] bool Wants(const RolloutStatus& aStatus) const
   {
     return std::ranges::any_of(m_jobs, [&](const Job& aJob) {
@@ -98,7 +98,7 @@
     });
   }
 
-  /// \returns The next write, if one is due and none is under way.
+  /// \returns The next write, if one is due and none is in progress.
   [[nodiscard]] std::optional<StoreRequest> OnTick(TimePoint aNow)
   {
     if (m_isBusy) {
@@ -112,8 +112,9 @@
     std::rotate(m_jobs.begin(), due, due + 1);
     m_isBusy = true;
     m_isStale = false;
-    const auto known = m_revisions.find(m_jobs.front().m_status.m_service);
-    return Put(known == m_revisions.end() ? Revision{ 0 } : known->second);
+    const auto revision = m_revisions.find(m_jobs.front().m_status.m_service);
+    return Put(revision == m_revisions.end() ? Revision{ 0 }
+                                             : revision->second);
   }
 
   [[nodiscard]] Step OnReply(TimePoint aNow, const StoreReply& aReply)
@@ -126,14 +127,14 @@
     switch (aReply.m_status) {
       case Status::Ok:
         m_revisions[wanted.m_service] = aReply.m_revision;
-        Done();
-        NoteFinal(wanted);
+        FinishJob();
+        RecordFinal(wanted);
         return { std::nullopt, wanted };
       case Status::Conflict:
         m_revisions[wanted.m_service] = aReply.m_revision;
         return OnConflict(wanted, aReply);
       default:
-        Later(aNow);
+        RetryLater(aNow);
         return {};
     }
   }
@@ -145,75 +146,77 @@
     TimePoint m_due;
   };
 
-  /// Between two tries while the store is away.
-  static constexpr std::chrono::milliseconds kRetry{ 400 };
+  /// Delay after a failed write.
+  static constexpr std::chrono::milliseconds kRetryDelay{ 400 };
 
   [[nodiscard]] StoreRequest Put(Revision aExpected) const
   {
     const RolloutStatus& status = m_jobs.front().m_status;
     return MakePut(
-      Form::KeyOf(status.m_service), Form::Format(status), aExpected);
+      Codec::KeyOf(status.m_service), Codec::Format(status), aExpected);
   }
 
   [[nodiscard]] Step OnConflict(const RolloutStatus& aWanted,
                                 const StoreReply& aReply)
   {
-    const auto stands =
-      Form::Parse(Form::KeyOf(aWanted.m_service), aReply.m_value);
+    const auto stored =
+      Codec::Parse(Codec::KeyOf(aWanted.m_service), aReply.m_value);
     const bool sameOrder =
-      stands && stands.value().m_target == aWanted.m_target;
-    const bool isDone =
-      sameOrder && (IsFinal(stands.value().m_state) ||
-                    stands.value().m_state == aWanted.m_state);
-    if (isDone || m_isStale) {
-      Done();
-      if (isDone) {
-        NoteFinal(stands.value());
+      stored && stored.value().m_target == aWanted.m_target;
+    const bool isSettled =
+      sameOrder && (IsFinal(stored.value().m_state) ||
+                    stored.value().m_state == aWanted.m_state);
+    if (isSettled || m_isStale) {
+      FinishJob();
+      if (isSettled) {
+        RecordFinal(stored.value());
       }
       return { std::nullopt,
-               isDone ? std::optional{ stands.value() } : std::nullopt };
+               isSettled ? std::optional{ stored.value() } : std::nullopt };
     }
-    // Of an earlier order, of this one while it ran, or not to be read.
+    // The stored status is from an earlier order, is not final, or is
+    // malformed.
     return { Put(aReply.m_revision), std::nullopt };
   }
 
-  /// What waits would be written over it, now that its revision is known.
-  void NoteFinal(const RolloutStatus& aStatus)
+  /// Also drops queued statuses of the order, which would overwrite the final
+  /// one now that its revision is known.
+  void RecordFinal(const RolloutStatus& aStatus)
   {
     if (!IsFinal(aStatus.m_state)) {
       return;
     }
-    m_finals[aStatus.m_service] = aStatus;
+    m_finalStatuses[aStatus.m_service] = aStatus;
     std::erase_if(m_jobs, [&](const Job& aJob) {
       return aJob.m_status.m_service == aStatus.m_service &&
              aJob.m_status.m_target == aStatus.m_target;
     });
   }
 
-  void Done()
+  void FinishJob()
   {
     m_jobs.pop_front();
     m_isBusy = false;
   }
 
-  void Later(TimePoint aNow)
+  void RetryLater(TimePoint aNow)
   {
     m_isBusy = false;
     if (m_isStale) {
       m_jobs.pop_front();
     } else {
-      m_jobs.front().m_due = aNow + kRetry;
+      m_jobs.front().m_due = aNow + kRetryDelay;
     }
   }
 
-  /// The first one is under way while m_isBusy.
+  /// The front job is in progress while m_isBusy is set.
   std::deque<Job> m_jobs;
-  /// Of the statuses, as far as known.
+  /// Last known revisions of the statuses, by service.
   std::map<std::string, Revision> m_revisions;
-  /// How orders ended, by the store's word.
-  std::map<std::string, RolloutStatus> m_finals;
+  /// Final statuses accepted by the store, by service.
+  std::map<std::string, RolloutStatus> m_finalStatuses;
   bool m_isBusy{ false };
-  /// Another has taken the place of the one under way.
+  /// The job in progress is superseded by a newer status.
   bool m_isStale{ false };
 };
 
--- a/src/rollout/rollout_holder.cpp
+++ b/src/rollout/rollout_holder.cpp
@@ -9,27 +9,27 @@
 
 namespace {
 
-/// Between two looks at the counts; daemons tell theirs as often.
-constexpr std::chrono::milliseconds kLookEvery{ 300 };
-/// Between two tellings of a leave.
-constexpr std::chrono::milliseconds kTellEvery{ 500 };
-/// One that is under way by the store, and of which no daemon tells a leave, is
-/// rolled back after this: nobody knows how far it came.
-constexpr std::chrono::seconds kForgottenAfter{ 3 };
-/// Looks in a row that found nothing at the old workers.
-constexpr std::uint32_t kIdleLooks = 2;
-/// Weight of a look in the mean rate of calls.
+/// Equals the interval at which daemons publish their counts.
+constexpr std::chrono::milliseconds kEvaluationInterval{ 300 };
+/// Interval for renewing a permit.
+constexpr std::chrono::milliseconds kPublishInterval{ 500 };
+/// A roll-out that the store lists as running, but for which no daemon
+/// publishes a record, is rolled back after this time.
+constexpr std::chrono::seconds kStateLostAfter{ 3 };
+/// Consecutive evaluations without work at the old workers.
+constexpr std::uint32_t kIdleEvaluations = 2;
+/// Weight of the latest evaluation in the moving average of the call rate.
 constexpr double kRateWeight = 0.3;
 
-RolloutGrounds
-GroundsOf(const VersionJudge::Judgement& aJudgement)
+VerdictEvidence
+EvidenceOf(const VersionJudge::Judgement& aJudgement)
 {
-  const auto whole = [](double aCount) {
+  const auto rounded = [](double aCount) {
     return static_cast<std::uint32_t>(std::lround(aCount));
   };
-  return { whole(aJudgement.m_runs),
-           whole(aJudgement.m_hits),
-           whole(aJudgement.m_expected) };
+  return { rounded(aJudgement.m_runs),
+           rounded(aJudgement.m_hits),
+           rounded(aJudgement.m_expected) };
 }
 
 }
@@ -40,42 +40,42 @@
   : m_target(std::move(aTarget))
   , m_limits(aLimits)
   , m_judge(m_target)
-  , m_began(aNow)
-  , m_lookedAt(aNow)
+  , m_startedAt(aNow)
+  , m_evaluatedAt(aNow)
 {
 }
 
 void
-RolloutHolder::Look(TimePoint aNow)
+RolloutHolder::Evaluate(TimePoint aNow)
 {
-  const std::chrono::duration<double> since = aNow - m_lookedAt;
-  m_lookedAt = aNow;
-  m_judgement = m_judge.Look();
-  const VersionJudge::Work& work = m_judge.LastWork();
-  const double rate =
-    (work.m_oldArrived + work.m_newArrived) / std::max(since.count(), 1e-3);
+  const std::chrono::duration<double> since = aNow - m_evaluatedAt;
+  m_evaluatedAt = aNow;
+  m_judgement = m_judge.Evaluate();
+  const VersionJudge::Traffic& traffic = m_judge.LastTraffic();
+  const double rate = (traffic.m_oldArrived + traffic.m_newArrived) /
+                      std::max(since.count(), 1e-3);
   const bool isFirst = m_callsPerSecond <= 0.0;
   m_callsPerSecond += (isFirst ? 1.0 : kRateWeight) * (rate - m_callsPerSecond);
-  const bool idle = work.m_oldAtWork == 0 && work.m_oldArrived == 0;
-  m_idleLooks = idle ? m_idleLooks + 1 : 0;
+  const bool isIdle = traffic.m_oldAtWork == 0 && traffic.m_oldArrived == 0;
+  m_idleEvaluations = isIdle ? m_idleEvaluations + 1 : 0;
 }
 
-RolloutView
-RolloutHolder::ViewOf(TimePoint aNow,
-                      const RolloutRecord& aRecord,
-                      const Workers& aWorkers) const
+StepInputs
+RolloutHolder::MakeInputs(TimePoint aNow,
+                          const RolloutRecord& aRecord,
+                          const Workers& aWorkers) const
 {
-  RolloutView view;
-  view.m_age = aRecord.m_age;
-  view.m_duration = aRecord.m_order.m_duration;
-  view.m_verdict = m_judgement.m_verdict;
-  view.m_oldWorkers = aWorkers.m_old;
-  view.m_newWorkers = aWorkers.m_new;
-  view.m_callsPerSecond = m_callsPerSecond;
-  view.m_permille = aRecord.m_leave.m_permille;
-  view.m_hasShareFor = aNow - m_permilleSince;
-  view.m_oldIdle = m_idleLooks >= kIdleLooks;
-  return view;
+  StepInputs inputs;
+  inputs.m_age = aRecord.m_age;
+  inputs.m_duration = aRecord.m_order.m_duration;
+  inputs.m_verdict = m_judgement.m_verdict;
+  inputs.m_oldWorkers = aWorkers.m_old;
+  inputs.m_newWorkers = aWorkers.m_new;
+  inputs.m_callsPerSecond = m_callsPerSecond;
+  inputs.m_permille = aRecord.m_leave.m_permille;
+  inputs.m_shareAge = aNow - m_permilleSince;
+  inputs.m_isOldIdle = m_idleEvaluations >= kIdleEvaluations;
+  return inputs;
 }
 
 std::optional<RolloutHolder::Lead>
@@ -83,43 +83,43 @@
                       const RolloutRecord& aRecord,
                       const Workers& aWorkers)
 {
-  const bool isForgotten =
-    aRecord.m_isResumed && aNow - m_began >= kForgottenAfter;
-  if (IsFinal(aRecord.m_state) || (aRecord.m_isResumed && !isForgotten)) {
+  const bool isStateLost =
+    aRecord.m_isResumed && aNow - m_startedAt >= kStateLostAfter;
+  if (IsFinal(aRecord.m_state) || (aRecord.m_isResumed && !isStateLost)) {
     return std::nullopt;
   }
-  if (aNow - m_lookedAt >= kLookEvery) {
-    Look(aNow);
+  if (aNow - m_evaluatedAt >= kEvaluationInterval) {
+    Evaluate(aNow);
   }
   if (aRecord.m_leave.m_permille != m_permille) {
     m_permille = aRecord.m_leave.m_permille;
     m_permilleSince = aNow;
   }
-  Lead lead{ aRecord, false, m_judgement, ViewOf(aNow, aRecord, aWorkers) };
+  Lead lead{ aRecord, false, m_judgement, MakeInputs(aNow, aRecord, aWorkers) };
   RolloutStep step;
-  if (isForgotten) {
-    step = { RolloutState::RolledBack, RollbackCause::Forgotten, {} };
+  if (isStateLost) {
+    step = { RolloutState::RolledBack, RollbackCause::StateLost, {} };
   } else if (m_judgement.m_verdict == VersionJudge::Verdict::Bad) {
     step = { RolloutState::RolledBack, m_judgement.m_cause, {} };
   } else {
     step = NextStep(m_limits, lead.m_view);
   }
-  // A step back, from completing to trying, is not taken.
+  // The state never goes back from completing to running.
   step.m_state = std::max(step.m_state, aRecord.m_state);
-  // How many workers come and go is told with the next leave.
+  // A change of the number of workers is published with the next permit.
   lead.m_isStep = step.m_state != aRecord.m_state ||
                   step.m_leave.m_permille != aRecord.m_leave.m_permille;
-  if (!lead.m_isStep && aNow - m_toldAt < kTellEvery) {
+  if (!lead.m_isStep && aNow - m_publishedAt < kPublishInterval) {
     return std::nullopt;
   }
-  m_toldAt = aNow;
+  m_publishedAt = aNow;
   RolloutRecord& record = lead.m_record;
   record.m_state = step.m_state;
   record.m_cause = step.m_cause;
-  record.m_grounds = GroundsOf(m_judgement);
+  record.m_grounds = EvidenceOf(m_judgement);
   record.m_leave = step.m_leave;
   if (step.m_state == RolloutState::Running) {
-    record.m_leave.m_left = RolloutTable::kLeaveTime;
+    record.m_leave.m_left = RolloutTable::kPermitTime;
   }
   record.m_isResumed = false;
   ++record.m_step;
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -8,112 +8,120 @@
 
 namespace {
 
-constexpr std::uint32_t kAll = 1000;
-/// Runs a second that tell a version with a third of its runs failing from a
-/// good one within a second.
-constexpr double kTrialRunsPerSecond = 60.0;
-constexpr double kLeastTrial = 0.03;
-constexpr double kMostTrial = 0.12;
-/// Part of what a bad version may get that the trial uses up.
-constexpr double kTrialPart = 0.5;
-/// The workers on trial give way to the next ones after this, so that a verdict
-/// rests on more of them.
-constexpr std::chrono::milliseconds kTurn{ 1200 };
-/// The trial lasts for this part of the time, and each larger share for
-/// another, which is shorter where the trial took too long.
-constexpr double kTrialUntil = 0.54;
-constexpr std::array kLarger{ 150U, 400U };
-constexpr double kStepPart = 0.08;
+constexpr std::uint32_t kAllPermille = 1000;
+/// Enough to detect a version with a third of its runs failing within a second.
+constexpr double kCanaryRunsPerSecond = 60.0;
+constexpr double kMinCanaryShare = 0.03;
+constexpr double kMaxCanaryShare = 0.12;
+/// Part of the allowed exposure that the canary phase may use.
+constexpr double kCanaryBudgetPart = 0.5;
+/// The workers of the canary phase are rotated, so that the verdict covers more
+/// of them.
+constexpr std::chrono::milliseconds kRotationInterval{ 1200 };
+/// Parts of the roll-out's duration: end of the canary phase, length of a ramp
+/// step, and a shorter step from kLateFrom on.
+constexpr double kCanaryUntil = 0.54;
+constexpr std::array kRampPermilles{ 150U, 400U };
+constexpr double kRampStepPart = 0.08;
 constexpr double kLateFrom = 0.70;
-constexpr double kLateStepPart = 0.04;
-/// A version of which nobody is sure by now is rolled back.
-constexpr double kSureBy = 0.78;
-/// The last moment to say that it is complete: before the deadline by a part of
-/// the time, and by what two calls to the store take.
-constexpr double kCompleteBy = 0.94;
-constexpr std::chrono::milliseconds kStoreTime{ 300 };
-/// The new version has had all calls for so long before it is complete.
-constexpr std::chrono::milliseconds kHasAllFor{ 1200 };
+constexpr double kLateRampStepPart = 0.04;
+/// Part of the duration after which an inconclusive verdict leads to rollback.
+constexpr double kVerdictDeadline = 0.78;
+/// Latest completion: a part of the duration, less the time for two calls to
+/// the store.
+constexpr double kCompletionDeadline = 0.94;
+constexpr std::chrono::milliseconds kStoreWriteTime{ 300 };
+/// Time at full traffic before completion.
+constexpr std::chrono::milliseconds kFullTrafficTime{ 1200 };
 
 double
-PartOf(const RolloutView& aView)
+ElapsedPart(const StepInputs& aInputs)
 {
-  const std::chrono::duration<double> age = aView.m_age;
-  const std::chrono::duration<double> all = aView.m_duration;
+  const std::chrono::duration<double> age = aInputs.m_age;
+  const std::chrono::duration<double> all = aInputs.m_duration;
   return all.count() > 0.0 ? age / all : 1.0;
 }
 
-/// As many as bear that share with the load of one of the old ones, in turn.
-TrialLeave
-LeaveAt(const RolloutView& aView, std::uint32_t aPermille)
+/// Selects as many workers as carry the share at the load per worker of the old
+/// version, in rotation.
+CanaryPermit
+MakePermit(const StepInputs& aInputs, std::uint32_t aPermille)
 {
-  if (aPermille >= kAll) {
+  if (aPermille >= kAllPermille) {
     return { aPermille, 0, 0, {} };
   }
-  const double share = static_cast<double>(aPermille) / kAll;
+  const double share = static_cast<double>(aPermille) / kAllPermille;
   const auto workers = static_cast<std::uint32_t>(
-    std::max(1.0, std::round(share * aView.m_oldWorkers)));
-  const auto turn = static_cast<std::uint32_t>(aView.m_age / kTurn);
-  return { aPermille, workers, workers * turn, {} };
+    std::max(1.0, std::round(share * aInputs.m_oldWorkers)));
+  const auto rotation =
+    static_cast<std::uint32_t>(aInputs.m_age / kRotationInterval);
+  return { aPermille, workers, workers * rotation, {} };
 }
 
 }
 
 std::uint32_t
-TrialPermille(const RolloutLimits& aLimits, const RolloutView& aView) noexcept
+CanaryPermille(const RolloutLimits& aLimits, const StepInputs& aInputs) noexcept
 {
-  const double rate = std::max(1.0, aView.m_callsPerSecond);
-  const double seconds =
-    std::chrono::duration<double>(aView.m_duration).count();
+  const double rate = std::max(1.0, aInputs.m_callsPerSecond);
+  const double duration =
+    std::chrono::duration<double>(aInputs.m_duration).count();
   const double allowed =
-    aLimits.m_maxShare + aLimits.m_slack / std::max(1.0, rate * seconds);
-  const double most = kTrialPart * allowed / kTrialUntil;
-  // One worker at least is to have the load of an old one.
-  const double ofOne = 1.0 / std::max(1U, aView.m_oldWorkers);
+    aLimits.m_maxShare + aLimits.m_slack / std::max(1.0, rate * duration);
+  const double maxShare = kCanaryBudgetPart * allowed / kCanaryUntil;
+  // At least one worker gets the load of an old one.
+  const double oneWorkerShare = 1.0 / std::max(1U, aInputs.m_oldWorkers);
   const double share = std::min(
-    std::max({ kTrialRunsPerSecond / rate, kLeastTrial, ofOne }), most);
+    std::max({ kCanaryRunsPerSecond / rate, kMinCanaryShare, oneWorkerShare }),
+    maxShare);
   return static_cast<std::uint32_t>(
-    std::clamp(share, kLeastTrial / 2, kMostTrial) * kAll);
+    std::clamp(share, kMinCanaryShare / 2, kMaxCanaryShare) * kAllPermille);
 }
 
 RolloutStep
-NextStep(const RolloutLimits& aLimits, const RolloutView& aView)
+NextStep(const RolloutLimits& aLimits, const StepInputs& aInputs)
 {
   using Verdict = VersionJudge::Verdict;
-  const double part = PartOf(aView);
+  const double elapsed = ElapsedPart(aInputs);
   RolloutStep step;
-  if (part >= kSureBy && aView.m_verdict != Verdict::Good &&
-      aView.m_permille < kAll) {
+  if (elapsed >= kVerdictDeadline && aInputs.m_verdict != Verdict::Good &&
+      aInputs.m_permille < kAllPermille) {
     return { RolloutState::RolledBack, RollbackCause::TooFewRuns, {} };
   }
-  if (aView.m_newWorkers == 0) {
+  if (aInputs.m_newWorkers == 0) {
     return step;
   }
-  if (aView.m_permille >= kAll) {
-    step.m_leave = LeaveAt(aView, kAll);
+  if (aInputs.m_permille >= kAllPermille) {
+    step.m_leave = MakePermit(aInputs, kAllPermille);
     const auto latest =
-      std::chrono::duration<double>(aView.m_duration) * kCompleteBy -
-      kStoreTime;
-    const bool isLate = aView.m_age >= latest;
-    const bool isDone = aView.m_oldIdle && aView.m_hasShareFor >= kHasAllFor;
+      std::chrono::duration<double>(aInputs.m_duration) * kCompletionDeadline -
+      kStoreWriteTime;
+    const bool isLate = aInputs.m_age >= latest;
+    const bool isDone =
+      aInputs.m_isOldIdle && aInputs.m_shareAge >= kFullTrafficTime;
     if (isLate || isDone) {
       step.m_state = RolloutState::Completing;
     }
     return step;
   }
-  const std::uint32_t trial = TrialPermille(aLimits, aView);
-  if (aView.m_permille < kLarger.front()) {
-    const bool isTried =
-      aView.m_verdict == Verdict::Good && part >= kTrialUntil;
-    step.m_leave = LeaveAt(aView, isTried ? kLarger.front() : trial);
+  const std::uint32_t canary = CanaryPermille(aLimits, aInputs);
+  if (aInputs.m_permille < kRampPermilles.front()) {
+    const bool isCanaryDone =
+      aInputs.m_verdict == Verdict::Good && elapsed >= kCanaryUntil;
+    step.m_leave =
+      MakePermit(aInputs, isCanaryDone ? kRampPermilles.front() : canary);
     return step;
   }
-  const double stepPart = part < kLateFrom ? kStepPart : kLateStepPart;
-  const bool grows = aView.m_verdict == Verdict::Good &&
-                     aView.m_hasShareFor >= stepPart * aView.m_duration;
-  const auto* next = std::ranges::upper_bound(kLarger, aView.m_permille);
-  const std::uint32_t larger = next == kLarger.end() ? kAll : *next;
-  step.m_leave = LeaveAt(aView, grows ? larger : aView.m_permille);
+  const double stepPart =
+    elapsed < kLateFrom ? kRampStepPart : kLateRampStepPart;
+  const bool isIncreased = aInputs.m_verdict == Verdict::Good &&
+                           aInputs.m_shareAge >= stepPart * aInputs.m_duration;
+  const auto* next =
+    std::ranges::upper_bound(kRampPermilles, aInputs.m_permille);
+  const std::uint32_t nextPermille =
+    next == kRampPermilles.end() ? kAllPermille : *next;
+  step.m_leave =
+    MakePermit(aInputs, isIncreased ? nextPermille : aInputs.m_permille);
   return step;
 }
 
--- a/src/rollout/rollout_table.cpp
+++ b/src/rollout/rollout_table.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::uint64_t kAll = 1000;
+constexpr std::uint64_t kAllPermille = 1000;
 
 }
 
@@ -43,7 +43,7 @@
       return "slowness";
     case RollbackCause::TooFewRuns:
       return "too-few-runs";
-    case RollbackCause::Forgotten:
+    case RollbackCause::StateLost:
       return "forgotten";
     case RollbackCause::Operator:
       return "operator";
@@ -61,7 +61,7 @@
 }
 
 void
-RolloutTable::Sum()
+RolloutTable::UpdateSummary()
 {
   m_summary = 0;
   for (const auto& [service, entry] : m_entries) {
@@ -79,53 +79,54 @@
 RolloutTable::Replace(TimePoint aNow, Entry& aEntry, RolloutRecord aRecord)
 {
   const RolloutRecord& old = aEntry.m_record;
-  const bool isOther = old.m_order.m_target != aRecord.m_order.m_target;
-  if (isOther && !old.m_order.m_target.empty()) {
-    aEntry.m_former.push_back(old.m_order.m_target);
-    if (aEntry.m_former.size() > kMaxFormer) {
-      aEntry.m_former.pop_front();
+  const bool isNewTarget = old.m_order.m_target != aRecord.m_order.m_target;
+  if (isNewTarget && !old.m_order.m_target.empty()) {
+    aEntry.m_earlierTargets.push_back(old.m_order.m_target);
+    if (aEntry.m_earlierTargets.size() > kMaxEarlierTargets) {
+      aEntry.m_earlierTargets.pop_front();
     }
   }
-  if (isOther) {
-    aEntry.m_ordered = aNow - aRecord.m_age;
+  if (isNewTarget) {
+    aEntry.m_orderedAt = aNow - aRecord.m_age;
     aEntry.m_finalSince.reset();
   } else {
-    // Whoever saw the order first knows its age best.
-    aEntry.m_ordered = std::min(aEntry.m_ordered, aNow - aRecord.m_age);
+    // The daemon that saw the order first has its true age.
+    aEntry.m_orderedAt = std::min(aEntry.m_orderedAt, aNow - aRecord.m_age);
     aRecord.m_base = aRecord.m_base.empty() ? old.m_base : aRecord.m_base;
   }
   const bool becomesFinal =
-    IsFinal(aRecord.m_state) && (isOther || !IsFinal(old.m_state));
+    IsFinal(aRecord.m_state) && (isNewTarget || !IsFinal(old.m_state));
   if (becomesFinal && !old.m_isResumed) {
     aEntry.m_finalSince = aNow;
   }
-  aEntry.m_leaveUntil = aNow + aRecord.m_leave.m_left;
+  aEntry.m_permitUntil = aNow + aRecord.m_leave.m_left;
   aEntry.m_record = std::move(aRecord);
-  Sum();
+  UpdateSummary();
 }
 
 RolloutTable::Change
 RolloutTable::OnOrder(TimePoint aNow,
                       const RolloutOrder& aOrder,
                       const std::string& aInService,
-                      bool aIsUnderWay)
+                      bool aIsRunning)
 {
   Entry& entry = m_entries[aOrder.m_service];
   const RolloutRecord& known = entry.m_record;
-  const bool wasSeen =
+  const bool isKnown =
     known.m_order.m_target == aOrder.m_target ||
-    std::ranges::find(entry.m_former, aOrder.m_target) != entry.m_former.end();
-  if (wasSeen) {
+    std::ranges::find(entry.m_earlierTargets, aOrder.m_target) !=
+      entry.m_earlierTargets.end();
+  if (isKnown) {
     return Change::None;
   }
   RolloutRecord record;
   record.m_order = aOrder;
   record.m_generation = known.m_generation + 1;
-  record.m_isResumed = aIsUnderWay;
+  record.m_isResumed = aIsRunning;
   if (known.m_generation > 0) {
-    const bool moved = known.m_state >= RolloutState::Completing &&
-                       known.m_state != RolloutState::RolledBack;
-    record.m_base = moved ? known.m_order.m_target : known.m_base;
+    const bool hasMoved = known.m_state >= RolloutState::Completing &&
+                          known.m_state != RolloutState::RolledBack;
+    record.m_base = hasMoved ? known.m_order.m_target : known.m_base;
   }
   if (record.m_base.empty() && aInService != aOrder.m_target) {
     record.m_base = aInService;
@@ -148,7 +149,7 @@
   RolloutRecord record = entry->m_record;
   record.m_state = aState;
   record.m_isWritten = true;
-  record.m_age = aNow - entry->m_ordered;
+  record.m_age = aNow - entry->m_orderedAt;
   return Take(aNow, record);
 }
 
@@ -197,35 +198,36 @@
 {
   const Entry* entry = m_entries.empty() ? nullptr : FindEntry(aService);
   if (entry == nullptr || entry->m_record.m_state != RolloutState::Running ||
-      entry->m_leaveUntil <= aNow) {
+      entry->m_permitUntil <= aNow) {
     return false;
   }
-  return Below(aRandom, kAll) < entry->m_record.m_leave.m_permille;
+  return Below(aRandom, kAllPermille) < entry->m_record.m_leave.m_permille;
 }
 
 VersionRule
-RolloutTable::InService(TimePoint aNow, const Entry& aEntry)
+RolloutTable::InServiceRule(TimePoint aNow, const Entry& aEntry)
 {
   const RolloutRecord& record = aEntry.m_record;
-  const bool moved = record.m_state == RolloutState::Completing ||
-                     record.m_state == RolloutState::Completed;
-  const bool othersGone =
+  const bool hasMoved = record.m_state == RolloutState::Completing ||
+                        record.m_state == RolloutState::Completed;
+  const bool areOldWorkersGone =
     IsFinal(record.m_state) &&
-    (!aEntry.m_finalSince || aNow - *aEntry.m_finalSince >= kOthersGone);
-  if (moved || !record.m_base.empty()) {
+    (!aEntry.m_finalSince ||
+     aNow - *aEntry.m_finalSince >= kOldWorkersGoneAfter);
+  if (hasMoved || !record.m_base.empty()) {
     const std::string& version =
-      moved ? record.m_order.m_target : record.m_base;
-    return { VersionRule::Kind::Only, version, 0, 0, othersGone };
+      hasMoved ? record.m_order.m_target : record.m_base;
+    return { VersionRule::Kind::Only, version, 0, 0, areOldWorkersGone };
   }
   return {
-    VersionRule::Kind::AllBut, record.m_order.m_target, 0, 0, othersGone
+    VersionRule::Kind::AllBut, record.m_order.m_target, 0, 0, areOldWorkersGone
   };
 }
 
 VersionRules
 RolloutTable::RulesFor(TimePoint aNow,
                        const std::string& aService,
-                       bool aTrial) const
+                       bool aIsCanary) const
 {
   VersionRules rules;
   const Entry* entry = m_entries.empty() ? nullptr : FindEntry(aService);
@@ -233,18 +235,18 @@
     return rules;
   }
   const RolloutRecord& record = entry->m_record;
-  const bool isForAll = record.m_leave.m_permille >= kAll;
-  const bool mayTry = (aTrial || isForAll) &&
-                      record.m_state == RolloutState::Running &&
-                      entry->m_leaveUntil > aNow;
-  if (mayTry) {
+  const bool hasAllCalls = record.m_leave.m_permille >= kAllPermille;
+  const bool isCanaryAllowed = (aIsCanary || hasAllCalls) &&
+                               record.m_state == RolloutState::Running &&
+                               entry->m_permitUntil > aNow;
+  if (isCanaryAllowed) {
     rules.Add({ VersionRule::Kind::Only,
                 record.m_order.m_target,
                 record.m_leave.m_workers,
                 record.m_leave.m_first,
                 false });
   }
-  rules.Add(InService(aNow, *entry));
+  rules.Add(InServiceRule(aNow, *entry));
   return rules;
 }
 
@@ -259,13 +261,13 @@
   }
   const RolloutRecord& record = entry->m_record;
   if (aVersion != record.m_order.m_target) {
-    // What was in service is stopped from outside; until then it may run what
-    // daemons send that have not heard yet.
+    // Other versions are stopped externally. Until then they may run calls from
+    // daemons with an outdated table.
     return true;
   }
   switch (record.m_state) {
     case RolloutState::Running:
-      return entry->m_leaveUntil > aNow && record.m_leave.m_permille > 0;
+      return entry->m_permitUntil > aNow && record.m_leave.m_permille > 0;
     case RolloutState::RolledBack:
       return false;
     default:
@@ -281,9 +283,9 @@
     return std::nullopt;
   }
   RolloutRecord record = entry->m_record;
-  record.m_age = aNow - entry->m_ordered;
+  record.m_age = aNow - entry->m_orderedAt;
   record.m_leave.m_left =
-    std::max(Duration::zero(), entry->m_leaveUntil - aNow);
+    std::max(Duration::zero(), entry->m_permitUntil - aNow);
   return record;
 }
 
@@ -312,7 +314,7 @@
 RolloutTable::DropLeaves()
 {
   for (auto& [service, entry] : m_entries) {
-    entry.m_leaveUntil = TimePoint{};
+    entry.m_permitUntil = TimePoint{};
   }
 }
 
--- a/src/rollout/run_counts.cpp
+++ b/src/rollout/run_counts.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A worker that is cold takes up to about twice as long; taken off, a fault
-/// that makes it many times slower shows from its first runs on.
+/// Correction for a cold worker, which takes up to about twice as long. Larger
+/// slowdowns still show from the first runs on.
 constexpr std::size_t kColdBuckets = 2;
 
 }
@@ -17,7 +17,7 @@
 TimeCounts::BucketOf(Duration aTook) noexcept
 {
   constexpr double kGrowth = 1.5;
-  std::chrono::duration<double, std::milli> end = kFirst;
+  std::chrono::duration<double, std::milli> end = kFirstBucketEnd;
   std::size_t bucket = 0;
   while (bucket + 1 < kBuckets && aTook >= end) {
     end *= kGrowth;
@@ -44,13 +44,13 @@
 RouteCounts&
 RunTally::CountsOf(std::uint64_t aRoute)
 {
-  const auto known = [this](std::uint64_t aWanted) {
+  const auto findRoute = [this](std::uint64_t aWanted) {
     return std::ranges::find(m_routes, aWanted, &RouteCounts::m_route);
   };
-  auto found = known(aRoute);
+  auto found = findRoute(aRoute);
   if (found == m_routes.end() && m_routes.size() >= kMaxRoutes) {
     aRoute = 0;
-    found = known(aRoute);
+    found = findRoute(aRoute);
   }
   if (found == m_routes.end()) {
     m_routes.push_back({ aRoute });
@@ -73,8 +73,8 @@
     ++counts.m_times.back();
   } else if (aResult == Result::Good) {
     const std::size_t bucket = TimeCounts::BucketOf(aTook);
-    const std::size_t off = aIsCold ? kColdBuckets : 0;
-    ++counts.m_times.at(bucket - std::min(bucket, off));
+    const std::size_t shift = aIsCold ? kColdBuckets : 0;
+    ++counts.m_times.at(bucket - std::min(bucket, shift));
   }
 }
 
--- a/src/rollout/version_judge.cpp
+++ b/src/rollout/version_judge.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/// What is counted, and what a fault of the version makes of it.
+/// A kind of bad run, and the increase that a faulty version causes.
 struct Measure
 {
   RollbackCause m_cause;
-  /// Least share that is taken as usual: of few runs none may have come to
-  /// harm by chance.
-  double m_least;
-  /// Part of the other runs that the fault harms too.
+  /// Lower bound of the baseline rate, since a few runs may have no bad one by
+  /// chance.
+  double m_minRate;
+  /// Share of the otherwise good runs that the fault makes bad.
   double m_lift;
 };
-constexpr std::array kMeasuresUsed{
+constexpr std::array kMeasureSpecs{
   Measure{ RollbackCause::Failures, 0.01, 0.12 },
   Measure{ RollbackCause::LostAnswers, 0.02, 0.15 },
   Measure{ RollbackCause::Slowness, 0.04, 0.15 },
@@ -27,29 +27,30 @@
 constexpr std::size_t kLost = 1;
 constexpr std::size_t kSlow = 2;
 
-/// What is left of earlier runs at each look; with a look every 300 ms they
-/// count for three seconds on average.
-constexpr double kKept = 0.9;
-/// Runs lately that weigh in with those of a look.
-constexpr double kLookPrior = 10.0;
-/// A run is slow where at most this share of those of the version in service
-/// takes half as long.
+/// Weight kept by earlier runs at each evaluation; runs count for three seconds
+/// on average at one evaluation every 300 ms.
+constexpr double kDecayFactor = 0.9;
+/// Weight of the recent rate, in runs, when estimating the latest one.
+constexpr double kPriorRuns = 10.0;
+/// A run is slow if at most this share of the baseline runs takes longer than
+/// about half its time.
 constexpr double kSlowShare = 0.05;
 constexpr std::size_t kSlowMargin = 2;
-/// Runs beyond what was expected that came to harm, after which a version is
-/// bad whichever workers and routes they were on.
-constexpr double kMostExcess = 18.0;
-/// The same with the worst workers, where the others show it too: a fault under
-/// load harms most where most runs are.
-constexpr double kMostExcessOfAll = 30.0;
-constexpr double kExcessOfRest = 4.0;
-/// The same in standard deviations of what was expected.
+/// Bad runs beyond those expected, without the worst workers, that make a
+/// version bad regardless of routes.
+constexpr double kMaxExcess = 18.0;
+/// The same including the worst workers, if the others show an excess too: a
+/// fault under load affects the busiest workers most.
+constexpr double kMaxExcessOfAll = 30.0;
+constexpr double kMinExcessOfRest = 4.0;
+/// Minimum excess of a bad version, in standard deviations of the expected
+/// number.
 constexpr double kExcessDeviations = 5.0;
-/// One in so many of the new workers is left out as the worst.
-constexpr std::size_t kLeftOutOf = 4;
-/// Share of the runs from which on a route has to be found good itself.
-constexpr double kRouteCounts = 0.1;
-constexpr double kRouteRunsNeeded = 5.0;
+/// One in this many of the canary's workers is ignored as the worst.
+constexpr std::size_t kOutlierDivisor = 4;
+/// Share of the baseline runs from which a route must look good by itself.
+constexpr double kMinRouteShare = 0.1;
+constexpr double kMinRouteRuns = 5.0;
 
 const RouteCounts&
 FindRoute(const WorkerCounts& aCounts, std::uint64_t aRoute)
@@ -60,25 +61,26 @@
   return found == aCounts.m_routes.end() ? kNone : *found;
 }
 
-/// \returns How many of the new workers are left out as the worst.
+/// \returns The number of canary workers to ignore as the worst.
 std::size_t
-LeftOutOf(std::size_t aWorkers)
+OutlierCount(std::size_t aWorkers)
 {
-  return aWorkers > 1 ? std::max<std::size_t>(1, aWorkers / kLeftOutOf) : 0;
+  return aWorkers > 1 ? std::max<std::size_t>(1, aWorkers / kOutlierDivisor)
+                      : 0;
 }
 
 double
 SumWithoutWorst(std::vector<double> aRatios)
 {
   std::ranges::sort(aRatios);
-  aRatios.resize(aRatios.size() - LeftOutOf(aRatios.size()));
+  aRatios.resize(aRatios.size() - OutlierCount(aRatios.size()));
   return std::accumulate(aRatios.begin(), aRatios.end(), 0.0);
 }
 
 double
-Since(std::uint32_t aNow, std::uint32_t aBefore)
+Increase(std::uint32_t aCurrent, std::uint32_t aPrevious)
 {
-  return aNow > aBefore ? static_cast<double>(aNow - aBefore) : 0.0;
+  return aCurrent > aPrevious ? static_cast<double>(aCurrent - aPrevious) : 0.0;
 }
 
 }
@@ -89,11 +91,11 @@
                 double aExpected,
                 double aLift) noexcept
 {
-  constexpr double kMostUsual = 0.9;
-  const double usual = std::clamp(aExpected, 1e-6, kMostUsual);
-  const double lifted = usual + aLift * (1.0 - usual);
-  return aHits * std::log(lifted / usual) +
-         (aRuns - aHits) * std::log((1.0 - lifted) / (1.0 - usual));
+  constexpr double kMaxBaseline = 0.9;
+  const double baseline = std::clamp(aExpected, 1e-6, kMaxBaseline);
+  const double raised = baseline + aLift * (1.0 - baseline);
+  return aHits * std::log(raised / baseline) +
+         (aRuns - aHits) * std::log((1.0 - raised) / (1.0 - baseline));
 }
 
 namespace {
@@ -105,9 +107,10 @@
   if (aTally.m_runs <= 0.0) {
     return 0.0;
   }
-  const double usual =
-    std::max(aMeasure.m_least, aTally.m_expected / aTally.m_runs);
-  return LikelihoodRatio(aTally.m_hits, aTally.m_runs, usual, aMeasure.m_lift);
+  const double baseline =
+    std::max(aMeasure.m_minRate, aTally.m_expected / aTally.m_runs);
+  return LikelihoodRatio(
+    aTally.m_hits, aTally.m_runs, baseline, aMeasure.m_lift);
 }
 
 }
@@ -129,36 +132,36 @@
 void
 VersionJudge::Tally::Decay() noexcept
 {
-  m_runs *= kKept;
-  m_hits *= kKept;
-  m_expected *= kKept;
+  m_runs *= kDecayFactor;
+  m_hits *= kDecayFactor;
+  m_expected *= kDecayFactor;
 }
 
 void
-VersionJudge::Control::Add(const RouteCounts& aNow,
-                           const RouteCounts& aBefore) noexcept
+VersionJudge::Baseline::Add(const RouteCounts& aCurrent,
+                            const RouteCounts& aPrevious) noexcept
 {
-  m_runs += Since(aNow.m_runs, aBefore.m_runs);
-  m_failed += Since(aNow.m_failed, aBefore.m_failed);
-  m_lost += Since(aNow.m_lost, aBefore.m_lost);
+  m_runs += Increase(aCurrent.m_runs, aPrevious.m_runs);
+  m_failed += Increase(aCurrent.m_failed, aPrevious.m_failed);
+  m_lost += Increase(aCurrent.m_lost, aPrevious.m_lost);
   for (std::size_t i = 0; i < m_times.size(); ++i) {
-    m_times.at(i) += Since(aNow.m_times.at(i), aBefore.m_times.at(i));
+    m_times.at(i) += Increase(aCurrent.m_times.at(i), aPrevious.m_times.at(i));
   }
 }
 
 void
-VersionJudge::Control::Decay() noexcept
+VersionJudge::Baseline::Decay() noexcept
 {
-  m_runs *= kKept;
-  m_failed *= kKept;
-  m_lost *= kKept;
+  m_runs *= kDecayFactor;
+  m_failed *= kDecayFactor;
+  m_lost *= kDecayFactor;
   for (double& each : m_times) {
-    each *= kKept;
+    each *= kDecayFactor;
   }
 }
 
 double
-VersionJudge::Control::TimesFrom(std::size_t aBucket) const noexcept
+VersionJudge::Baseline::TimesFrom(std::size_t aBucket) const noexcept
 {
   double sum = 0.0;
   for (std::size_t i = aBucket; i < m_times.size(); ++i) {
@@ -171,18 +174,18 @@
 VersionJudge::OnCounts(const WorkerCounts& aCounts)
 {
   Worker& worker = m_workers[aCounts.m_slot];
-  if (worker.m_now.m_process != aCounts.m_process) {
+  if (worker.m_current.m_process != aCounts.m_process) {
     worker = {};
-  } else if (aCounts.m_arrived < worker.m_now.m_arrived) {
+  } else if (aCounts.m_arrived < worker.m_current.m_arrived) {
     return;
   }
-  worker.m_now = aCounts;
+  worker.m_current = aCounts;
 }
 
 std::size_t
-VersionJudge::SlowFrom(const Route& aRoute) noexcept
+VersionJudge::FirstSlowBucket(const Route& aRoute) noexcept
 {
-  const Control& all = aRoute.m_all;
+  const Baseline& all = aRoute.m_all;
   const double total = all.TimesFrom(0);
   std::size_t bucket = 0;
   while (bucket < TimeCounts::kBuckets &&
@@ -193,83 +196,91 @@
 }
 
 void
-VersionJudge::TakeControl()
+VersionJudge::UpdateBaseline()
 {
   for (auto& [id, route] : m_routes) {
     route.m_recent.Decay();
-    route.m_look = {};
+    route.m_latest = {};
   }
   for (const auto& [slot, worker] : m_workers) {
-    if (IsNew(worker.m_now)) {
+    if (IsCanary(worker.m_current)) {
       continue;
     }
-    for (const RouteCounts& each : worker.m_now.m_routes) {
-      const RouteCounts& before = FindRoute(worker.m_before, each.m_route);
+    for (const RouteCounts& each : worker.m_current.m_routes) {
+      const RouteCounts& previous = FindRoute(worker.m_previous, each.m_route);
       Route& route = m_routes[each.m_route];
-      route.m_look.Add(each, before);
-      route.m_recent.Add(each, before);
-      route.m_all.Add(each, before);
+      route.m_latest.Add(each, previous);
+      route.m_recent.Add(each, previous);
+      route.m_all.Add(each, previous);
     }
   }
 }
 
-template<class Count, class Of>
+template<class Count, class Total>
 double
-VersionJudge::Usual(const Route& aRoute, double aLeast, Count aCount, Of aOf)
+VersionJudge::BaselineRate(const Route& aRoute,
+                           double aMinRate,
+                           Count aCount,
+                           Total aTotal)
 {
-  const double lately =
-    (aCount(aRoute.m_recent) + aLeast) / (aOf(aRoute.m_recent) + 1.0);
-  // A look of few runs says little by itself.
-  const double now = (aCount(aRoute.m_look) + kLookPrior * lately) /
-                     (aOf(aRoute.m_look) + kLookPrior);
-  return std::max(now, lately);
+  const double recentRate =
+    (aCount(aRoute.m_recent) + aMinRate) / (aTotal(aRoute.m_recent) + 1.0);
+  // Few runs alone give no reliable rate.
+  const double latestRate =
+    (aCount(aRoute.m_latest) + kPriorRuns * recentRate) /
+    (aTotal(aRoute.m_latest) + kPriorRuns);
+  return std::max(latestRate, recentRate);
 }
 
 void
-VersionJudge::TakeNew(const std::string& aSlot,
-                      Route& aRoute,
-                      const RouteCounts& aNow,
-                      const RouteCounts& aBefore)
+VersionJudge::UpdateCanary(const std::string& aSlot,
+                           Route& aRoute,
+                           const RouteCounts& aCurrent,
+                           const RouteCounts& aPrevious)
 {
-  const double runs = Since(aNow.m_runs, aBefore.m_runs);
-  const std::size_t slowFrom = SlowFrom(aRoute);
-  const double timed = TimeCounts::SumFrom(aNow.m_times, 0) -
-                       TimeCounts::SumFrom(aBefore.m_times, 0);
-  const double slow = TimeCounts::SumFrom(aNow.m_times, slowFrom) -
-                      TimeCounts::SumFrom(aBefore.m_times, slowFrom);
-  const auto allRuns = [](const Control& aControl) { return aControl.m_runs; };
-  const auto allTimes = [](const Control& aControl) {
-    return aControl.TimesFrom(0);
+  const double runs = Increase(aCurrent.m_runs, aPrevious.m_runs);
+  const std::size_t firstSlow = FirstSlowBucket(aRoute);
+  const double timed = TimeCounts::SumFrom(aCurrent.m_times, 0) -
+                       TimeCounts::SumFrom(aPrevious.m_times, 0);
+  const double slow = TimeCounts::SumFrom(aCurrent.m_times, firstSlow) -
+                      TimeCounts::SumFrom(aPrevious.m_times, firstSlow);
+  const auto allRuns = [](const Baseline& aBaseline) {
+    return aBaseline.m_runs;
   };
-  const double failing = Usual(
+  const auto allTimes = [](const Baseline& aBaseline) {
+    return aBaseline.TimesFrom(0);
+  };
+  const double failureRate = BaselineRate(
     aRoute,
-    kMeasuresUsed.at(kFailures).m_least,
-    [](const Control& aControl) { return aControl.m_failed; },
+    kMeasureSpecs.at(kFailures).m_minRate,
+    [](const Baseline& aBaseline) { return aBaseline.m_failed; },
     allRuns);
-  const double losing = Usual(
+  const double lossRate = BaselineRate(
     aRoute,
-    kMeasuresUsed.at(kLost).m_least,
-    [](const Control& aControl) { return aControl.m_lost; },
+    kMeasureSpecs.at(kLost).m_minRate,
+    [](const Baseline& aBaseline) { return aBaseline.m_lost; },
     allRuns);
   Tallies fresh;
   fresh.at(kFailures) = { runs,
-                          Since(aNow.m_failed, aBefore.m_failed),
-                          runs * failing };
-  fresh.at(kLost) = { runs, Since(aNow.m_lost, aBefore.m_lost), runs * losing };
-  // With no time of the other version there is no measure of slow.
+                          Increase(aCurrent.m_failed, aPrevious.m_failed),
+                          runs * failureRate };
+  fresh.at(kLost) = { runs,
+                      Increase(aCurrent.m_lost, aPrevious.m_lost),
+                      runs * lossRate };
+  // Without baseline times there is no threshold for slow runs.
   if (aRoute.m_all.TimesFrom(0) > 0.0) {
-    const double slowing = Usual(
+    const double slowRate = BaselineRate(
       aRoute,
-      kMeasuresUsed.at(kSlow).m_least,
-      [slowFrom](const Control& aControl) {
-        return aControl.TimesFrom(slowFrom);
+      kMeasureSpecs.at(kSlow).m_minRate,
+      [firstSlow](const Baseline& aBaseline) {
+        return aBaseline.TimesFrom(firstSlow);
       },
       allTimes);
-    fresh.at(kSlow) = { timed, slow, timed * slowing };
+    fresh.at(kSlow) = { timed, slow, timed * slowRate };
   }
   Tallies& worker = aRoute.m_workers[aSlot];
   Tallies& total = m_totals[aSlot];
-  for (std::size_t i = 0; i < kMeasures; ++i) {
+  for (std::size_t i = 0; i < kMeasureCount; ++i) {
     worker.at(i).Add(fresh.at(i));
     total.at(i).Add(fresh.at(i));
     aRoute.m_sum.at(i).Add(fresh.at(i));
@@ -277,7 +288,7 @@
 }
 
 void
-VersionJudge::TakeNew()
+VersionJudge::UpdateCanary()
 {
   for (auto& [id, route] : m_routes) {
     for (auto& [slot, tallies] : route.m_workers) {
@@ -287,14 +298,14 @@
     }
   }
   for (const auto& [slot, worker] : m_workers) {
-    if (!IsNew(worker.m_now)) {
+    if (!IsCanary(worker.m_current)) {
       continue;
     }
-    for (const RouteCounts& each : worker.m_now.m_routes) {
-      TakeNew(slot,
-              m_routes[each.m_route],
-              each,
-              FindRoute(worker.m_before, each.m_route));
+    for (const RouteCounts& each : worker.m_current.m_routes) {
+      UpdateCanary(slot,
+                   m_routes[each.m_route],
+                   each,
+                   FindRoute(worker.m_previous, each.m_route));
     }
   }
 }
@@ -306,22 +317,22 @@
   for (const auto& [slot, tallies] : aRoute.m_workers) {
     const Tally& tally = tallies.at(aMeasure);
     if (tally.m_runs > 0.0) {
-      ratios.push_back(RatioOf(tally, kMeasuresUsed.at(aMeasure)));
+      ratios.push_back(RatioOf(tally, kMeasureSpecs.at(aMeasure)));
     }
   }
   return SumWithoutWorst(std::move(ratios));
 }
 
 VersionJudge::Judgement
-VersionJudge::BadRoute() const
+VersionJudge::FindBadRoute() const
 {
-  const auto questions =
-    static_cast<double>(std::max<std::size_t>(1, m_routes.size()) * kMeasures);
-  const double bound = std::log(questions / kWrongBad);
+  const auto comparisons = static_cast<double>(
+    std::max<std::size_t>(1, m_routes.size()) * kMeasureCount);
+  const double bound = std::log(comparisons / kFalseBadRate);
   Judgement worst;
   double highest = bound;
   for (const auto& [id, route] : m_routes) {
-    for (std::size_t i = 0; i < kMeasures; ++i) {
+    for (std::size_t i = 0; i < kMeasureCount; ++i) {
       const double ratio = RecentRatio(route, i);
       if (ratio > highest) {
         highest = ratio;
@@ -329,7 +340,7 @@
         for (const auto& [slot, tallies] : route.m_workers) {
           sum.Add(tallies.at(i));
         }
-        worst = { Verdict::Bad, kMeasuresUsed.at(i).m_cause,
+        worst = { Verdict::Bad, kMeasureSpecs.at(i).m_cause,
                   id,           sum.m_runs,
                   sum.m_hits,   sum.m_expected };
       }
@@ -339,9 +350,9 @@
 }
 
 VersionJudge::Judgement
-VersionJudge::Excess() const
+VersionJudge::FindExcess() const
 {
-  for (std::size_t i = 0; i < kMeasures; ++i) {
+  for (std::size_t i = 0; i < kMeasureCount; ++i) {
     std::vector<Tally> workers;
     for (const auto& [slot, tallies] : m_totals) {
       if (tallies.at(i).m_runs > 0.0) {
@@ -353,18 +364,18 @@
     for (const Tally& each : workers) {
       all.Add(each);
     }
-    workers.resize(workers.size() - LeftOutOf(workers.size()));
+    workers.resize(workers.size() - OutlierCount(workers.size()));
     Tally rest;
     for (const Tally& each : workers) {
       rest.Add(each);
     }
-    const double most =
-      std::max(kMostExcess, kExcessDeviations * std::sqrt(rest.m_expected));
-    const bool isMostHarmed =
-      all.Excess() >= kMostExcessOfAll && rest.Excess() >= kExcessOfRest;
-    if (rest.Excess() >= most || isMostHarmed) {
+    const double maxExcess =
+      std::max(kMaxExcess, kExcessDeviations * std::sqrt(rest.m_expected));
+    const bool isLoadRelated =
+      all.Excess() >= kMaxExcessOfAll && rest.Excess() >= kMinExcessOfRest;
+    if (rest.Excess() >= maxExcess || isLoadRelated) {
       return {
-        Verdict::Bad,  kMeasuresUsed.at(i).m_cause, 0, all.m_runs, all.m_hits,
+        Verdict::Bad,  kMeasureSpecs.at(i).m_cause, 0, all.m_runs, all.m_hits,
         all.m_expected
       };
     }
@@ -373,7 +384,7 @@
 }
 
 bool
-VersionJudge::LeansToGood() const
+VersionJudge::IsProbablyGood() const
 {
   double oldRuns = 0.0;
   for (const auto& [id, route] : m_routes) {
@@ -382,9 +393,9 @@
   return oldRuns > 0.0 &&
          std::ranges::all_of(m_routes, [oldRuns](const auto& aEach) {
            const Route& route = aEach.second;
-           const bool isRare = route.m_all.m_runs < kRouteCounts * oldRuns;
+           const bool isRare = route.m_all.m_runs < kMinRouteShare * oldRuns;
            return isRare ||
-                  (route.m_sum.at(kFailures).m_runs >= kRouteRunsNeeded &&
+                  (route.m_sum.at(kFailures).m_runs >= kMinRouteRuns &&
                    RecentRatio(route, kFailures) <= 0.0);
          });
 }
@@ -392,7 +403,7 @@
 bool
 VersionJudge::IsGood() const
 {
-  if (!LeansToGood()) {
+  if (!IsProbablyGood()) {
     return false;
   }
   return std::ranges::all_of(
@@ -401,38 +412,38 @@
       for (const auto& [slot, tallies] : m_totals) {
         const Tally& tally = tallies.at(aMeasure);
         if (tally.m_runs > 0.0) {
-          ratios.push_back(RatioOf(tally, kMeasuresUsed.at(aMeasure)));
+          ratios.push_back(RatioOf(tally, kMeasureSpecs.at(aMeasure)));
         }
       }
-      return SumWithoutWorst(std::move(ratios)) <= std::log(kWrongGood);
+      return SumWithoutWorst(std::move(ratios)) <= std::log(kFalseGoodRate);
     });
 }
 
 VersionJudge::Judgement
-VersionJudge::Look()
+VersionJudge::Evaluate()
 {
-  m_work = { .m_newRuns = m_work.m_newRuns };
+  m_traffic = { .m_newRuns = m_traffic.m_newRuns };
   for (const auto& [slot, worker] : m_workers) {
     const std::uint32_t arrived =
-      worker.m_now.m_arrived - worker.m_before.m_arrived;
-    if (IsNew(worker.m_now)) {
-      m_work.m_newRuns += arrived;
-      m_work.m_newArrived += arrived;
+      worker.m_current.m_arrived - worker.m_previous.m_arrived;
+    if (IsCanary(worker.m_current)) {
+      m_traffic.m_newRuns += arrived;
+      m_traffic.m_newArrived += arrived;
     } else {
-      m_work.m_oldArrived += arrived;
-      m_work.m_oldAtWork += worker.m_now.m_atWork;
+      m_traffic.m_oldArrived += arrived;
+      m_traffic.m_oldAtWork += worker.m_current.m_atWork;
     }
   }
-  TakeControl();
-  TakeNew();
+  UpdateBaseline();
+  UpdateCanary();
   for (auto& [slot, worker] : m_workers) {
-    worker.m_before = worker.m_now;
+    worker.m_previous = worker.m_current;
   }
-  Judgement found = BadRoute();
+  Judgement found = FindBadRoute();
   if (found.m_verdict != Verdict::Bad) {
-    found = Excess();
+    found = FindExcess();
   }
-  if (found.m_verdict == Verdict::Unsure && IsGood()) {
+  if (found.m_verdict == Verdict::Inconclusive && IsGood()) {
     found.m_verdict = Verdict::Good;
   }
   return found;
--- a/tests/rollout/replays.cpp
+++ b/tests/rollout/replays.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-constexpr int kPlays = 12;
+constexpr int kReplays = 12;
 constexpr double kMaxShare = 0.1;
 constexpr std::uint64_t kSlack = 50;
 constexpr auto kRollBackWithin = 5s;
 
 std::vector<RolloutResult>
-Play(const RolloutScenario& aScenario)
+RunReplays(const RolloutScenario& aScenario)
 {
   std::vector<RolloutResult> results;
-  for (std::uint64_t seed = 1; seed <= kPlays; ++seed) {
+  for (std::uint64_t seed = 1; seed <= kReplays; ++seed) {
     results.push_back(RolloutLab{ aScenario, seed }.Run());
   }
   return results;
@@ -26,7 +26,7 @@
 void
 CheckBounded(const RolloutScenario& aScenario)
 {
-  for (const RolloutResult& each : Play(aScenario)) {
+  for (const RolloutResult& each : RunReplays(aScenario)) {
     CHECK(each.m_state == RolloutState::RolledBack);
     CHECK(static_cast<double>(each.m_exposed) <=
           kMaxShare * static_cast<double>(each.m_calls) + kSlack);
@@ -36,10 +36,9 @@
 
 }
 
-TEST_CASE("a bad version of each kind is rolled back within its allowance")
+TEST_CASE("a version with any kind of fault is rolled back within its limits")
 {
-  // A version fails, is slow, fails under load, on one route or late. Taken
-  // for workers like all others, its workers got a third of all calls.
+  // Guards against a bad version that gets as many calls as one in service.
   using Fault = VersionFault;
   for (const Fault fault : { Fault::Errors,
                              Fault::Slow,
@@ -56,47 +55,45 @@
   }
 }
 
-TEST_CASE("a bad version is found beside each other trouble")
+TEST_CASE("a bad version is detected during any other disturbance")
 {
-  for (const Disturbance beside : { Disturbance::GreyWorkers,
-                                    Disturbance::SlowWorkers,
-                                    Disturbance::LostAnswers,
-                                    Disturbance::FailingCallee,
-                                    Disturbance::Burst }) {
-    CAPTURE(static_cast<int>(beside));
-    CheckBounded({ .m_fault = VersionFault::Errors, .m_beside = beside });
-    CheckBounded({ .m_fault = VersionFault::Slow, .m_beside = beside });
+  for (const Disturbance disturbance : { Disturbance::GreyWorkers,
+                                         Disturbance::SlowWorkers,
+                                         Disturbance::LostAnswers,
+                                         Disturbance::FailingCallee,
+                                         Disturbance::Burst }) {
+    CAPTURE(static_cast<int>(disturbance));
+    CheckBounded({ .m_fault = VersionFault::Errors, .m_beside = disturbance });
+    CheckBounded({ .m_fault = VersionFault::Slow, .m_beside = disturbance });
   }
 }
 
-TEST_CASE("a fault that shows at the busiest workers only is found")
+TEST_CASE("a fault that affects only the busiest workers is detected")
 {
-  // A version fails where most slots are taken. The workers that were tried
-  // first had most of it, and were left out as the worst; the version was kept
-  // in use for five seconds after the fiftieth answer that came to harm.
-  for (const Disturbance beside : { Disturbance::None,
-                                    Disturbance::GreyWorkers,
-                                    Disturbance::FailingCallee }) {
-    CAPTURE(static_cast<int>(beside));
+  // Guards against ignoring the affected workers as the worst ones.
+  for (const Disturbance disturbance : { Disturbance::None,
+                                         Disturbance::GreyWorkers,
+                                         Disturbance::FailingCallee }) {
+    CAPTURE(static_cast<int>(disturbance));
     CheckBounded({ .m_fault = VersionFault::UnderLoad,
-                   .m_beside = beside,
+                   .m_beside = disturbance,
                    .m_loaded = 5 });
   }
 }
 
-TEST_CASE("a good version is completed in time, whatever else goes on")
+TEST_CASE("a good version is completed in time despite other disturbances")
 {
-  // Workers fail, are slow, lose answers, or a service that they call fails:
-  // that hits both versions, and is no fault of the new one.
-  for (const Disturbance beside : { Disturbance::None,
-                                    Disturbance::GreyWorkers,
-                                    Disturbance::SlowWorkers,
-                                    Disturbance::LostAnswers,
-                                    Disturbance::FailingCallee,
-                                    Disturbance::Burst }) {
-    CAPTURE(static_cast<int>(beside));
-    const RolloutScenario scenario{ .m_beside = beside };
-    for (const RolloutResult& each : Play(scenario)) {
+  // Guards against blaming the new version for faults that affect both
+  // versions.
+  for (const Disturbance disturbance : { Disturbance::None,
+                                         Disturbance::GreyWorkers,
+                                         Disturbance::SlowWorkers,
+                                         Disturbance::LostAnswers,
+                                         Disturbance::FailingCallee,
+                                         Disturbance::Burst }) {
+    CAPTURE(static_cast<int>(disturbance));
+    const RolloutScenario scenario{ .m_beside = disturbance };
+    for (const RolloutResult& each : RunReplays(scenario)) {
       CHECK(each.m_state == RolloutState::Completed);
       CHECK(each.m_decidedAfter < scenario.m_duration);
       CHECK(each.m_cut == 0);
@@ -104,25 +101,25 @@
   }
 }
 
-TEST_CASE("a daemon that takes over goes on with the roll-out")
+TEST_CASE("a roll-out continues after its leader is lost")
 {
-  // The daemon that leads is lost while the version is tried, or while it has
-  // all calls.
-  for (const auto lost : { 2000ms, 6000ms, 9000ms }) {
-    CAPTURE(lost.count());
-    for (const RolloutResult& each : Play({ .m_leaderLost = lost })) {
+  // The leader is lost during the canary phase, or after all calls have moved.
+  for (const auto leaderLost : { 2000ms, 6000ms, 9000ms }) {
+    CAPTURE(leaderLost.count());
+    for (const RolloutResult& each :
+         RunReplays({ .m_leaderLost = leaderLost })) {
       CHECK(each.m_state == RolloutState::Completed);
     }
-    CheckBounded({ .m_fault = VersionFault::Late, .m_leaderLost = lost });
+    CheckBounded({ .m_fault = VersionFault::Late, .m_leaderLost = leaderLost });
   }
 }
 
-TEST_CASE("where nobody leads any more, the version on trial gets nothing")
+TEST_CASE("a canary without a leader receives no calls")
 {
-  // All that led are lost: leave runs out by itself.
-  for (const RolloutResult& each : Play({ .m_fault = VersionFault::Late,
-                                          .m_leaderLost = 3s,
-                                          .m_hasSuccessor = false })) {
+  // Permits must expire when no leader renews them.
+  for (const RolloutResult& each : RunReplays({ .m_fault = VersionFault::Late,
+                                                .m_leaderLost = 3s,
+                                                .m_hasSuccessor = false })) {
     CHECK(static_cast<double>(each.m_exposed) <=
           kMaxShare * static_cast<double>(each.m_calls) + kSlack);
     CHECK(each.m_usedAfterHarm <= kRollBackWithin);
--- a/tests/rollout/rollout_table.cpp
+++ b/tests/rollout/rollout_table.cpp
@@ -20,16 +20,16 @@
   record.m_base = "v1";
   record.m_state = aState;
   record.m_step = aStep;
-  record.m_leave = { 500, 0, 0, RolloutTable::kLeaveTime };
+  record.m_leave = { 500, 0, 0, RolloutTable::kPermitTime };
   return record;
 }
 
-/// Versions that a call may go to, in turn.
+/// Versions that a call may go to, in order of preference.
 std::vector<std::string>
-Allowed(const RolloutTable& aTable, TimePoint aNow, bool aTrial)
+Allowed(const RolloutTable& aTable, TimePoint aNow, bool aIsCanary)
 {
   std::vector<std::string> versions;
-  for (const VersionRule& rule : aTable.RulesFor(aNow, "lockers", aTrial)) {
+  for (const VersionRule& rule : aTable.RulesFor(aNow, "lockers", aIsCanary)) {
     for (const char* each : { "v1", "v2", "" }) {
       if (rule.Allows(each)) {
         versions.emplace_back(each);
@@ -43,10 +43,10 @@
 
 }
 
-TEST_CASE("a version on trial gets calls only while leave lasts")
+TEST_CASE("a canary receives calls only under a valid permit")
 {
-  // A daemon is cut off from the others right after it was lent leave. It must
-  // not go on trying a version that is found bad meanwhile.
+  // Guards against a daemon that is cut off from its peers and keeps using a
+  // bad version.
   RolloutTable table;
   CHECK(table.RulesFor(kNow, "lockers", true).IsEmpty());
   CHECK(table.OnOrder(kNow, kOrder, "v1") == Change::State);
@@ -58,7 +58,7 @@
   CHECK(Allowed(table, kNow, false) == Versions{ "v1" });
   CHECK(table.MayRun(kNow, "lockers", "v2"));
 
-  const TimePoint later = kNow + RolloutTable::kLeaveTime;
+  const TimePoint later = kNow + RolloutTable::kPermitTime;
   CHECK(Allowed(table, later, true) == Versions{ "v1" });
   CHECK_FALSE(table.MayRun(later, "lockers", "v2"));
   CHECK(table.MayRun(later, "lockers", "v1"));
@@ -68,22 +68,21 @@
   CHECK(Allowed(table, later, true) == Versions{ "v1" });
 }
 
-TEST_CASE("a version that was rolled back gets nothing any more")
+TEST_CASE("a version that was rolled back receives no calls")
 {
   RolloutTable table;
   CHECK(table.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
   CHECK(Allowed(table, kNow, true) == Versions{ "v1" });
   CHECK_FALSE(table.MayRun(kNow, "lockers", "v2"));
-  // A leave that was lent before comes late.
+  // A permit that was granted earlier arrives late.
   CHECK(table.Take(kNow, Record(RolloutState::Running, 9)) == Change::None);
   CHECK_FALSE(table.MayRun(kNow, "lockers", "v2"));
-  // Once the others have left, a worker that has not told its version yet is
-  // one of those in service.
-  CHECK(Allowed(table, kNow + RolloutTable::kOthersGone, true) ==
+  // Workers without a reported version are then assumed to be in service.
+  CHECK(Allowed(table, kNow + RolloutTable::kOldWorkersGoneAfter, true) ==
         Versions{ "v1", "" });
 }
 
-TEST_CASE("a completed version gets all, also before the old workers are gone")
+TEST_CASE("a completed version receives all calls, even beside old workers")
 {
   RolloutTable table;
   CHECK(table.Take(kNow, Record(RolloutState::Completing)) == Change::State);
@@ -94,10 +93,9 @@
   CHECK(table.Find(kNow, "lockers")->m_isWritten);
 }
 
-TEST_CASE("the store's word on how it ended is kept, and never changed")
+TEST_CASE("a final state accepted by the store never changes")
 {
-  // Two daemons lead at once: one rolls back, the other one's "completed"
-  // comes to the store first.
+  // Two leaders decide differently, and the store accepts the completion first.
   RolloutTable table;
   CHECK(table.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
   CHECK(table.OnStatus(kNow, "lockers", "v2", RolloutState::Completed) ==
@@ -108,9 +106,9 @@
   CHECK(Allowed(table, kNow, false) == Versions{ "v2" });
 }
 
-TEST_CASE("an order that was decided is not tried again")
+TEST_CASE("a decided order is not run again")
 {
-  // The store comes back from an older copy, and tells the order anew.
+  // The store is restored from an older copy that still contains the order.
   RolloutTable table;
   CHECK(table.OnOrder(kNow, kOrder, "v1") == Change::State);
   CHECK(table.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
@@ -120,12 +118,13 @@
   CHECK(table.OnOrder(kNow, kOrder, "v1") == Change::None);
   const auto record = table.Find(kNow, "lockers");
   CHECK(record->m_order.m_target == "v3");
-  // Workers of the version that failed may still be there.
+  // The rolled-back version does not become the base, although its workers may
+  // remain.
   CHECK(record->m_base == "v1");
   CHECK(Allowed(table, kNow, true) == Versions{ "v1" });
 }
 
-TEST_CASE("the next order starts from the version that the last one brought")
+TEST_CASE("the next order starts from the completed version")
 {
   RolloutTable table;
   CHECK(table.Take(kNow, Record(RolloutState::Completing)) == Change::State);
@@ -135,18 +134,19 @@
   CHECK(table.Find(kNow, "lockers")->m_base == "v2");
 }
 
-TEST_CASE("daemons that know the same have the same digest")
+TEST_CASE("equal tables have equal digests")
 {
-  RolloutTable one;
-  RolloutTable two;
-  CHECK(one.Summary() == 0);
-  CHECK(one.OnOrder(kNow, kOrder, "v1") == Change::State);
-  CHECK(two.Take(kNow + 1s, *one.Find(kNow + 1s, "lockers")) == Change::State);
-  CHECK(one.Summary() == two.Summary());
-  // A leave that is renewed changes nothing that has to be compared.
-  CHECK(one.Take(kNow, Record(RolloutState::Running)) == Change::Leave);
-  CHECK(one.Summary() == two.Summary());
-  CHECK(one.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
-  CHECK(one.Summary() != two.Summary());
-  CHECK(two.Find(kNow + 3s, "lockers")->m_age == 3s);
+  RolloutTable first;
+  RolloutTable second;
+  CHECK(first.Summary() == 0);
+  CHECK(first.OnOrder(kNow, kOrder, "v1") == Change::State);
+  CHECK(second.Take(kNow + 1s, *first.Find(kNow + 1s, "lockers")) ==
+        Change::State);
+  CHECK(first.Summary() == second.Summary());
+  // A renewed permit does not change the digest.
+  CHECK(first.Take(kNow, Record(RolloutState::Running)) == Change::Leave);
+  CHECK(first.Summary() == second.Summary());
+  CHECK(first.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
+  CHECK(first.Summary() != second.Summary());
+  CHECK(second.Find(kNow + 3s, "lockers")->m_age == 3s);
 }
--- a/tests/rollout/status_writer.cpp
+++ b/tests/rollout/status_writer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr TimePoint kNow{ 1h };
-using Form = platform::RolloutForm;
+using Codec = platform::RolloutForm;
 
 RolloutStatus
 Status(RolloutState aState)
@@ -18,11 +18,11 @@
   return { "lockers", "v2", aState };
 }
 
-/// One key of a store, and what it was ever made to say.
-class OneKey
+/// A single key of a store, with the history of its states.
+class FakeKey
 {
 public:
-  StoreReply Carry(const StoreRequest& aRequest)
+  StoreReply Apply(const StoreRequest& aRequest)
   {
     StoreReply reply;
     if (aRequest.m_expected != m_revision) {
@@ -34,94 +34,100 @@
     m_value = aRequest.m_value;
     reply.m_status = StoreReply::Status::Ok;
     reply.m_revision = ++m_revision;
-    m_said.push_back(Form::Parse(aRequest.m_key, m_value).value().m_state);
+    m_history.push_back(Codec::Parse(aRequest.m_key, m_value).value().m_state);
     return reply;
   }
 
-  [[nodiscard]] RolloutState State() const { return m_said.back(); }
-  [[nodiscard]] const std::vector<RolloutState>& Said() const { return m_said; }
+  [[nodiscard]] RolloutState State() const { return m_history.back(); }
+  [[nodiscard]] const std::vector<RolloutState>& History() const
+  {
+    return m_history;
+  }
 
 private:
   std::string m_value;
   Revision m_revision{ 0 };
-  std::vector<RolloutState> m_said;
+  std::vector<RolloutState> m_history;
 };
 
-/// A daemon that first says "running" and then how it ended, and what it heard
-/// of that.
+/// A daemon that writes "running" and then a final state, and the state
+/// reported by its writer.
 struct Daemon
 {
-  StatusWriter<Form> m_writer;
-  RolloutState m_wants;
-  std::optional<StoreRequest> m_sent{};
+  StatusWriter<Codec> m_writer;
+  RolloutState m_finalState;
+  std::optional<StoreRequest> m_request{};
   std::optional<StoreReply> m_reply{};
-  std::optional<RolloutState> m_heard{};
-  bool m_hasWantedEnd{ false };
+  std::optional<RolloutState> m_reported{};
+  bool m_hasQueuedFinal{ false };
 };
 
-/// Plays all orders in which two daemons send, the store decides, and answers
-/// come or are lost.
+/// Explores all interleavings in which two daemons send writes, the store
+/// decides, and replies arrive or are lost.
 class Interleavings
 {
 public:
-  void Play(const std::vector<Daemon>& aDaemons, const OneKey& aKey, int aSteps)
+  void Explore(const std::vector<Daemon>& aDaemons,
+               const FakeKey& aKey,
+               int aSteps)
   {
     if (aSteps == 0) {
       Check(aDaemons, aKey);
       return;
     }
     for (std::size_t i = 0; i < aDaemons.size(); ++i) {
-      for (const bool loses : { false, true }) {
+      for (const bool isReplyLost : { false, true }) {
         std::vector<Daemon> daemons = aDaemons;
-        OneKey key = aKey;
-        if (Step(daemons[i], key, loses)) {
-          Play(daemons, key, aSteps - 1);
+        FakeKey key = aKey;
+        if (Step(daemons[i], key, isReplyLost)) {
+          Explore(daemons, key, aSteps - 1);
         }
       }
     }
   }
 
-  int m_played{ 0 };
+  int m_explored{ 0 };
 
 private:
-  /// One step of a daemon: it wants, sends, or hears.
-  static bool Step(Daemon& aDaemon, OneKey& aKey, bool aLoses)
+  /// One step of a daemon: it queues a status, sends a write or handles a
+  /// reply.
+  static bool Step(Daemon& aDaemon, FakeKey& aKey, bool aIsReplyLost)
   {
-    if (aDaemon.m_sent) {
-      StoreReply reply = aKey.Carry(*aDaemon.m_sent);
-      aDaemon.m_sent.reset();
-      if (aLoses) {
+    if (aDaemon.m_request) {
+      StoreReply reply = aKey.Apply(*aDaemon.m_request);
+      aDaemon.m_request.reset();
+      if (aIsReplyLost) {
         reply = StoreReply{};
       }
       auto step = aDaemon.m_writer.OnReply(kNow, reply);
-      aDaemon.m_sent = std::move(step.m_next);
+      aDaemon.m_request = std::move(step.m_next);
       if (step.m_written && IsFinal(step.m_written->m_state)) {
-        aDaemon.m_heard = step.m_written->m_state;
+        aDaemon.m_reported = step.m_written->m_state;
       }
       return true;
     }
-    if (aLoses) {
+    if (aIsReplyLost) {
       return false;
     }
-    aDaemon.m_sent = aDaemon.m_writer.OnTick(kNow + 1h);
-    if (!aDaemon.m_sent && !aDaemon.m_hasWantedEnd) {
-      aDaemon.m_hasWantedEnd = true;
-      aDaemon.m_writer.Want(Status(aDaemon.m_wants), kNow);
+    aDaemon.m_request = aDaemon.m_writer.OnTick(kNow + 1h);
+    if (!aDaemon.m_request && !aDaemon.m_hasQueuedFinal) {
+      aDaemon.m_hasQueuedFinal = true;
+      aDaemon.m_writer.Want(Status(aDaemon.m_finalState), kNow);
     }
     return true;
   }
 
-  void Check(const std::vector<Daemon>& aDaemons, const OneKey& aKey)
+  void Check(const std::vector<Daemon>& aDaemons, const FakeKey& aKey)
   {
-    ++m_played;
-    bool ended = false;
-    for (const RolloutState each : aKey.Said()) {
-      REQUIRE_FALSE(ended);
-      ended = IsFinal(each);
+    ++m_explored;
+    bool isFinal = false;
+    for (const RolloutState each : aKey.History()) {
+      REQUIRE_FALSE(isFinal);
+      isFinal = IsFinal(each);
     }
     for (const Daemon& each : aDaemons) {
-      if (each.m_heard) {
-        REQUIRE(*each.m_heard == aKey.State());
+      if (each.m_reported) {
+        REQUIRE(*each.m_reported == aKey.State());
       }
     }
   }
@@ -129,28 +135,29 @@
 
 }
 
-TEST_CASE("the store takes one end, whoever writes and whatever is lost")
+TEST_CASE("the store accepts one final state despite concurrent writers and "
+          "lost replies")
 {
-  // One daemon has found the version bad, another one, that took over, good.
-  // Both write; answers are lost after the store has decided.
+  // Two leaders write different final states; replies are lost after the store
+  // has decided.
   std::vector<Daemon> daemons(2);
-  daemons[0].m_wants = RolloutState::RolledBack;
-  daemons[1].m_wants = RolloutState::Completed;
+  daemons[0].m_finalState = RolloutState::RolledBack;
+  daemons[1].m_finalState = RolloutState::Completed;
   for (Daemon& each : daemons) {
     each.m_writer.Want(Status(RolloutState::Running), kNow);
   }
   Interleavings all;
-  all.Play(daemons, {}, 12);
-  CHECK(all.m_played > 10'000);
+  all.Explore(daemons, {}, 12);
+  CHECK(all.m_explored > 10'000);
 }
 
-TEST_CASE("statuses and orders as they stand in the store")
+TEST_CASE("statuses and orders round-trip and malformed values are rejected")
 {
-  const std::string key = Form::KeyOf("lockers");
+  const std::string key = Codec::KeyOf("lockers");
   for (const RolloutState each : { RolloutState::Running,
                                    RolloutState::RolledBack,
                                    RolloutState::Completed }) {
-    const auto read = Form::Parse(key, Form::Format(Status(each)));
+    const auto read = Codec::Parse(key, Codec::Format(Status(each)));
     REQUIRE(read);
     CHECK(read.value().m_state == each);
     CHECK(read.value().m_service == "lockers");
@@ -174,15 +181,15 @@
     CAPTURE(each);
     CHECK_FALSE(platform::ParseRolloutOrder("op/rollout/lockers", each));
   }
-  CHECK_FALSE(Form::Parse(key, R"({"state":"done","target_version":"v2"})"));
+  CHECK_FALSE(Codec::Parse(key, R"({"state":"done","target_version":"v2"})"));
 }
 
-TEST_CASE("damaged orders and statuses are refused or read, never more")
+TEST_CASE("damaged orders and statuses are rejected or parsed safely")
 {
   Random random{ 7 };
   const std::string order =
     R"({"service":"lockers","target_version":"v2","duration_s":12})";
-  const std::string status = Form::Format(Status(RolloutState::Running));
+  const std::string status = Codec::Format(Status(RolloutState::Running));
   for (int i = 0; i < 20'000; ++i) {
     const auto one = platform::ParseRolloutOrder("op/rollout/lockers",
                                                  test::Damaged(order, random));
@@ -191,6 +198,6 @@
       CHECK(one.value().m_duration > 0ms);
     }
     static_cast<void>(
-      Form::Parse(Form::KeyOf("lockers"), test::Damaged(status, random)));
+      Codec::Parse(Codec::KeyOf("lockers"), test::Damaged(status, random)));
   }
 }
