--- a/include/greengagehub/calls/answer_sizes.hpp
+++ b/include/greengagehub/calls/answer_sizes.hpp
@@ -7,18 +7,18 @@
 
 namespace greengagehub {
 
-/// \brief Moving means of how large the answers of one worker are, by kind.
+/// \brief Moving average of the size of one worker's answers, for each kind.
 class AnswerSizes
 {
 public:
   void Note(CallKind aKind, std::size_t aBytes);
-  /// \returns Bytes; 0 while nothing is known of the kind.
+  /// \returns Average in bytes; 0 before the first answer of the kind.
   [[nodiscard]] std::size_t Of(CallKind aKind) const;
 
 private:
-  /// Kinds beyond these are not told apart, and count as small.
+  /// Further kinds are not tracked; Of() returns 0 for them.
   static constexpr std::size_t kMaxKinds = 64;
-  /// Weight of one answer in the mean.
+  /// Weight of one answer in the average.
   static constexpr double kWeight = 0.05;
 
   std::map<CallKind, double> m_means;
--- a/include/greengagehub/calls/call.hpp
+++ b/include/greengagehub/calls/call.hpp
@@ -15,18 +15,18 @@
 
 namespace greengagehub {
 
-/// \brief What is true of a call once it has its final answer.
+/// \brief Execution state of a call as stated by its final answer.
 enum class CallOutcome : std::uint8_t
 {
-  /// The worker's whole answer.
+  /// A worker executed the call and its answer is complete.
   Answered,
-  /// The worker did not start it and never will.
+  /// No worker executed the call, and none will.
   NotRun,
-  /// It may have run; nobody can say.
+  /// The call may have been executed.
   Unknown,
 };
 
-/// \brief Why a call has no answer from a worker.
+/// \brief Reason why a call has no answer from a worker.
 enum class RefusalReason : std::uint8_t
 {
   None,
@@ -43,32 +43,32 @@
   TooDeep,
   NotReady,
   Restarted,
-  /// The worker turned it away before it began.
+  /// The worker rejected the request before it started to process it.
   WorkerRefused,
-  /// Another worker has the address.
+  /// The address now belongs to another worker.
   WorkerReplaced,
-  /// It would have had to wait, and was not to.
+  /// All slots are in use and the request asked not to be queued.
   Busy,
-  /// The worker's process ended under it.
+  /// The worker's process crashed while it executed the call.
   WorkerEnded,
-  /// Its content has ended too many workers.
+  /// The request's fingerprint is quarantined.
   Held,
-  /// The worker's version is not to get calls now.
+  /// The worker runs a version that receives no calls at present.
   NotInService,
-  /// A repeat, whose run would make calls to a service that has had as many
-  /// repeats as it may get.
+  /// A retry whose execution would call a service that has used up its retry
+  /// budget.
   NoRepeats,
-  /// No workspace holds the caller's key, or it sent none.
+  /// The caller sent no API key, or one that belongs to no workspace.
   UnknownKey,
   /// The workspace has used up its quota.
   OverQuota,
-  /// Nobody grants quota now, and the daemon's reserve is used up.
+  /// No quota coordinator is reachable and the daemon's reserve is used up.
   NoCoordinator,
-  /// It is not certain enough that the caller's key is still valid.
+  /// The daemon's copy of the keys is too old to trust the caller's key.
   KeysNotCurrent,
 };
 
-/// \returns The public name, such as "deadline-too-short".
+/// \returns The name used in responses and logs, such as "deadline-too-short".
 [[nodiscard]] std::string_view
 NameOf(RefusalReason aReason) noexcept;
 /// \returns "answered", "not-run" or "unknown".
@@ -76,7 +76,7 @@
 NameOf(CallOutcome aOutcome) noexcept;
 
 /// \brief Identifies one attempt of a call across the fleet: the caller's
-/// daemon process and a number that it never uses twice.
+/// daemon process and a number unique within it.
 struct CallKey
 {
   std::uint64_t m_process{ 0 };
@@ -85,7 +85,7 @@
   [[nodiscard]] auto operator<=>(const CallKey&) const noexcept = default;
 };
 
-/// \brief A call on its way to a worker.
+/// \brief A request sent to a worker's daemon.
 struct CallRequest
 {
   std::uint64_t m_call{ 0 };
@@ -94,56 +94,57 @@
   std::string m_target;
   std::vector<HttpHeader> m_headers;
   std::string m_body;
-  /// Time left when it was sent; clocks of two machines are never compared.
+  /// Time left to the deadline when sent; relative, since the clocks of two
+  /// machines may differ.
   std::chrono::microseconds m_timeLeft{ 0 };
   CallClass m_class{ CallClass::Critical };
-  /// Rank among the calls that wait at a worker, 0 first.
+  /// Rank in the worker's queue; 0 is served first.
   std::uint32_t m_priority{ 0 };
   CallKind m_kind{};
-  /// Until an answer stops being as good as an immediate one.
+  /// Time left to the target latency of the route.
   std::chrono::microseconds m_targetLeft{ 0 };
   bool m_idempotent{ false };
-  /// Hops behind it, for the limit on depth.
+  /// Number of hops so far, checked against the depth limit.
   std::uint32_t m_depth{ 0 };
-  /// Retries that it and the calls made for it may still use.
+  /// Retries left for the call and for the calls made on its behalf.
   std::uint32_t m_triesLeft{ 0 };
-  /// An earlier attempt of the call has reached a worker.
+  /// Whether an earlier attempt of the call has reached a worker.
   bool m_isRepeat{ false };
-  /// To be refused rather than to wait: its caller has others to ask.
+  /// Whether to refuse the request instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
 
-/// \brief The final word on an attempt.
+/// \brief Final result of an attempt.
 struct CallAnswer
 {
   std::uint64_t m_call{ 0 };
   CallOutcome m_outcome{ CallOutcome::Unknown };
   RefusalReason m_reason{ RefusalReason::None };
   HttpResponse m_response{};
-  /// When to come back, worked out from the queue; 0 for no hint.
+  /// Suggested delay before a retry, from the queue length; 0: no hint.
   std::chrono::milliseconds m_retryAfter{ 0 };
-  /// Calls queued and running at the worker, for routing.
+  /// Calls queued and running at the worker.
   std::uint32_t m_load{ 0 };
-  /// The request was put on a connection to the worker, whatever came of it.
+  /// Whether the request was written to a connection to the worker.
   bool m_reachedWorker{ false };
-  /// Calls the worker runs at once; 0 while no worker is known there.
+  /// Calls that the worker runs concurrently; 0: no worker is known there.
   std::uint32_t m_slots{ 0 };
-  /// Moving mean of the worker's service time for calls of this route's kind.
+  /// Moving average of the worker's service time for calls of this kind.
   std::chrono::microseconds m_serviceTime{ 0 };
-  /// What another call like this one would wait there.
+  /// Expected queueing delay of another such call at the worker.
   std::chrono::microseconds m_wait{ 0 };
-  /// WorkerEnded: ends that are counted against its content by now.
+  /// WorkerEnded: crashes counted so far for the request's fingerprint.
   std::uint32_t m_ends{ 0 };
 };
 
-/// \returns An answer that refuses an attempt.
+/// \returns An answer without a response, with the given reason.
 [[nodiscard]] CallAnswer
 Refuse(std::uint64_t aCall,
        CallOutcome aOutcome,
        RefusalReason aReason,
        std::chrono::milliseconds aRetryAfter = {});
 
-/// \returns Whether a method may be repeated by its definition (RFC 9110).
+/// \returns Whether RFC 9110 defines the method as idempotent.
 [[nodiscard]] bool
 IsIdempotentMethod(std::string_view aMethod) noexcept;
 
--- a/include/greengagehub/calls/call_age.hpp
+++ b/include/greengagehub/calls/call_age.hpp
@@ -6,39 +6,33 @@
 
 namespace greengagehub {
 
-/// \brief Tells how long a caller has been at a call before it reached this
-/// daemon, from the time that it still has.
+/// \brief Estimates from a call's remaining time how long ago its caller made
+/// the first attempt.
 ///
-/// Answers the load pattern of callers that come back after a refusal: their
-/// call is as late as their first try was, and is worth less than one that has
-/// just begun. Callers differ in patience, so that a short deadline alone says
-/// nothing: taken for age, it put one fresh call in three behind the others.
-/// A caller repeats on a new connection. What comes on a connection that has
-/// carried a request before is therefore a first try, and shows what times
-/// first tries bring; only what comes on a new one with less than any of those
-/// has been tried before.
+/// Callers use different timeouts, so a short remaining time alone does not
+/// show a retry. Retries come on new connections: requests on a reused
+/// connection are taken as samples of first attempts, and a request on a new
+/// connection counts as a retry if it has less time than every sample.
 class CallAge
 {
 public:
-  /// \param aAsked time that the caller still waits.
-  /// \param aIsFirstOnConnection no request came before it there.
-  /// \returns Time since the caller's first try; zero where nothing shows that
-  /// there was one before.
+  /// \param aAsked remaining time that the caller stated.
+  /// \param aIsFirstOnConnection whether it is the first request there.
+  /// \returns Time since the first attempt; zero if the call is taken as one.
   [[nodiscard]] std::chrono::milliseconds Of(std::chrono::milliseconds aAsked,
                                              bool aIsFirstOnConnection) const;
 
-  /// \brief Takes a call's time in.
+  /// \brief Adds a sample, unless the connection is new.
   void Note(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection);
 
 private:
-  /// First tries remembered: with evenly spread patience the least of 32 is
-  /// within a thirtieth of the spread; an odd one is forgotten after as many.
-  static constexpr std::size_t kRemembered = 32;
-  /// Fewer tell too little of the spread.
-  static constexpr std::size_t kLeastSeen = 8;
+  /// Size of the sample window; outliers leave it after as many samples.
+  static constexpr std::size_t kMaxSamples = 32;
+  /// With fewer samples nothing is taken as a retry.
+  static constexpr std::size_t kMinSamples = 8;
 
-  std::array<std::chrono::milliseconds, kRemembered> m_firstTries{};
-  std::size_t m_seen{ 0 };
+  std::array<std::chrono::milliseconds, kMaxSamples> m_samples{};
+  std::size_t m_sampleCount{ 0 };
 };
 
 }
--- a/include/greengagehub/calls/call_dialect.hpp
+++ b/include/greengagehub/calls/call_dialect.hpp
@@ -4,32 +4,32 @@
 
 namespace greengagehub {
 
-/// \brief Names of the headers in which callers, daemons and backend servers
-/// speak about a call. An empty name is never sent and never found.
+/// \brief Names of the HTTP headers that carry call metadata between callers,
+/// daemons and backend servers. A header with an empty name is not used.
 struct CallDialect
 {
-  /// Identifies a request; a backend server echoes it in its answer.
+  /// Request ID; a backend server echoes it in its response.
   std::string_view m_requestId{};
-  /// Milliseconds that are left for the call.
+  /// Remaining time of the call in milliseconds.
   std::string_view m_deadline{ "Greengagehub-Deadline-Ms" };
-  /// Service beside which the call began.
+  /// Service from which the call was made.
   std::string_view m_callerService{ "Greengagehub-Caller-Service" };
-  /// A caller's API key; removed where the request is taken in.
+  /// The caller's API key; removed before the request is forwarded.
   std::string_view m_apiKey{ "Greengagehub-Key" };
-  /// Name of the workspace that holds the key; set by the daemon alone.
+  /// Name of the workspace that the key belongs to; set only by the daemon.
   std::string_view m_workspace{ "Greengagehub-Workspace" };
-  /// The only backend server that may run the request.
+  /// ID of the only backend server that may execute the request.
   std::string_view m_expectInstance{};
-  /// On a health check's answer: which backend server gives it.
+  /// ID of the responding backend server, in health check responses.
   std::string_view m_instance{};
-  /// On a refusal: the backend server did not run the request.
+  /// In error responses: the backend server did not execute the request.
   std::string_view m_notExecuted{};
-  /// On a success: the backend server's signature.
+  /// Signature of the backend server, in successful responses.
   std::string_view m_seal{};
-  /// Retry-After in fractions of a second, so that a caller returns when there
-  /// is room and not up to a second later; the standard knows whole ones.
+  /// Whether Retry-After has fractions of a second; the standard allows only
+  /// whole seconds.
   bool m_fractionalRetryAfter{ false };
-  /// Hops, remaining tries and spans travel in headers of our own.
+  /// Whether to send depth, remaining retries and trace context as headers.
   bool m_tracesHops{ true };
 };
 
--- a/include/greengagehub/calls/call_kind.hpp
+++ b/include/greengagehub/calls/call_kind.hpp
@@ -6,12 +6,12 @@
 
 namespace greengagehub {
 
-/// \brief Calls that take alike: those of one route.
+/// \brief Class of calls with similar service time: the calls of one route.
 struct CallKind
 {
   constexpr CallKind() noexcept = default;
-  /// \brief All calls of a target, where their route is not told: by daemons
-  /// of an earlier version, and while a route is new.
+  /// \brief All calls with a target latency, for calls whose route is not
+  /// known, as from daemons of an earlier version.
   constexpr CallKind(std::chrono::milliseconds aTarget) noexcept
     : m_target(aTarget)
   {
@@ -25,7 +25,7 @@
 
   /// Target latency of the route.
   std::chrono::milliseconds m_target{ 0 };
-  /// Digest of the route's key, the same on every daemon; 0: not told.
+  /// Digest of the route's key, equal on all daemons; 0: not known.
   std::uint64_t m_route{ 0 };
 
   [[nodiscard]] auto operator<=>(const CallKind&) const noexcept = default;
--- a/include/greengagehub/calls/calls.hpp
+++ b/include/greengagehub/calls/calls.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Everything of the calls library.
+/// \brief Includes the public headers of the calls library.
 
 #include "greengagehub/calls/call.hpp"
 #include "greengagehub/calls/call_age.hpp"
--- a/include/greengagehub/calls/decision_settings.hpp
+++ b/include/greengagehub/calls/decision_settings.hpp
@@ -4,86 +4,75 @@
 
 namespace greengagehub {
 
-/// \brief What bears on decisions about calls: each mechanism with its switch,
-/// each weight with its unit.
+/// \brief Parameters and feature switches of queueing and placement.
 ///
-/// Switches are there to measure what a mechanism is worth, not to be turned in
-/// operation; docs/design/deciding.md tells which have been measured.
+/// The switches exist to compare a deployment with and without a mechanism; see
+/// docs/design/deciding.md.
 struct DecisionSettings
 {
-  // Turns at a worker.
+  // Queue order at a worker.
 
-  /// Worth of a late answer as a part of a timely one; deployments give 0.3 to
-  /// 0.5.
+  /// Value of a late answer as a fraction of that of one in time; 0.3 to 0.5 is
+  /// usual.
   double m_lateCredit{ 0.5 };
-  /// Worth of a call as a part of that of the next higher rank. Operators give
-  /// ranks and no worth; where both are known a rank is a factor of two.
+  /// Value of a call as a fraction of that of a call one rank higher.
   double m_nextRankCredit{ 0.5 };
-  /// Whether a call's worth counts for each second of a slot, or as a whole.
+  /// Whether calls are ordered by value per second of a slot instead of value.
   bool m_countsTime{ true };
 
   // Refusals at a worker.
 
-  /// Whether calls are refused that waiting would make late in vain.
+  /// Whether calls are refused that would be late and then wait too long.
   bool m_refusesEarly{ true };
-  /// A call that will miss its target waits for at most one part in so many of
-  /// the time that its caller has left: then it is told, while the caller can
-  /// still do something else.
+  /// A call that will miss its target waits for at most its remaining time
+  /// divided by this, so that its caller can still react to the refusal.
   std::uint32_t m_latePart{ 3 };
-  /// Whether what still runs tells, too, that a worker has become slow.
+  /// Whether the age of unfinished runs counts when a worker slows down.
   bool m_seesSlowness{ true };
-  /// Calls that gain more use all of a worker from this share on: what they
-  /// leave is within the error of the estimate.
+  /// Share of a worker from which calls of higher gain are taken to use all of
+  /// it.
   double m_nothingLeft{ 0.95 };
 
-  // Asking before waiting.
+  // Asking a worker to refuse instead of queueing.
 
-  /// Workers that may say that they are busy before a call waits at one of
-  /// them: three choices with news of this moment are close to the shortest
-  /// queue of all, and cost at most two messages within the domain.
+  /// Busy answers after which a call is queued at one of the workers. More
+  /// answers shorten the wait little and cost a round trip each.
   std::uint32_t m_maxBusy{ 2 };
-  /// A wait of more than one part in so many of the time left to the target is
-  /// worth asking another worker, if asking has lately taken less than that. On
-  /// daemons with a tenth of a core under load an ask takes 5 to 20 ms: calls
-  /// that runs wait for were late by it, and the slots of their callers stood
-  /// still.
+  /// Another worker is asked if the expected wait is longer than the time left
+  /// to the target divided by this, and the round trip lately was shorter.
   std::uint32_t m_busyPart{ 20 };
-  /// Workers' daemons that a call is offered to after the first refused it.
-  /// Each costs a way there and back; the third has the same news as the ones
-  /// before.
+  /// Further workers that a call is offered to after the first refused it. Each
+  /// costs a round trip.
   std::uint32_t m_maxRedirects{ 2 };
 
-  // Placing.
+  // Placement.
 
-  /// Workers nearby, and as many beyond the domain, that are drawn at random
-  /// and weighed against each other; 0: all. Of forty callers that hear seldom
-  /// all would take the same one for the best: at 0.95 of capacity 1.4% of
-  /// calls miss their target, 0.6% with two (replayed load, tests/calls).
+  /// Workers compared in the local failure domain, and as many in other
+  /// domains, drawn at random; 0: all. With all, daemons with equally old load
+  /// reports select the same worker.
   std::uint32_t m_choices{ 2 };
-
-  /// Whether a worker whose own news is old is presumed to be as busy as what
-  /// others of its domain told lately.
+  /// Whether a worker without a recent load report is treated as being as busy
+  /// as the others of its domain.
   bool m_sharesNews{ true };
-  /// What a call loses of its worth when its answer comes late.
+  /// Fraction of its value that a call loses by a late answer.
   double m_lateLoss{ 0.6 };
-  /// Price of a KiB between failure domains, as a share of what a call is
-  /// worth; operators know theirs.
+  /// Cost of one KiB between failure domains, as a fraction of a call's value.
   double m_crossingPerKib{ 0.2 };
-  /// Whether the bytes of a request's body count for that price.
+  /// Whether the request body counts for that cost.
   bool m_countsRequestBody{ true };
-  /// Whether a worker that has told nothing yet is tried now and then.
+  /// Whether some calls go to workers that have not reported any load.
   bool m_explores{ true };
-  /// Whether failures and refusals that calls met push a worker back.
+  /// Whether failures and refusals of earlier calls lower a worker's
+  /// preference.
   bool m_pushesBack{ true };
-  /// Whether a worker that mostly fails is left out for a while.
+  /// Whether a worker with many failures is excluded for some time.
   bool m_ejects{ true };
 
   // Callers.
 
-  /// Whether the time that a call has lost before it came counts.
+  /// Whether the time since the caller's first attempt counts as elapsed.
   bool m_weighsAge{ true };
-  /// Whether failures that all workers of a service share keep calls from being
-  /// run again.
+  /// Whether calls are not retried while all workers of a service fail.
   bool m_seesCommonCause{ true };
 };
 
--- a/include/greengagehub/calls/route_table.hpp
+++ b/include/greengagehub/calls/route_table.hpp
@@ -8,17 +8,17 @@
 
 namespace greengagehub {
 
-/// \brief Finds the route of a call: exact host before any host, then the
-/// longest path prefix that ends at a segment.
+/// \brief Finds the route of a call: an exact host takes precedence over any
+/// host, then the longest path prefix that ends at a segment boundary.
 ///
-/// Built once for each version and kept beside it; it points into the
-/// content's shared entities and holds them by count.
+/// Built once for each configuration version. It shares ownership of the
+/// content's route entities.
 class RouteTable
 {
 public:
   explicit RouteTable(const Content& aContent);
 
-  /// \returns The route, or nullptr; valid as long as this table.
+  /// \returns The route, or nullptr; valid for the lifetime of the table.
   [[nodiscard]] const Route* Find(std::string_view aHost,
                                   std::string_view aPath) const;
 
@@ -26,8 +26,8 @@
   using RoutePtr = boost::intrusive_ptr<const Entity<Route>>;
   using Prefixes = std::map<std::string, RoutePtr, std::less<>>;
 
-  [[nodiscard]] static const Route* Longest(const Prefixes& aPrefixes,
-                                            std::string_view aPath);
+  [[nodiscard]] static const Route* FindLongestPrefix(const Prefixes& aPrefixes,
+                                                      std::string_view aPath);
 
   std::map<std::string, Prefixes, std::less<>> m_hosts;
 };
--- a/include/greengagehub/calls/run_table.hpp
+++ b/include/greengagehub/calls/run_table.hpp
@@ -16,19 +16,20 @@
 {
   std::uint32_t m_slots{ 20 };
   std::uint32_t m_queue{ 40 };
-  /// A cold worker's slots open evenly over this time.
+  /// Time over which the usable slots grow evenly from one to all.
   std::chrono::milliseconds m_warmUp{ 0 };
-  /// How long the end of an attempt is remembered, so that its late or
-  /// repeated messages find it.
-  std::chrono::milliseconds m_remember{ std::chrono::seconds{ 30 } };
-  /// Ended attempts remembered at most.
-  std::size_t m_maxRemembered{ 50'000 };
-  /// Taken off a queued call's deadline, so that "not run" arrives in time.
+  /// How long ended attempts are kept, to recognize late and duplicate
+  /// messages.
+  std::chrono::milliseconds m_retention{ std::chrono::seconds{ 30 } };
+  /// Limit on the number of ended attempts kept.
+  std::size_t m_maxRetained{ 50'000 };
+  /// Subtracted from a queued call's deadline, so that its refusal arrives in
+  /// time.
   std::chrono::milliseconds m_margin{ 5 };
   DecisionSettings m_decisions{};
 };
 
-/// \brief What becomes of an attempt that arrives.
+/// \brief Decision on an arriving attempt.
 struct Admission
 {
   enum class Kind : std::uint8_t
@@ -36,7 +37,7 @@
     Start,
     Queued,
     Refused,
-    /// Seen before: nothing is to be done.
+    /// The attempt is already known; no action is needed.
     Repeated,
   };
   Kind m_kind{ Kind::Refused };
@@ -44,18 +45,18 @@
   std::chrono::milliseconds m_retryAfter{ 0 };
 };
 
-/// \brief What a cancellation met.
+/// \brief State in which a cancellation found its attempt.
 enum class CancelResult : std::uint8_t
 {
-  /// Never started, and never will now.
+  /// Not started, and it will not be.
   NotStarted,
   Running,
   Finished,
-  /// So long ago that nothing is remembered: it may have run.
+  /// No longer recorded; it may have been executed.
   Forgotten,
 };
 
-/// \brief An attempt that will never run and must be told so.
+/// \brief A queued attempt that was refused; its caller is to be informed.
 struct RefusedRun
 {
   CallKey m_key;
@@ -63,19 +64,19 @@
   std::chrono::milliseconds m_retryAfter{ 0 };
 };
 
-/// \brief What a step of the run table asks for.
+/// \brief Actions that the caller of a run table method has to carry out.
 struct RunActions
 {
   std::vector<CallKey> m_start;
   std::vector<RefusedRun> m_refused;
 };
 
-/// \brief Every attempt at one worker: queued, running, done, or cancelled
-/// before it arrived. Its word alone decides what "not run" is said about.
+/// \brief State of every attempt at one worker: queued, running, finished, or
+/// cancelled before its request arrived.
 ///
-/// An attempt leaves Queued once, to Running or to Refused, and only Running
-/// touches the worker. "Not run" is told only of attempts that are Refused or
-/// were marked before they came, and neither can become Running any more.
+/// An attempt leaves Queued once, to Running or to Refused, and only a running
+/// attempt is sent to the worker. "Not run" is reported only for attempts that
+/// are Refused, which can no longer become Running.
 class RunTable
 {
 public:
@@ -90,46 +91,45 @@
   {
     return m_running + m_queued;
   }
-  /// \returns How many ended attempts are remembered.
-  [[nodiscard]] std::size_t Remembered() const noexcept
+  /// \returns Number of ended attempts that are kept.
+  [[nodiscard]] std::size_t RetainedCount() const noexcept
   {
     return m_ended.size();
   }
-  [[nodiscard]] bool IsLeaving() const noexcept { return m_leaving; }
-  /// \returns Expected wait of a call that came now.
+  [[nodiscard]] bool IsLeaving() const noexcept { return m_draining; }
+  /// \returns Expected queueing delay of a call of the lowest rank.
   [[nodiscard]] std::chrono::milliseconds ExpectedWait(TimePoint aNow) const;
 
-  /// \brief An attempt arrived. One that goes before others may push the last
-  /// of them out of a full queue; that one is in `aOut`.
+  /// \brief Handles an arriving attempt. With a full queue it may displace a
+  /// queued attempt of lower rank, which is then refused in `aOut`.
   [[nodiscard]] Admission Admit(TimePoint aNow,
                                 CallKey aKey,
                                 std::uint64_t aEpoch,
                                 const WorkDemand& aDemand,
                                 RunActions& aOut);
-  /// \returns When OnTick has something to do next, if ever.
+  /// \returns When the next queued attempt expires, if any.
   [[nodiscard]] std::optional<TimePoint> NextExpiry() const;
-  /// \brief Cancels an attempt that has not started, whether or not it has
-  /// arrived yet.
+  /// \brief Cancels an attempt that has not started, even if its request has
+  /// not arrived yet.
   [[nodiscard]] CancelResult Cancel(TimePoint aNow, CallKey aKey);
-  /// \brief The worker is done with it, whatever came of it.
+  /// \brief Marks a running attempt as finished, with or without an answer.
   [[nodiscard]] RunActions Finish(TimePoint aNow, CallKey aKey);
-  /// \brief A caller opened a newer connection: what is queued from older
-  /// ones never starts.
+  /// \brief Drops queued attempts from older connections of a caller that has
+  /// opened a new one.
   void CloseEpochs(TimePoint aNow,
                    std::uint64_t aProcess,
                    std::uint64_t aBelowEpoch);
   [[nodiscard]] RunActions OnTick(TimePoint aNow);
-  /// \brief Refuses what is queued and all that comes.
+  /// \brief Refuses all queued and new attempts; running ones may finish.
   [[nodiscard]] RunActions StartLeaving(TimePoint aNow);
-  /// \brief Takes calls again, for another worker at the same place.
-  void Reopen() noexcept { m_leaving = false; }
-  /// \brief Another process answers from now on: how long the former one took
-  /// says nothing of it. What waits here was not handed out and stays; what
-  /// runs is the former one's until it ends.
+  /// \brief Accepts attempts again, for a new incarnation of the worker.
+  void Reopen() noexcept { m_draining = false; }
+  /// \brief Discards the service times of the previous incarnation. Queued
+  /// attempts stay; running ones remain assigned to the previous incarnation.
   void OnWorkerRestarted();
-  /// \returns Moving mean of the time that the worker takes for such calls.
+  /// \returns Expected service time of calls of this kind.
   [[nodiscard]] Duration ServiceTime(TimePoint aNow, CallKind aKind) const;
-  /// \returns What such a call would wait if it came now.
+  /// \returns Expected queueing delay of such a call if it arrived now.
   [[nodiscard]] Duration WaitOf(TimePoint aNow,
                                 std::uint32_t aPriority,
                                 CallKind aKind) const;
@@ -145,7 +145,7 @@
     Queued,
     Running,
     Finished,
-    /// Never ran and never will.
+    /// Never executed.
     Refused,
   };
   struct Run : boost::intrusive::list_base_hook<>
@@ -158,12 +158,12 @@
     State m_state{ State::Queued };
     TimePoint m_target;
     TimePoint m_deadline;
-    /// While queued: when waiting on stops making sense.
+    /// When a queued attempt is refused.
     TimePoint m_expires;
     TimePoint m_since;
-    /// While running: which start of the worker it was handed to.
-    std::uint32_t m_workerStarts{ 0 };
-    /// While running: how long it should take, if that is known.
+    /// Incarnation of the worker to which a running attempt was sent.
+    std::uint32_t m_workerIncarnation{ 0 };
+    /// Expected service time of a running attempt, if known.
     std::optional<Duration> m_expected{};
   };
   struct KeyHash
@@ -179,67 +179,65 @@
   [[nodiscard]] std::uint32_t QueueLimit(CallClass aClass) const noexcept;
   [[nodiscard]] std::uint32_t QueuedOf(CallClass aClass) const noexcept;
   [[nodiscard]] WorkRank Rank(TimePoint aNow, const Run& aRun) const;
-  /// \returns Work that waits and goes before a call of this rank.
-  [[nodiscard]] Duration WorkBefore(TimePoint aNow,
-                                    const WorkRank& aRank) const;
-  [[nodiscard]] Duration WaitFor(TimePoint aNow, const WorkRank& aRank) const;
-  /// \returns As WaitFor, with what will come before it while it waits;
-  /// nothing when that leaves nothing.
-  [[nodiscard]] std::optional<Duration> ForeseenWait(
+  /// \returns Service time of the queued calls served before this rank.
+  [[nodiscard]] Duration WorkAhead(TimePoint aNow, const WorkRank& aRank) const;
+  [[nodiscard]] Duration EstimateWait(TimePoint aNow,
+                                      const WorkRank& aRank) const;
+  /// \returns EstimateWait() including calls that arrive later and are served
+  /// first; nothing if those use all slots.
+  [[nodiscard]] std::optional<Duration> PredictedWait(
     TimePoint aNow,
     const WorkRank& aRank) const;
-  [[nodiscard]] Admission Refused(TimePoint aNow,
-                                  CallKey aKey,
-                                  RefusalReason aReason);
-  /// \returns Whether its wait is worth asking another worker instead.
+  [[nodiscard]] Admission RefuseArrival(TimePoint aNow,
+                                        CallKey aKey,
+                                        RefusalReason aReason);
+  /// \returns Whether the wait is long enough to ask another worker.
   [[nodiscard]] bool IsBusyFor(TimePoint aNow, const Run& aRun) const;
   [[nodiscard]] std::optional<RefusalReason> ReasonToRefuse(
     TimePoint aNow,
     const Run& aRun) const;
-  /// \returns By how many times the worker is slower than its runs that ended
-  /// tell.
+  /// \returns Factor by which the worker is slower than its finished runs.
   [[nodiscard]] double SlownessAt(TimePoint aNow) const;
-  /// \brief Refuses what waits in vain, now that the worker has become slow;
-  /// another one may still be in time.
-  void RefuseInVain(TimePoint aNow, RunActions& aOut);
+  /// \brief If the worker has become slow, refuses queued calls that it would
+  /// answer too late, so that they can be sent elsewhere.
+  void RefuseQueuedIfSlow(TimePoint aNow, RunActions& aOut);
   [[nodiscard]] bool MakeRoom(TimePoint aNow,
                               const Run& aFor,
                               RunActions& aOut);
-  [[nodiscard]] Run* NextInTurn(TimePoint aNow);
-  [[nodiscard]] bool IsForgotten(CallKey aKey) const;
-  void Forget(TimePoint aNow);
-  Run& Remember(TimePoint aNow, CallKey aKey, State aState);
+  [[nodiscard]] Run* HighestRanked(TimePoint aNow);
+  [[nodiscard]] bool IsEvicted(CallKey aKey) const;
+  void EvictEnded(TimePoint aNow);
+  Run& AddRun(TimePoint aNow, CallKey aKey, State aState);
   void StartRun(TimePoint aNow, Run& aRun);
-  void EndQueued(TimePoint aNow, Run& aRun);
-  void StartWaiting(TimePoint aNow, RunActions& aOut);
-  void ExpireWaiting(TimePoint aNow, RunActions& aOut);
+  void RefuseQueued(TimePoint aNow, Run& aRun);
+  void StartQueued(TimePoint aNow, RunActions& aOut);
+  void ExpireQueued(TimePoint aNow, RunActions& aOut);
   static void CopyDemand(const Run& aFrom, Run& aTo);
   [[nodiscard]] TimePoint ExpiryOf(TimePoint aNow, const Run& aRun) const;
 
   RunTableSettings m_settings;
   std::unordered_map<CallKey, std::unique_ptr<Run>, KeyHash> m_runs;
-  /// In order of arrival.
-  RunList m_waiting;
-  /// Finished and refused ones, oldest first.
+  /// Queued attempts in order of arrival.
+  RunList m_queuedRuns;
+  /// Finished and refused attempts, oldest first.
   RunList m_ended;
-  /// For each caller process, the highest number that was forgotten. Numbers
-  /// of a process only grow, and reach a worker in order on each connection,
-  /// so that whatever is unknown at or below it is old, and may have run.
-  struct Horizon
+  /// Highest attempt number evicted for a caller process. Numbers of a process
+  /// increase, so an unknown attempt up to this number may have been executed.
+  struct EvictionMark
   {
     std::uint64_t m_call{ 0 };
     TimePoint m_since;
   };
-  std::unordered_map<std::uint64_t, Horizon> m_horizons;
+  std::unordered_map<std::uint64_t, EvictionMark> m_evictionMarks;
   std::uint32_t m_running{ 0 };
   std::uint32_t m_queued{ 0 };
-  bool m_leaving{ false };
+  bool m_draining{ false };
   TimePoint m_firstCall{};
-  ServiceTimes m_services;
-  /// Starts of the worker that were followed by another.
-  std::uint32_t m_workerStarts{ 0 };
-  RunningAge m_runningAge;
-  OnTimeLoad m_onTime;
+  ServiceTimes m_serviceTimes;
+  /// Number of worker restarts so far.
+  std::uint32_t m_workerIncarnation{ 0 };
+  SlownessDetector m_slowness;
+  OnTimeLoad m_onTimeLoad;
 };
 
 }
--- a/include/greengagehub/calls/work_order.hpp
+++ b/include/greengagehub/calls/work_order.hpp
@@ -12,61 +12,55 @@
 
 namespace greengagehub {
 
-/// \brief What a call asks of a worker, as far as its turn depends on it.
+/// \brief Properties of a call that admission and queue order depend on.
 struct WorkDemand
 {
-  /// How much of a full queue it may use.
+  /// Determines the part of the queue that the call may use.
   CallClass m_class{ CallClass::Critical };
-  /// Rank among those that wait, 0 first.
+  /// Rank in the queue; 0 is served first.
   std::uint32_t m_priority{ 0 };
   CallKind m_kind{};
   std::chrono::microseconds m_timeLeft{ 0 };
-  /// Until an answer stops being as good as an immediate one; never above
-  /// m_timeLeft.
+  /// Time left to the target latency; at most m_timeLeft.
   std::chrono::microseconds m_targetLeft{ 0 };
-  /// To be refused rather than to wait.
+  /// Whether to refuse the call instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
 
-/// \brief Moving means of how long calls run at one worker, by kind.
+/// \brief Moving average of the service time at one worker, for each kind.
 class ServiceTimes
 {
 public:
-  /// \returns The mean of the kind. While it is unknown, the least of those
-  /// that are known, less where its target is nearer: a kind that never ran
-  /// must not be refused for the time that others take, or it would never run
-  /// and stay unknown.
+  /// \returns The average of the kind. Before its first sample, the smallest
+  /// average of all kinds, scaled down for a shorter target: an overestimate
+  /// would refuse every call of the kind and no sample would ever be taken.
   [[nodiscard]] Duration Of(CallKind aKind) const;
-  /// \returns The mean of the kind, if calls of it have ended.
+  /// \returns The average of the kind, if calls of it have finished.
   [[nodiscard]] std::optional<Duration> Known(CallKind aKind) const;
-  /// \returns The mean over all calls.
+  /// \returns The average over all calls.
   [[nodiscard]] Duration Mean() const noexcept { return m_mean; }
 
-  void Note(CallKind aKind, Duration aTook);
+  void Record(CallKind aKind, Duration aTook);
 
 private:
   std::map<CallKind, Duration> m_kinds;
   Duration m_mean{ std::chrono::milliseconds{ 1 } };
 };
 
-/// \brief Turn of a waiting call; the greatest gain goes first, then the one
-/// that is due first.
+/// \brief Queue position of a call: highest gain first, then earliest due time.
 ///
-/// Answers the load pattern where more is asked than workers can do, by calls
-/// of unlike length: what a worker earns is bounded by the time of its slots,
-/// so that the call goes first which earns most for each second of one. A brief
-/// call whose loss would throw away the run that waits for it passes reads that
-/// take ten times as long; a call that is late passes only those that take more
-/// than its part of their time.
+/// Under overload slot time is the scarce resource, so calls are ordered by
+/// value for each second of a slot: short calls pass long ones, and late calls
+/// count less.
 struct WorkRank
 {
-  /// Part of a call's credit that each second of a slot earns.
+  /// Value of the call for each second of a slot.
   double m_gain{ 0.0 };
   TimePoint m_due{};
-  /// Its target will be missed, whenever it starts.
+  /// Whether the target is missed even if the call starts now.
   bool m_late{ false };
 
-  /// \returns Whether it goes before the other one.
+  /// \returns Whether this call is served before the other one.
   [[nodiscard]] bool IsBefore(const WorkRank& aOther) const noexcept
   {
     return m_gain != aOther.m_gain ? m_gain > aOther.m_gain
@@ -74,15 +68,15 @@
   }
 };
 
-/// \returns What a call earns for each second of a slot, on time or late.
+/// \returns Value of a call, on time or late, for each second of a slot.
 [[nodiscard]] double
 GainOf(const DecisionSettings& aDecisions,
        Duration aService,
        std::uint32_t aPriority,
        bool aIsLate) noexcept;
 
-/// \param aService how long the call is expected to run.
-/// \param aTarget when an answer stops being as good as an immediate one.
+/// \param aService expected service time of the call.
+/// \param aTarget time by which the call meets its target latency.
 [[nodiscard]] WorkRank
 RankOf(const DecisionSettings& aDecisions,
        TimePoint aNow,
@@ -91,16 +85,16 @@
        TimePoint aTarget,
        TimePoint aDeadline) noexcept;
 
-/// \brief Work that comes to a worker and is admitted on time, by what it
-/// gains. Whoever gains less gets what that leaves; where nothing is left,
-/// waiting would be in vain and it is refused at once.
+/// \brief Recent load of calls that were admitted on time, by gain. Calls of
+/// lower gain get only the capacity that this load leaves; with none left they
+/// are refused without queueing.
 class OnTimeLoad
 {
 public:
-  /// \param aGain of such calls while they are on time.
+  /// \param aGain gain of such calls when on time.
   void Add(TimePoint aNow, CallKind aKind, double aGain, Duration aService);
-  /// \returns The share of a worker's slots that calls of more gain take, above
-  /// 1 when more comes than fits.
+  /// \returns Share of the slots used by calls of higher gain; above 1 under
+  /// overload.
   [[nodiscard]] double ShareAbove(TimePoint aNow,
                                   double aGain,
                                   std::uint32_t aSlots) const;
--- a/include/greengagehub/calls/worker_presence.hpp
+++ b/include/greengagehub/calls/worker_presence.hpp
@@ -10,37 +10,35 @@
 
 namespace greengagehub {
 
-/// \brief What a backend server says of itself in a heartbeat.
+/// \brief Content of a backend server's heartbeat.
 struct WorkerReport
 {
   WorkerStart m_start{};
   std::string m_service{};
   std::string m_address{};
-  /// Version of its software; empty: not told.
+  /// Software version; empty: not reported.
   std::string m_version{};
-  /// Requests it processes at once.
+  /// Requests that it processes concurrently.
   std::uint32_t m_slots{ 0 };
   bool m_leaving{ false };
-  /// How much longer it is slow after its start.
+  /// Time left until the end of its warm-up.
   std::chrono::milliseconds m_coldLeft{ 0 };
-  /// Grows with each report of one start; each start counts anew.
+  /// Increases with each report of an incarnation.
   std::uint64_t m_sequence{ 0 };
 };
 
-/// \brief What is believed of the backend server beside this daemon, from its
+/// \brief Tracks the current incarnation of the local backend server from its
 /// heartbeats.
 ///
-/// Reports come late, twice and out of order, also those of a start that has
-/// crashed meanwhile. Of two starts the one born later is the newer one, and it
-/// is believed at its first report. Where that does not tell (the time of day
-/// stepped back in between, or a start that was followed by another speaks
-/// again), a start is believed at its second report, if the one known has
-/// missed its own meanwhile: a late report has no successor, and one that lives
-/// goes on reporting.
+/// Reports may be late, duplicated or out of order, including those of an
+/// incarnation that has crashed. An incarnation with a later start time is
+/// accepted at its first report. Where start times do not decide (the clock was
+/// set back, or a replaced incarnation reports again), it is accepted at its
+/// second report if the current one has missed a heartbeat by then.
 class WorkerPresence
 {
 public:
-  /// \param aPeriod time between two heartbeats.
+  /// \param aPeriod heartbeat interval.
   explicit WorkerPresence(std::chrono::milliseconds aPeriod) noexcept
     : m_period(aPeriod)
   {
@@ -48,17 +46,17 @@
 
   enum class Change : std::uint8_t
   {
-    /// Nothing new, or a report that was late.
+    /// No change, or an outdated report.
     None,
-    /// A start that was not known before.
+    /// A new incarnation.
     Arrived,
-    /// The same one with other figures.
+    /// The same incarnation with another number of slots or start time.
     Updated,
-    /// It leaves: no new requests.
+    /// It is shutting down and gets no new requests.
     Leaving,
   };
 
-  /// \returns The backend server, or nothing while none is known.
+  /// \returns The last accepted report, if any.
   [[nodiscard]] const std::optional<WorkerReport>& Current() const noexcept
   {
     return m_current;
@@ -68,54 +66,56 @@
   {
     return m_current && !m_current->m_leaving;
   }
-  /// \returns When the start before this one last reported; it was alive then.
+  /// \returns When the previous incarnation last reported.
   [[nodiscard]] TimePoint FormerHeardAt() const noexcept
   {
-    return m_formerHeardAt;
+    return m_previousLastReportAt;
   }
-  /// \returns Whether it has missed several heartbeats.
+  /// \returns Whether the backend server has missed several heartbeats.
   [[nodiscard]] bool IsSilent(TimePoint aNow) const noexcept;
 
   [[nodiscard]] Change OnReport(TimePoint aNow, const WorkerReport& aReport);
-  /// \brief It was asked for its id and gave one; counts until its first
-  /// report.
+  /// \brief Handles a health check response with the backend server's ID. It is
+  /// used until the first heartbeat.
   [[nodiscard]] Change OnProbed(TimePoint aNow, WorkerReport aReport);
-  /// \brief It said that it has left, though it may still serve.
+  /// \brief Handles a leave message; the backend server may still be serving.
   [[nodiscard]] Change OnLeft(TimePoint aNow, const WorkerStart& aStart);
 
 private:
-  /// A start that is over, or that left before it was known here.
-  struct Former
+  /// A replaced incarnation, or one that left before its first report.
+  struct PastIncarnation
   {
     WorkerStart m_start;
-    /// Of its last report.
+    /// Sequence number of its last report.
     std::uint64_t m_sequence{ 0 };
     TimePoint m_since{};
   };
 
-  [[nodiscard]] const Former* FindFormer(TimePoint aNow,
-                                         const WorkerStart& aStart) const;
-  /// \returns Whether its first report is enough to believe in it.
+  [[nodiscard]] const PastIncarnation* FindPast(
+    TimePoint aNow,
+    const WorkerStart& aStart) const;
+  /// \returns Whether the incarnation is accepted at its first report.
   [[nodiscard]] bool IsSuccessor(TimePoint aNow,
                                  const WorkerReport& aReport) const;
-  /// \returns Whether a start of which IsSuccessor() says no is to be believed
-  /// by now.
-  [[nodiscard]] bool HasProved(TimePoint aNow, const WorkerReport& aReport);
-  [[nodiscard]] Change TakeOwn(TimePoint aNow, const WorkerReport& aReport);
+  /// \returns Whether an incarnation that IsSuccessor() rejects is accepted by
+  /// a further report.
+  [[nodiscard]] bool IsConfirmed(TimePoint aNow, const WorkerReport& aReport);
+  [[nodiscard]] Change UpdateCurrent(TimePoint aNow,
+                                     const WorkerReport& aReport);
   [[nodiscard]] Change Replace(TimePoint aNow, const WorkerReport& aReport);
-  void AddFormer(Former aFormer);
+  void AddPast(PastIncarnation aPast);
 
   std::chrono::milliseconds m_period;
   std::optional<WorkerReport> m_current;
-  TimePoint m_heardAt{};
-  TimePoint m_formerHeardAt{};
-  /// Newest last.
-  std::deque<Former> m_former;
-  /// Last report of a start that is not believed yet.
-  std::optional<WorkerReport> m_contender;
-  /// Its reports tell the time of its start; one that does not is another
-  /// writer's.
-  bool m_tellsBorn{ false };
+  TimePoint m_lastReportAt{};
+  TimePoint m_previousLastReportAt{};
+  /// Past incarnations, newest last.
+  std::deque<PastIncarnation> m_past;
+  /// Last report of an incarnation that is not accepted yet.
+  std::optional<WorkerReport> m_candidate;
+  /// Whether reports have a start time. Those without one are then ignored, as
+  /// they come from another sender.
+  bool m_reportsStartTime{ false };
 };
 
 }
--- a/include/greengagehub/calls/worker_start.hpp
+++ b/include/greengagehub/calls/worker_start.hpp
@@ -8,27 +8,25 @@
 
 namespace greengagehub {
 
-/// \brief One start of a backend server. Its id alone does not tell: a backend
-/// server that crashed may start again under the id that it had, and then holds
-/// and knows nothing of before.
+/// \brief One incarnation of a backend server: a process from start to exit. A
+/// restarted backend server may keep its ID, but has lost all earlier state.
 struct WorkerStart
 {
   std::string m_id{};
-  /// Time of day of its start as it tells itself. Nothing where only its id is
-  /// known, as from its health check. The time of day may step back between two
-  /// starts.
+  /// Wall clock time of the start as the backend server reports it; not
+  /// monotonic. Empty where only the ID is known, as from a health check.
   std::optional<WallTime> m_born{};
 
   [[nodiscard]] bool operator==(const WorkerStart&) const = default;
 };
 
-/// \returns Whether both may be one start: the same id, and no two times of
-/// start that differ.
+/// \returns Whether both may be the same incarnation: equal IDs, and equal
+/// start times if both have one.
 [[nodiscard]] bool
 MayBeSame(const WorkerStart& aLeft, const WorkerStart& aRight) noexcept;
 
-/// \brief A short name of a start for news between daemons, which only ask
-/// whether two are the same. 0 stands for a start that is not told.
+/// \brief Short hash of an incarnation that daemons compare for equality; 0:
+/// not known.
 using StartTag = std::uint32_t;
 
 /// \returns Never 0.
--- a/src/calls/call_age.cpp
+++ b/src/calls/call_age.cpp
@@ -9,16 +9,16 @@
 CallAge::Of(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection) const
 {
   using std::chrono::milliseconds;
-  if (!aIsFirstOnConnection || m_seen < kLeastSeen) {
+  if (!aIsFirstOnConnection || m_sampleCount < kMinSamples) {
     return milliseconds::zero();
   }
-  const auto count = std::min(m_seen, kRemembered);
-  const auto end = m_firstTries.begin() + static_cast<std::ptrdiff_t>(count);
-  if (aAsked >= *std::min_element(m_firstTries.begin(), end)) {
+  const auto count = std::min(m_sampleCount, kMaxSamples);
+  const auto end = m_samples.begin() + static_cast<std::ptrdiff_t>(count);
+  if (aAsked >= *std::min_element(m_samples.begin(), end)) {
     return milliseconds::zero();
   }
   const milliseconds sum =
-    std::accumulate(m_firstTries.begin(), end, milliseconds::zero());
+    std::accumulate(m_samples.begin(), end, milliseconds::zero());
   return sum / static_cast<std::chrono::milliseconds::rep>(count) - aAsked;
 }
 
@@ -26,8 +26,8 @@
 CallAge::Note(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection)
 {
   if (!aIsFirstOnConnection) {
-    m_firstTries[m_seen % kRemembered] = aAsked;
-    ++m_seen;
+    m_samples[m_sampleCount % kMaxSamples] = aAsked;
+    ++m_sampleCount;
   }
 }
 
--- a/src/calls/route_table.cpp
+++ b/src/calls/route_table.cpp
@@ -11,19 +11,20 @@
 }
 
 const Route*
-RouteTable::Longest(const Prefixes& aPrefixes, std::string_view aPath)
+RouteTable::FindLongestPrefix(const Prefixes& aPrefixes, std::string_view aPath)
 {
-  // Try the whole path, then each shorter prefix that ends at a segment: as
-  // many look-ups as the path has segments, whatever the number of routes.
+  // Looks up the whole path, then each shorter prefix that ends at a segment
+  // boundary, so that the cost does not depend on the number of routes.
   std::string_view prefix = aPath;
   while (!prefix.empty()) {
     const auto found = aPrefixes.find(prefix);
     if (found != aPrefixes.end()) {
       return &found->second->m_value;
     }
-    const bool slash = prefix.back() == '/' && prefix.size() > 1;
-    const std::size_t cut = slash ? prefix.size() - 1 : prefix.rfind('/') + 1;
-    prefix = prefix.substr(0, cut == prefix.size() ? 0 : cut);
+    const bool endsInSlash = prefix.back() == '/' && prefix.size() > 1;
+    const std::size_t length =
+      endsInSlash ? prefix.size() - 1 : prefix.rfind('/') + 1;
+    prefix = prefix.substr(0, length == prefix.size() ? 0 : length);
   }
   return nullptr;
 }
@@ -36,7 +37,7 @@
     if (prefixes == m_hosts.end()) {
       continue;
     }
-    if (const Route* route = Longest(prefixes->second, aPath)) {
+    if (const Route* route = FindLongestPrefix(prefixes->second, aPath)) {
       return route;
     }
   }
--- a/src/calls/run_table.cpp
+++ b/src/calls/run_table.cpp
@@ -6,14 +6,13 @@
 
 namespace {
 
-/// A caller process that has been silent for longer than any connection lives
-/// cannot ask any more.
-constexpr auto kHorizonLife = std::chrono::hours{ 1 };
-constexpr auto kLeastRetryAfter = std::chrono::milliseconds{ 10 };
-/// A worker that has become this many times slower is left by what waits there
-/// in vain. Below it the estimate is too near to usual spread to take back an
-/// admission.
-constexpr double kMuchSlower = 2.0;
+/// Longer than any connection lives; a caller process that was silent for this
+/// long sends no further message about its attempts.
+constexpr auto kEvictionMarkLife = std::chrono::hours{ 1 };
+constexpr auto kMinRetryAfter = std::chrono::milliseconds{ 10 };
+/// Slowness from which queued calls are refused again. Lower values are too
+/// close to the normal variance of service times.
+constexpr double kRefuseQueuedSlowness = 2.0;
 
 }
 
@@ -24,7 +23,7 @@
 
 RunTable::~RunTable()
 {
-  m_waiting.clear();
+  m_queuedRuns.clear();
   m_ended.clear();
 }
 
@@ -38,12 +37,12 @@
 void
 RunTable::OnWorkerRestarted()
 {
-  ++m_workerStarts;
-  m_services = ServiceTimes{};
+  ++m_workerIncarnation;
+  m_serviceTimes = ServiceTimes{};
 }
 
 RunTable::Run&
-RunTable::Remember(TimePoint aNow, CallKey aKey, State aState)
+RunTable::AddRun(TimePoint aNow, CallKey aKey, State aState)
 {
   auto run = std::make_unique<Run>();
   run->m_key = aKey;
@@ -55,10 +54,10 @@
 }
 
 Admission
-RunTable::Refused(TimePoint aNow, CallKey aKey, RefusalReason aReason)
+RunTable::RefuseArrival(TimePoint aNow, CallKey aKey, RefusalReason aReason)
 {
-  m_ended.push_back(Remember(aNow, aKey, State::Refused));
-  const auto wait = std::max(ExpectedWait(aNow), kLeastRetryAfter);
+  m_ended.push_back(AddRun(aNow, aKey, State::Refused));
+  const auto wait = std::max(ExpectedWait(aNow), kMinRetryAfter);
   return { Admission::Kind::Refused, aReason, wait };
 }
 
@@ -72,7 +71,7 @@
     return true;
   }
   Run* last = nullptr;
-  for (Run& each : m_waiting) {
+  for (Run& each : m_queuedRuns) {
     if (last == nullptr || !Rank(aNow, each).IsBefore(Rank(aNow, *last))) {
       last = &each;
     }
@@ -82,8 +81,8 @@
   }
   aOut.m_refused.push_back({ last->m_key,
                              RefusalReason::Overloaded,
-                             std::max(ExpectedWait(aNow), kLeastRetryAfter) });
-  EndQueued(aNow, *last);
+                             std::max(ExpectedWait(aNow), kMinRetryAfter) });
+  RefuseQueued(aNow, *last);
   return true;
 }
 
@@ -99,20 +98,20 @@
   }
   const auto known = m_runs.find(aKey);
   if (known != m_runs.end()) {
-    // Cancelled before it came: the mark says that "not run" was told.
-    const bool marked = known->second->m_state == State::Refused;
-    return { marked ? Admission::Kind::Refused : Admission::Kind::Repeated,
+    // Refused or cancelled before: the caller was already told "not run".
+    const bool isRefused = known->second->m_state == State::Refused;
+    return { isRefused ? Admission::Kind::Refused : Admission::Kind::Repeated,
              RefusalReason::Cancelled,
              {} };
   }
-  if (IsForgotten(aKey)) {
+  if (IsEvicted(aKey)) {
     return { Admission::Kind::Repeated, RefusalReason::None, {} };
   }
-  if (m_leaving) {
-    return Refused(aNow, aKey, RefusalReason::Leaving);
+  if (m_draining) {
+    return RefuseArrival(aNow, aKey, RefusalReason::Leaving);
   }
   if (aDemand.m_timeLeft <= m_settings.m_margin) {
-    return Refused(aNow, aKey, RefusalReason::DeadlineTooShort);
+    return RefuseArrival(aNow, aKey, RefusalReason::DeadlineTooShort);
   }
   Run offered;
   offered.m_key = aKey;
@@ -125,27 +124,27 @@
   const bool starts = m_running < OpenSlots(aNow);
   if (!starts) {
     if (aDemand.m_refuseIfBusy && IsBusyFor(aNow, offered)) {
-      return Refused(aNow, aKey, RefusalReason::Busy);
+      return RefuseArrival(aNow, aKey, RefusalReason::Busy);
     }
     if (const auto reason = ReasonToRefuse(aNow, offered)) {
-      return Refused(aNow, aKey, *reason);
+      return RefuseArrival(aNow, aKey, *reason);
     }
     if (!MakeRoom(aNow, offered, aOut)) {
-      return Refused(aNow, aKey, RefusalReason::Overloaded);
+      return RefuseArrival(aNow, aKey, RefusalReason::Overloaded);
     }
   }
   if (const WorkRank rank = Rank(aNow, offered); !rank.m_late) {
-    m_onTime.Add(
-      aNow, offered.m_kind, rank.m_gain, m_services.Of(offered.m_kind));
+    m_onTimeLoad.Add(
+      aNow, offered.m_kind, rank.m_gain, m_serviceTimes.Of(offered.m_kind));
   }
-  Run& run = Remember(aNow, aKey, State::Queued);
+  Run& run = AddRun(aNow, aKey, State::Queued);
   CopyDemand(offered, run);
   if (starts) {
     StartRun(aNow, run);
     return { Admission::Kind::Start };
   }
   run.m_expires = ExpiryOf(aNow, run);
-  m_waiting.push_back(run);
+  m_queuedRuns.push_back(run);
   ++m_queued;
   return { Admission::Kind::Queued };
 }
@@ -164,14 +163,14 @@
 TimePoint
 RunTable::ExpiryOf(TimePoint aNow, const Run& aRun) const
 {
-  // Past the first it could not be answered in time; past the second it is
-  // late already, and its caller has better things to do than wait.
-  const TimePoint inVain =
+  // After the first the deadline would be missed; after the second the call is
+  // late and its caller should be able to react.
+  const TimePoint latestStart =
     aRun.m_deadline - m_settings.m_margin - ServiceTime(aNow, aRun.m_kind);
-  const TimePoint patience = std::max(
+  const TimePoint waitUntil = std::max(
     aRun.m_target,
     aNow + (aRun.m_deadline - aNow) / m_settings.m_decisions.m_latePart);
-  return std::max(aNow, std::min(inVain, patience));
+  return std::max(aNow, std::min(latestStart, waitUntil));
 }
 
 void
@@ -179,18 +178,18 @@
 {
   aRun.m_state = State::Running;
   aRun.m_since = aNow;
-  aRun.m_workerStarts = m_workerStarts;
-  aRun.m_expected = m_services.Known(aRun.m_kind);
+  aRun.m_workerIncarnation = m_workerIncarnation;
+  aRun.m_expected = m_serviceTimes.Known(aRun.m_kind);
   if (aRun.m_expected) {
-    m_runningAge.Started(aNow, *aRun.m_expected);
+    m_slowness.Started(aNow, *aRun.m_expected);
   }
   ++m_running;
 }
 
 void
-RunTable::EndQueued(TimePoint aNow, Run& aRun)
+RunTable::RefuseQueued(TimePoint aNow, Run& aRun)
 {
-  m_waiting.erase(m_waiting.iterator_to(aRun));
+  m_queuedRuns.erase(m_queuedRuns.iterator_to(aRun));
   --m_queued;
   aRun.m_state = State::Refused;
   aRun.m_since = aNow;
@@ -201,18 +200,18 @@
 RunTable::Cancel(TimePoint aNow, CallKey aKey)
 {
   const auto known = m_runs.find(aKey);
-  if (known == m_runs.end() && IsForgotten(aKey)) {
+  if (known == m_runs.end() && IsEvicted(aKey)) {
     return CancelResult::Forgotten;
   }
   if (known == m_runs.end()) {
-    // The cancellation overtook its request: leave a mark, so that the
-    // request is not run when it arrives.
-    m_ended.push_back(Remember(aNow, aKey, State::Refused));
+    // The cancellation arrived first: record it, so that the request is not
+    // executed when it arrives.
+    m_ended.push_back(AddRun(aNow, aKey, State::Refused));
     return CancelResult::NotStarted;
   }
   Run& run = *known->second;
   if (run.m_state == State::Queued) {
-    EndQueued(aNow, run);
+    RefuseQueued(aNow, run);
   }
   switch (run.m_state) {
     case State::Running:
@@ -228,7 +227,7 @@
 RunTable::NextExpiry() const
 {
   std::optional<TimePoint> next;
-  for (const Run& run : m_waiting) {
+  for (const Run& run : m_queuedRuns) {
     next = next ? std::min(*next, run.m_expires) : run.m_expires;
   }
   return next;
@@ -244,25 +243,25 @@
   }
   Run& run = *known->second;
   if (run.m_expected) {
-    m_runningAge.Ended(run.m_since, *run.m_expected);
+    m_slowness.Ended(run.m_since, *run.m_expected);
   }
-  if (run.m_workerStarts == m_workerStarts) {
-    m_services.Note(run.m_kind, aNow - run.m_since);
+  if (run.m_workerIncarnation == m_workerIncarnation) {
+    m_serviceTimes.Record(run.m_kind, aNow - run.m_since);
   }
   run.m_state = State::Finished;
   run.m_since = aNow;
   m_ended.push_back(run);
   --m_running;
-  StartWaiting(aNow, out);
-  Forget(aNow);
+  StartQueued(aNow, out);
+  EvictEnded(aNow);
   return out;
 }
 
 RunTable::Run*
-RunTable::NextInTurn(TimePoint aNow)
+RunTable::HighestRanked(TimePoint aNow)
 {
   Run* next = nullptr;
-  for (Run& each : m_waiting) {
+  for (Run& each : m_queuedRuns) {
     if (next == nullptr || Rank(aNow, each).IsBefore(Rank(aNow, *next))) {
       next = &each;
     }
@@ -271,15 +270,15 @@
 }
 
 void
-RunTable::StartWaiting(TimePoint aNow, RunActions& aOut)
+RunTable::StartQueued(TimePoint aNow, RunActions& aOut)
 {
-  ExpireWaiting(aNow, aOut);
+  ExpireQueued(aNow, aOut);
   while (m_running < OpenSlots(aNow)) {
-    Run* run = NextInTurn(aNow);
+    Run* run = HighestRanked(aNow);
     if (run == nullptr) {
       return;
     }
-    m_waiting.erase(m_waiting.iterator_to(*run));
+    m_queuedRuns.erase(m_queuedRuns.iterator_to(*run));
     --m_queued;
     StartRun(aNow, *run);
     aOut.m_start.push_back(run->m_key);
@@ -287,16 +286,16 @@
 }
 
 void
-RunTable::ExpireWaiting(TimePoint aNow, RunActions& aOut)
+RunTable::ExpireQueued(TimePoint aNow, RunActions& aOut)
 {
-  for (auto it = m_waiting.begin(); it != m_waiting.end();) {
+  for (auto it = m_queuedRuns.begin(); it != m_queuedRuns.end();) {
     Run& run = *it++;
     if (run.m_expires <= aNow) {
       aOut.m_refused.push_back(
         { run.m_key,
           RefusalReason::DeadlinePassed,
-          std::max(ExpectedWait(aNow), kLeastRetryAfter) });
-      EndQueued(aNow, run);
+          std::max(ExpectedWait(aNow), kMinRetryAfter) });
+      RefuseQueued(aNow, run);
     }
   }
 }
@@ -306,26 +305,26 @@
                       std::uint64_t aProcess,
                       std::uint64_t aBelowEpoch)
 {
-  for (auto it = m_waiting.begin(); it != m_waiting.end();) {
+  for (auto it = m_queuedRuns.begin(); it != m_queuedRuns.end();) {
     Run& run = *it++;
     if (run.m_key.m_process == aProcess && run.m_epoch < aBelowEpoch) {
-      EndQueued(aNow, run);
+      RefuseQueued(aNow, run);
     }
   }
 }
 
 void
-RunTable::RefuseInVain(TimePoint aNow, RunActions& aOut)
+RunTable::RefuseQueuedIfSlow(TimePoint aNow, RunActions& aOut)
 {
-  if (SlownessAt(aNow) < kMuchSlower) {
+  if (SlownessAt(aNow) < kRefuseQueuedSlowness) {
     return;
   }
-  for (auto it = m_waiting.begin(); it != m_waiting.end();) {
+  for (auto it = m_queuedRuns.begin(); it != m_queuedRuns.end();) {
     Run& run = *it++;
     if (const auto reason = ReasonToRefuse(aNow, run)) {
       aOut.m_refused.push_back(
-        { run.m_key, *reason, std::max(ExpectedWait(aNow), kLeastRetryAfter) });
-      EndQueued(aNow, run);
+        { run.m_key, *reason, std::max(ExpectedWait(aNow), kMinRetryAfter) });
+      RefuseQueued(aNow, run);
     }
   }
 }
@@ -334,34 +333,34 @@
 RunTable::OnTick(TimePoint aNow)
 {
   RunActions out;
-  RefuseInVain(aNow, out);
-  StartWaiting(aNow, out);
-  Forget(aNow);
-  std::erase_if(m_horizons, [aNow](const auto& aHorizon) {
-    return aNow - aHorizon.second.m_since > kHorizonLife;
+  RefuseQueuedIfSlow(aNow, out);
+  StartQueued(aNow, out);
+  EvictEnded(aNow);
+  std::erase_if(m_evictionMarks, [aNow](const auto& aMark) {
+    return aNow - aMark.second.m_since > kEvictionMarkLife;
   });
   return out;
 }
 
 bool
-RunTable::IsForgotten(CallKey aKey) const
+RunTable::IsEvicted(CallKey aKey) const
 {
-  const auto horizon = m_horizons.find(aKey.m_process);
-  return horizon != m_horizons.end() && aKey.m_call <= horizon->second.m_call;
+  const auto mark = m_evictionMarks.find(aKey.m_process);
+  return mark != m_evictionMarks.end() && aKey.m_call <= mark->second.m_call;
 }
 
 void
-RunTable::Forget(TimePoint aNow)
+RunTable::EvictEnded(TimePoint aNow)
 {
   while (!m_ended.empty()) {
     Run& oldest = m_ended.front();
-    const bool old = aNow - oldest.m_since >= m_settings.m_remember;
-    if (!old && m_ended.size() <= m_settings.m_maxRemembered) {
+    const bool old = aNow - oldest.m_since >= m_settings.m_retention;
+    if (!old && m_ended.size() <= m_settings.m_maxRetained) {
       return;
     }
-    Horizon& horizon = m_horizons[oldest.m_key.m_process];
-    horizon.m_call = std::max(horizon.m_call, oldest.m_key.m_call);
-    horizon.m_since = aNow;
+    EvictionMark& mark = m_evictionMarks[oldest.m_key.m_process];
+    mark.m_call = std::max(mark.m_call, oldest.m_key.m_call);
+    mark.m_since = aNow;
     m_ended.pop_front();
     m_runs.erase(oldest.m_key);
   }
@@ -371,11 +370,11 @@
 RunTable::StartLeaving(TimePoint aNow)
 {
   RunActions out;
-  m_leaving = true;
-  while (!m_waiting.empty()) {
-    Run& run = m_waiting.front();
+  m_draining = true;
+  while (!m_queuedRuns.empty()) {
+    Run& run = m_queuedRuns.front();
     out.m_refused.push_back({ run.m_key, RefusalReason::Leaving, {} });
-    EndQueued(aNow, run);
+    RefuseQueued(aNow, run);
   }
   return out;
 }
--- a/src/calls/run_table_waits.cpp
+++ b/src/calls/run_table_waits.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-// What a run table expects: turns, waits, service times, and which calls would
-// wait in vain.
+// Estimates of the run table: queue order, waiting times, service times, and
+// which calls are refused for them.
 
 namespace greengagehub {
 
@@ -20,14 +20,14 @@
 Duration
 RunTable::ServiceTime(TimePoint aNow, CallKind aKind) const
 {
-  return std::chrono::duration_cast<Duration>(m_services.Of(aKind) *
+  return std::chrono::duration_cast<Duration>(m_serviceTimes.Of(aKind) *
                                               SlownessAt(aNow));
 }
 
 double
 RunTable::SlownessAt(TimePoint aNow) const
 {
-  return m_settings.m_decisions.m_seesSlowness ? m_runningAge.SlownessAt(aNow)
+  return m_settings.m_decisions.m_seesSlowness ? m_slowness.SlownessAt(aNow)
                                                : 1.0;
 }
 
@@ -47,7 +47,8 @@
 std::uint32_t
 RunTable::QueueLimit(CallClass aClass) const noexcept
 {
-  // Lower classes may fill only a part, so that overload sheds them first.
+  // Lower classes may use only a part of the queue, so that they are shed
+  // first.
   switch (aClass) {
     case CallClass::Critical:
       return m_settings.m_queue;
@@ -62,10 +63,9 @@
 std::uint32_t
 RunTable::QueuedOf(CallClass aClass) const noexcept
 {
-  // Those of higher classes count too: a class may fill only its part of the
-  // queue, and not on top of what is before it.
+  // A class's limit covers the calls of higher classes as well.
   std::uint32_t queued = 0;
-  for (const Run& each : m_waiting) {
+  for (const Run& each : m_queuedRuns) {
     queued += each.m_class <= aClass ? 1 : 0;
   }
   return queued;
@@ -76,34 +76,34 @@
 {
   return RankOf(m_settings.m_decisions,
                 aNow,
-                m_services.Of(aRun.m_kind),
+                m_serviceTimes.Of(aRun.m_kind),
                 aRun.m_priority,
                 aRun.m_target,
                 aRun.m_deadline);
 }
 
 Duration
-RunTable::WorkBefore(TimePoint aNow, const WorkRank& aRank) const
+RunTable::WorkAhead(TimePoint aNow, const WorkRank& aRank) const
 {
   Duration work = Duration::zero();
-  for (const Run& each : m_waiting) {
+  for (const Run& each : m_queuedRuns) {
     if (!aRank.IsBefore(Rank(aNow, each))) {
-      work += m_services.Of(each.m_kind);
+      work += m_serviceTimes.Of(each.m_kind);
     }
   }
   return work;
 }
 
 Duration
-RunTable::WaitFor(TimePoint aNow, const WorkRank& aRank) const
+RunTable::EstimateWait(TimePoint aNow, const WorkRank& aRank) const
 {
   const std::uint32_t slots = OpenSlots(aNow);
   if (m_running < slots) {
     return Duration::zero();
   }
-  // A slot comes free after a part of a mean run, and one for each call before
-  // it after that.
-  const Duration work = m_services.Mean() + WorkBefore(aNow, aRank);
+  // On average a slot becomes free each mean service time divided by the number
+  // of slots.
+  const Duration work = m_serviceTimes.Mean() + WorkAhead(aNow, aRank);
   return std::chrono::duration_cast<Duration>(work * SlownessAt(aNow)) / slots;
 }
 
@@ -111,33 +111,33 @@
 RunTable::WaitOf(TimePoint aNow, std::uint32_t aPriority, CallKind aKind) const
 {
   const double gain =
-    GainOf(m_settings.m_decisions, m_services.Of(aKind), aPriority, false);
-  return WaitFor(aNow, { gain, aNow + aKind.m_target, false });
+    GainOf(m_settings.m_decisions, m_serviceTimes.Of(aKind), aPriority, false);
+  return EstimateWait(aNow, { gain, aNow + aKind.m_target, false });
 }
 
 std::optional<Duration>
-RunTable::ForeseenWait(TimePoint aNow, const WorkRank& aRank) const
+RunTable::PredictedWait(TimePoint aNow, const WorkRank& aRank) const
 {
   const double share =
-    m_onTime.ShareAbove(aNow, aRank.m_gain, m_settings.m_slots);
+    m_onTimeLoad.ShareAbove(aNow, aRank.m_gain, m_settings.m_slots);
   if (share >= m_settings.m_decisions.m_nothingLeft) {
     return std::nullopt;
   }
-  return std::chrono::duration_cast<Duration>(WaitFor(aNow, aRank) /
+  return std::chrono::duration_cast<Duration>(EstimateWait(aNow, aRank) /
                                               (1.0 - share));
 }
 
 std::chrono::milliseconds
 RunTable::ExpectedWait(TimePoint aNow) const
 {
-  return RoundUp(WaitFor(aNow, { 0.0, TimePoint::max(), true }));
+  return RoundUp(EstimateWait(aNow, { 0.0, TimePoint::max(), true }));
 }
 
 bool
 RunTable::IsBusyFor(TimePoint aNow, const Run& aRun) const
 {
   const Duration left = std::max<Duration>(aRun.m_target - aNow, {});
-  return WaitFor(aNow, Rank(aNow, aRun)) >
+  return EstimateWait(aNow, Rank(aNow, aRun)) >
          left / m_settings.m_decisions.m_busyPart;
 }
 
@@ -146,22 +146,25 @@
 {
   const WorkRank rank = Rank(aNow, aRun);
   const Duration service = ServiceTime(aNow, aRun.m_kind);
-  const Duration wait = WaitFor(aNow, rank);
+  const Duration wait = EstimateWait(aNow, rank);
   if (aNow + wait + service + m_settings.m_margin > aRun.m_deadline) {
     return RefusalReason::DeadlineTooShort;
   }
-  const bool late = rank.m_late || aNow + wait + service > aRun.m_target;
+  const bool isLate = rank.m_late || aNow + wait + service > aRun.m_target;
   const DecisionSettings& decisions = m_settings.m_decisions;
-  if (!decisions.m_refusesEarly || !late || aRun.m_target >= aRun.m_deadline) {
+  if (!decisions.m_refusesEarly || !isLate ||
+      aRun.m_target >= aRun.m_deadline) {
     return std::nullopt;
   }
-  const WorkRank asLate{ GainOf(decisions, service, aRun.m_priority, true),
-                         aRun.m_deadline,
-                         true };
-  const auto lateWait = ForeseenWait(aNow, asLate);
+  const WorkRank lateRank{ GainOf(decisions, service, aRun.m_priority, true),
+                           aRun.m_deadline,
+                           true };
+  const auto lateWait = PredictedWait(aNow, lateRank);
   const Duration left = aRun.m_deadline - aNow;
-  const bool inVain = !lateWait || *lateWait > left / decisions.m_latePart;
-  return inVain ? std::optional{ RefusalReason::Overloaded } : std::nullopt;
+  const bool waitsTooLong =
+    !lateWait || *lateWait > left / decisions.m_latePart;
+  return waitsTooLong ? std::optional{ RefusalReason::Overloaded }
+                      : std::nullopt;
 }
 
 }
--- a/src/calls/work_order.cpp
+++ b/src/calls/work_order.cpp
@@ -7,24 +7,21 @@
 
 namespace {
 
-/// Weight of one sample in a moving mean, as a shift.
+/// Weight of one sample in a moving average: 2^-4.
 constexpr int kMeanShift = 4;
-/// A call may take somewhat longer than the mean: with the spread of service
-/// times seen on lookups (half of the mean), a fifth more covers two in three.
+/// Allowance for service times above the average.
 constexpr double kServiceMargin = 1.2;
-/// Over which the load is taken: long enough to hold some hundred calls at a
-/// busy worker, short beside the seconds that a burst lasts.
-constexpr std::chrono::duration<double> kLoadMemory{ 1.0 };
-/// Beyond this ranks make no difference any more.
-constexpr std::uint32_t kMostRanks = 20;
-/// Kinds that are told apart at one worker. Services have some ten; those
-/// beyond go by their target.
+/// Decay time of the load average; shorter than a burst of calls.
+constexpr std::chrono::duration<double> kLoadDecay{ 1.0 };
+/// Lower ranks are all treated as this one.
+constexpr std::uint32_t kLowestRank = 20;
+/// Kinds tracked at one worker; further ones are grouped by target latency.
 constexpr std::size_t kMaxKinds = 64;
-/// Below this the time on the way outweighs the time in a slot.
-constexpr Duration kLeastService = std::chrono::milliseconds{ 1 };
+/// For shorter calls the transmission takes longer than the execution.
+constexpr Duration kMinService = std::chrono::milliseconds{ 1 };
 
-/// \returns The entry of a kind; once there are too many, the one that all
-/// further kinds of its target share.
+/// \returns The entry of a kind; if it has none and the map is full, the entry
+/// shared by all further kinds with its target.
 template<class Entries>
 auto
 EntryOf(Entries& aEntries, CallKind aKind)
@@ -36,10 +33,10 @@
            : found;
 }
 
-/// \returns Under which kind an entry is added where EntryOf finds none.
+/// \returns The key under which a new entry for the kind is added.
 template<class Entries>
 CallKind
-KeyOfNew(const Entries& aEntries, CallKind aKind)
+KeyForNewEntry(const Entries& aEntries, CallKind aKind)
 {
   return aEntries.size() < kMaxKinds ? aKind : CallKind{ aKind.m_target };
 }
@@ -61,7 +58,7 @@
   }
   Duration least = m_mean;
   for (const auto& [kind, mean] : m_kinds) {
-    // Operators set targets by what calls take.
+    // Targets are roughly proportional to service times.
     const Duration scaled =
       kind.m_target > aKind.m_target
         ? mean * aKind.m_target.count() / kind.m_target.count()
@@ -72,7 +69,7 @@
 }
 
 void
-ServiceTimes::Note(CallKind aKind, Duration aTook)
+ServiceTimes::Record(CallKind aKind, Duration aTook)
 {
   if (m_kinds.empty()) {
     m_mean = aTook;
@@ -80,7 +77,7 @@
   m_mean += (aTook - m_mean) / (1 << kMeanShift);
   const auto found = EntryOf(m_kinds, aKind);
   if (found == m_kinds.end()) {
-    m_kinds.emplace(KeyOfNew(m_kinds, aKind), aTook);
+    m_kinds.emplace(KeyForNewEntry(m_kinds, aKind), aTook);
     return;
   }
   found->second += (aTook - found->second) / (1 << kMeanShift);
@@ -93,9 +90,9 @@
        bool aIsLate) noexcept
 {
   const std::chrono::duration<double> service =
-    std::max<Duration>(aService, kLeastService);
+    std::max<Duration>(aService, kMinService);
   const double credit =
-    std::pow(aDecisions.m_nextRankCredit, std::min(aPriority, kMostRanks)) *
+    std::pow(aDecisions.m_nextRankCredit, std::min(aPriority, kLowestRank)) *
     (aIsLate ? aDecisions.m_lateCredit : 1.0);
   return aDecisions.m_countsTime ? credit / service.count() : credit;
 }
@@ -120,15 +117,15 @@
 OnTimeLoad::DecayedTo(const Load& aLoad, TimePoint aNow)
 {
   const std::chrono::duration<double> age = aNow - aLoad.m_since;
-  return aLoad.m_seconds * std::exp(-(age / kLoadMemory));
+  return aLoad.m_seconds * std::exp(-(age / kLoadDecay));
 }
 
 void
 OnTimeLoad::Add(TimePoint aNow, CallKind aKind, double aGain, Duration aService)
 {
   const auto found = EntryOf(m_loads, aKind);
-  Load& kind =
-    found != m_loads.end() ? found->second : m_loads[KeyOfNew(m_loads, aKind)];
+  Load& kind = found != m_loads.end() ? found->second
+                                      : m_loads[KeyForNewEntry(m_loads, aKind)];
   kind.m_seconds =
     DecayedTo(kind, aNow) + std::chrono::duration<double>(aService).count();
   kind.m_gain = aGain;
@@ -142,7 +139,7 @@
   for (const auto& [kind, load] : m_loads) {
     seconds += load.m_gain > aGain ? DecayedTo(load, aNow) : 0.0;
   }
-  return seconds / (kLoadMemory.count() * std::max(1U, aSlots));
+  return seconds / (kLoadDecay.count() * std::max(1U, aSlots));
 }
 
 }
--- a/src/calls/worker_presence.cpp
+++ b/src/calls/worker_presence.cpp
@@ -6,18 +6,17 @@
 
 namespace {
 
-/// Heartbeats that may be missed before the backend server counts as silent:
-/// one may be late by seconds or lost on the way.
-constexpr int kMissedBeats = 3;
-/// A start that reports again while the known one is overdue by a quarter of a
-/// period is believed: its second report comes one period after its first, so
-/// that it takes calls after one heartbeat.
-constexpr double kOverdueBeats = 1.25;
-/// Former starts remembered; reports are late by seconds, in which a backend
-/// server starts a few times at most.
-constexpr std::size_t kMaxFormer = 16;
-/// A leave whose start was never known here keeps that id away for so long. A
-/// backend server ends some seconds after it, and may start again under its id.
+/// Missed heartbeats after which the backend server counts as silent; a single
+/// one may be lost or delayed.
+constexpr int kMaxMissedHeartbeats = 3;
+/// Heartbeat periods without a report after which the current incarnation is
+/// overdue. Below 2, so that another one is accepted at its second report.
+constexpr double kOverduePeriods = 1.25;
+/// Past incarnations kept; reports are late by seconds, in which there are few
+/// restarts.
+constexpr std::size_t kMaxPast = 16;
+/// How long an ID is ignored after a leave message of an unknown incarnation. A
+/// backend server may restart under the same ID.
 constexpr auto kUnknownLeaveLife = std::chrono::seconds{ 30 };
 
 }
@@ -25,25 +24,25 @@
 bool
 WorkerPresence::IsSilent(TimePoint aNow) const noexcept
 {
-  return m_current && aNow - m_heardAt > kMissedBeats * m_period;
+  return m_current && aNow - m_lastReportAt > kMaxMissedHeartbeats * m_period;
 }
 
-const WorkerPresence::Former*
-WorkerPresence::FindFormer(TimePoint aNow, const WorkerStart& aStart) const
+const WorkerPresence::PastIncarnation*
+WorkerPresence::FindPast(TimePoint aNow, const WorkerStart& aStart) const
 {
-  const auto found =
-    std::find_if(m_former.begin(), m_former.end(), [&](const Former& aEach) {
-      const bool lapsed =
+  const auto found = std::find_if(
+    m_past.begin(), m_past.end(), [&](const PastIncarnation& aEach) {
+      const bool isExpired =
         !aEach.m_start.m_born && aNow - aEach.m_since > kUnknownLeaveLife;
-      return !lapsed && MayBeSame(aEach.m_start, aStart);
+      return !isExpired && MayBeSame(aEach.m_start, aStart);
     });
-  return found == m_former.end() ? nullptr : &*found;
+  return found == m_past.end() ? nullptr : &*found;
 }
 
 bool
 WorkerPresence::IsSuccessor(TimePoint aNow, const WorkerReport& aReport) const
 {
-  if (FindFormer(aNow, aReport.m_start) != nullptr) {
+  if (FindPast(aNow, aReport.m_start) != nullptr) {
     return false;
   }
   if (!m_current || IsSilent(aNow)) {
@@ -53,96 +52,97 @@
   if (known.m_born && aReport.m_start.m_born) {
     return *aReport.m_start.m_born > *known.m_born;
   }
-  // Without times of start: a report of an earlier start that was held up on
-  // the way has a higher sequence than a process that has just started.
+  // Without start times: a delayed report of an earlier incarnation has a
+  // higher sequence number than one of a new process.
   return aReport.m_sequence <= m_current->m_sequence;
 }
 
 bool
-WorkerPresence::HasProved(TimePoint aNow, const WorkerReport& aReport)
+WorkerPresence::IsConfirmed(TimePoint aNow, const WorkerReport& aReport)
 {
-  const Former* former = FindFormer(aNow, aReport.m_start);
+  const PastIncarnation* past = FindPast(aNow, aReport.m_start);
   const bool isOld =
-    former != nullptr &&
-    (!former->m_start.m_born || aReport.m_sequence <= former->m_sequence);
+    past != nullptr &&
+    (!past->m_start.m_born || aReport.m_sequence <= past->m_sequence);
   if (!m_current || !aReport.m_start.m_born || isOld) {
     return false;
   }
-  const bool again =
-    m_contender && MayBeSame(m_contender->m_start, aReport.m_start);
-  if (again && aReport.m_sequence <= m_contender->m_sequence) {
+  const bool isRepeated =
+    m_candidate && MayBeSame(m_candidate->m_start, aReport.m_start);
+  if (isRepeated && aReport.m_sequence <= m_candidate->m_sequence) {
     return false;
   }
-  m_contender = aReport;
-  return again && aNow - m_heardAt > kOverdueBeats * m_period;
+  m_candidate = aReport;
+  return isRepeated && aNow - m_lastReportAt > kOverduePeriods * m_period;
 }
 
 WorkerPresence::Change
-WorkerPresence::TakeOwn(TimePoint aNow, const WorkerReport& aReport)
+WorkerPresence::UpdateCurrent(TimePoint aNow, const WorkerReport& aReport)
 {
   if (aReport.m_sequence <= m_current->m_sequence) {
     return Change::None;
   }
   const bool wasLeaving = m_current->m_leaving;
-  const bool sameFigures = m_current->m_slots == aReport.m_slots &&
+  const bool isUnchanged = m_current->m_slots == aReport.m_slots &&
                            m_current->m_start == aReport.m_start;
-  m_contender.reset();
-  m_heardAt = aNow;
+  m_candidate.reset();
+  m_lastReportAt = aNow;
   m_current = aReport;
-  // Once it leaves, this start never comes back.
+  // Leaving is final for an incarnation.
   m_current->m_leaving = aReport.m_leaving || wasLeaving;
   if (m_current->m_leaving) {
     return wasLeaving ? Change::None : Change::Leaving;
   }
-  return sameFigures ? Change::None : Change::Updated;
+  return isUnchanged ? Change::None : Change::Updated;
 }
 
 WorkerPresence::Change
 WorkerPresence::Replace(TimePoint aNow, const WorkerReport& aReport)
 {
   if (m_current) {
-    AddFormer({ m_current->m_start, m_current->m_sequence, aNow });
-    m_formerHeardAt = m_heardAt;
+    AddPast({ m_current->m_start, m_current->m_sequence, aNow });
+    m_previousLastReportAt = m_lastReportAt;
   }
-  std::erase_if(m_former, [&](const Former& aEach) {
+  std::erase_if(m_past, [&](const PastIncarnation& aEach) {
     return aEach.m_start == aReport.m_start;
   });
-  m_contender.reset();
-  m_heardAt = aNow;
+  m_candidate.reset();
+  m_lastReportAt = aNow;
   m_current = aReport;
   return aReport.m_leaving ? Change::Leaving : Change::Arrived;
 }
 
 void
-WorkerPresence::AddFormer(Former aFormer)
+WorkerPresence::AddPast(PastIncarnation aPast)
 {
-  m_former.push_back(std::move(aFormer));
-  if (m_former.size() > kMaxFormer) {
-    m_former.pop_front();
+  m_past.push_back(std::move(aPast));
+  if (m_past.size() > kMaxPast) {
+    m_past.pop_front();
   }
 }
 
 WorkerPresence::Change
 WorkerPresence::OnReport(TimePoint aNow, const WorkerReport& aReport)
 {
-  if (m_tellsBorn && !aReport.m_start.m_born) {
+  if (m_reportsStartTime && !aReport.m_start.m_born) {
     return Change::None;
   }
-  m_tellsBorn = aReport.m_start.m_born.has_value();
+  m_reportsStartTime = aReport.m_start.m_born.has_value();
   if (m_current && MayBeSame(m_current->m_start, aReport.m_start)) {
-    return TakeOwn(aNow, aReport);
+    return UpdateCurrent(aNow, aReport);
   }
-  const bool believed = IsSuccessor(aNow, aReport) || HasProved(aNow, aReport);
-  return believed ? Replace(aNow, aReport) : Change::None;
+  const bool isAccepted =
+    IsSuccessor(aNow, aReport) || IsConfirmed(aNow, aReport);
+  return isAccepted ? Replace(aNow, aReport) : Change::None;
 }
 
 WorkerPresence::Change
 WorkerPresence::OnProbed(TimePoint aNow, WorkerReport aReport)
 {
-  if (m_current || FindFormer(aNow, aReport.m_start) != nullptr) {
+  if (m_current || FindPast(aNow, aReport.m_start) != nullptr) {
     return Change::None;
   }
-  // Any report of its own is newer.
+  // Any heartbeat is newer.
   aReport.m_sequence = 0;
   return Replace(aNow, aReport);
 }
@@ -151,7 +151,7 @@
 WorkerPresence::OnLeft(TimePoint aNow, const WorkerStart& aStart)
 {
   if (!m_current || !MayBeSame(m_current->m_start, aStart)) {
-    AddFormer({ aStart, 0, aNow });
+    AddPast({ aStart, 0, aNow });
     return Change::None;
   }
   const bool wasLeaving = m_current->m_leaving;
--- a/src/calls/worker_start.cpp
+++ b/src/calls/worker_start.cpp
@@ -10,9 +10,9 @@
 bool
 MayBeSame(const WorkerStart& aLeft, const WorkerStart& aRight) noexcept
 {
-  const bool bothTell = aLeft.m_born && aRight.m_born;
+  const bool bothHaveTimes = aLeft.m_born && aRight.m_born;
   return aLeft.m_id == aRight.m_id &&
-         (!bothTell || *aLeft.m_born == *aRight.m_born);
+         (!bothHaveTimes || *aLeft.m_born == *aRight.m_born);
 }
 
 StartTag
--- a/tests/calls/call_age.cpp
+++ b/tests/calls/call_age.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Callers that wait between 3.4 and 4 s, on connections that they keep.
+/// Samples of first attempts with timeouts between 3.4 and 4 s.
 CallAge
-AfterPatientAndHastyCallers(Random& aRandom)
+EstimatorWithSamples(Random& aRandom)
 {
   CallAge age;
   for (int i = 0; i < 200; ++i) {
@@ -21,14 +21,12 @@
 
 }
 
-TEST_CASE("a hasty caller's first try is not taken for a repeated one")
+TEST_CASE("a first attempt with a short timeout is not treated as a retry")
 {
-  // Some callers wait 4 s, others 3.4 s; the target is 600 ms. With what falls
-  // short of the longest taken for age, half of the fresh calls seemed to have
-  // less than half of their target left, waited behind the others, and were
-  // late or refused at two thirds of the load that workers can bear.
+  // Measured from the longest timeout, first attempts of callers with shorter
+  // ones would seem late and be queued behind the others.
   Random random{ 1 };
-  const CallAge age = AfterPatientAndHastyCallers(random);
+  const CallAge age = EstimatorWithSamples(random);
   for (int i = 0; i < 200; ++i) {
     const auto asked = 3400ms + std::chrono::milliseconds{ Below(random, 600) };
     CHECK(age.Of(asked, false) == 0ms);
@@ -38,22 +36,21 @@
   CHECK(age.Of(4000ms, true) == 0ms);
 }
 
-TEST_CASE("a caller that comes back after a refusal brings its age")
+TEST_CASE("a retry after a refusal counts from the first attempt")
 {
-  // It was told to come back after a second; its target has passed, and those
-  // who have just come go first.
+  // The caller retried after one second, so its target has passed.
   Random random{ 1 };
-  const CallAge age = AfterPatientAndHastyCallers(random);
+  const CallAge age = EstimatorWithSamples(random);
   CHECK(age.Of(2700ms, true) >= 900ms);
   CHECK(age.Of(2700ms, true) <= 1100ms);
-  // On a connection that is kept nothing is repeated: a worker's own call may
-  // have little time because the call that it serves has.
+  // Requests on a reused connection are first attempts, however little time
+  // they have.
   CHECK(age.Of(400ms, false) == 0ms);
 }
 
-TEST_CASE("nothing is concluded before first tries were seen")
+TEST_CASE("without samples of first attempts no call counts as a retry")
 {
-  // Right after a start a caller's second try may be all there is.
+  // After a start the first requests may all be retries.
   CallAge age;
   CHECK(age.Of(100ms, true) == 0ms);
   for (int i = 0; i < 100; ++i) {
@@ -62,12 +59,11 @@
   CHECK(age.Of(50ms, true) == 0ms);
 }
 
-TEST_CASE("one odd deadline is forgotten")
+TEST_CASE("an outlier leaves the sample window")
 {
-  // A caller that waits 10 ms at most must not make repeats look fresh for
-  // good.
+  // One call with a timeout of 10 ms must not hide retries for good.
   Random random{ 1 };
-  CallAge age = AfterPatientAndHastyCallers(random);
+  CallAge age = EstimatorWithSamples(random);
   age.Note(10ms, false);
   CHECK(age.Of(2700ms, true) == 0ms);
   for (int i = 0; i < 32; ++i) {
--- a/tests/calls/overload.cpp
+++ b/tests/calls/overload.cpp
@@ -2,8 +2,8 @@
 
 #include <doctest/doctest.h>
 
-// Regression bounds on routing and admission, in virtual time: the same
-// verdict on every machine. Measured values are in docs/design/overload.md.
+// Regression bounds on routing and admission, simulated in virtual time; see
+// docs/design/overload.md.
 
 using namespace greengagehub;
 using namespace greengagehub::lab;
@@ -19,12 +19,12 @@
 }
 
 double
-Useful(const ClassResult& aClass)
+AnsweredShare(const ClassResult& aClass)
 {
-  const std::size_t all =
+  const std::size_t total =
     aClass.m_latencies.size() + aClass.m_refused + aClass.m_failed;
   return static_cast<double>(aClass.m_latencies.size()) /
-         static_cast<double>(all);
+         static_cast<double>(total);
 }
 
 Result
@@ -35,37 +35,36 @@
 
 }
 
-TEST_CASE("a worker that claims to be idle does not draw every call")
+TEST_CASE("a worker that misreports itself as idle does not get every call")
 {
-  // One worker's load report lies. Before refusals weighed on the choice,
-  // 7.0% of calls were refused while others had free slots.
+  // Calls must not be refused there while other workers have free slots.
   const Result result = Run(Lockers(0.9), Reports::OneClaimsIdle);
   CHECK(static_cast<double>(result.m_wrongRefusals) <
         0.005 * static_cast<double>(result.m_calls));
 }
 
-TEST_CASE("a worker that fails fast does not draw every call")
+TEST_CASE("a worker that fails fast does not get every call")
 {
-  // A broken worker answers at once and so always has free slots.
+  // A worker that fails at once always has free slots.
   const Result result = Run(Lockers(0.5), Reports::OneFailsFast);
-  CHECK(Useful(result.m_classes[0]) > 0.995);
+  CHECK(AnsweredShare(result.m_classes[0]) > 0.995);
 }
 
 TEST_CASE("releases are answered at 1.2 times capacity, exports are shed")
 {
   const Result result = Run(Lockers(1.2), Reports::Honest);
-  CHECK(Useful(result.m_classes[0]) > 0.99);
-  CHECK(Useful(result.m_classes[1]) > 0.7);
-  CHECK(Useful(result.m_classes[2]) < 0.1);
+  CHECK(AnsweredShare(result.m_classes[0]) > 0.99);
+  CHECK(AnsweredShare(result.m_classes[1]) > 0.7);
+  CHECK(AnsweredShare(result.m_classes[2]) < 0.1);
 }
 
-TEST_CASE("at twice the capacity useful answers stay at capacity")
+TEST_CASE("at twice the capacity the answered rate stays at capacity")
 {
-  // 10,000 calls a second for 40 s is what the workers can do.
+  // The capacity is 10,000 calls per second for 40 s.
   const Result result = Run(Lockers(2.0), Reports::Honest);
-  std::size_t useful = 0;
+  std::size_t answered = 0;
   for (const ClassResult& each : result.m_classes) {
-    useful += each.m_latencies.size();
+    answered += each.m_latencies.size();
   }
-  CHECK(useful > 390'000);
+  CHECK(answered > 390'000);
 }
--- a/tests/calls/replay.hpp
+++ b/tests/calls/replay.hpp
@@ -13,12 +13,12 @@
 
 using namespace std::chrono_literals;
 
-/// \brief One failure domain of a replay.
+/// \brief One failure domain of a simulation.
 struct ReplayDomain
 {
   std::size_t m_callers{ 40 };
   std::size_t m_workers{ 8 };
-  /// Calls that come there, as a part of what its own workers can do.
+  /// Rate of calls from the domain as a fraction of its workers' capacity.
   double m_load{ 0.85 };
 };
 
@@ -26,7 +26,7 @@
 {
   std::vector<ReplayDomain> m_domains{ {} };
   DecisionSettings m_decisions{};
-  /// Price of a crossing, as a share of what a call is worth.
+  /// Cost of a crossing as a fraction of a call's value.
   double m_crossing{ 0.0 };
   Duration m_span{ 20s };
 };
@@ -49,11 +49,11 @@
   }
 };
 
-/// \brief Many callers' daemons, few calls from each, through the product's own
-/// dispatchers and run tables in virtual time.
+/// \brief Simulates many callers with few calls each in virtual time, with the
+/// real dispatchers and run tables.
 ///
-/// Two workers in three take 140 ms for a call, the third 62 ms; a call has
-/// 400 ms to its target and 2 s to its deadline; a hop takes 0.2 ms.
+/// Mean service times are 140 ms for two workers in three and 62 ms for the
+/// others.
 class Replay
 {
 public:
@@ -116,7 +116,7 @@
     }
   }
 
-  void MeetWorkers()
+  void AddWorkerRows()
   {
     for (auto& caller : m_callers) {
       for (std::size_t i = 0; i < m_workers.size(); ++i) {
@@ -133,7 +133,7 @@
   void AddCalls(std::size_t aDomain)
   {
     if (aDomain == 0) {
-      MeetWorkers();
+      AddWorkerRows();
     }
     const ReplayDomain& domain = m_setup.m_domains[aDomain];
     double capacity = 0.0;
@@ -144,14 +144,14 @@
           : 0.0;
     }
     std::exponential_distribution<double> gap{ domain.m_load * capacity };
-    double at = 0.0;
-    while (at < std::chrono::duration<double>(m_setup.m_span).count()) {
-      at += gap(m_random);
-      const auto due = m_now + std::chrono::duration_cast<Duration>(
-                                 std::chrono::duration<double>(at));
+    double offset = 0.0;
+    while (offset < std::chrono::duration<double>(m_setup.m_span).count()) {
+      offset += gap(m_random);
+      const auto arrival = m_now + std::chrono::duration_cast<Duration>(
+                                     std::chrono::duration<double>(offset));
       const std::uint64_t id = ++m_result.m_calls;
       const std::size_t caller = m_firstCaller[aDomain] + id % domain.m_callers;
-      m_events.emplace(due, [this, id, caller] { Begin(id, caller); });
+      m_events.emplace(arrival, [this, id, caller] { Begin(id, caller); });
     }
   }
 
@@ -162,7 +162,7 @@
                                                 spread(m_random));
   }
 
-  void After(Duration aSpan, std::function<void()> aAction)
+  void Schedule(Duration aSpan, std::function<void()> aAction)
   {
     m_events.emplace(m_now + aSpan, std::move(aAction));
   }
@@ -175,27 +175,28 @@
     plan.m_target = m_now + kTarget;
     plan.m_kind = kTarget;
     plan.m_crossing = m_setup.m_crossing;
-    m_began[aId] = m_now;
-    Carry(aCaller, m_callers[aCaller]->Begin(m_now, aId, std::move(plan)));
+    m_arrivals[aId] = m_now;
+    Execute(aCaller, m_callers[aCaller]->Begin(m_now, aId, std::move(plan)));
   }
 
-  void Carry(std::size_t aCaller, const DispatchActions& aActions)
+  void Execute(std::size_t aCaller, const DispatchActions& aActions)
   {
     for (const DispatchAction& each : aActions) {
       if (const auto* send = std::get_if<SendAttempt>(&each)) {
         ++m_result.m_sends;
-        After(kHop,
-              [this, aCaller, attempt = *send] { Arrive(aCaller, attempt); });
+        Schedule(kHop, [this, aCaller, attempt = *send] {
+          Deliver(aCaller, attempt);
+        });
       } else if (const auto* finish = std::get_if<FinishCall>(&each)) {
         const bool answered =
           finish->m_answer.m_outcome == CallOutcome::Answered;
-        const Duration took = m_now - m_began.at(finish->m_call);
+        const Duration took = m_now - m_arrivals.at(finish->m_call);
         m_result.m_inTarget += answered && took <= kTarget ? 1 : 0;
       }
     }
   }
 
-  void Arrive(std::size_t aCaller, const SendAttempt& aAttempt)
+  void Deliver(std::size_t aCaller, const SendAttempt& aAttempt)
   {
     const std::size_t index = std::stoul(aAttempt.m_slot);
     Worker& worker = *m_workers[index];
@@ -213,21 +214,21 @@
                              .m_refuseIfBusy = aAttempt.m_refuseIfBusy },
                            out);
     const bool refused = admission.m_kind == Admission::Kind::Refused;
-    const bool crosses =
+    const bool isCrossing =
       m_callers[aCaller]->Routing().m_domain != NameOf(worker.m_domain);
-    m_result.m_crossed += crosses && !refused ? 1 : 0;
+    m_result.m_crossed += isCrossing && !refused ? 1 : 0;
     if (admission.m_kind == Admission::Kind::Start) {
       Start(key);
     } else if (refused) {
       Answer(key, Refuse(key.m_call, CallOutcome::NotRun, admission.m_reason));
     }
-    Take(out);
+    Apply(out);
   }
 
   void Start(const CallKey& aKey)
   {
-    After(ServiceOf(*m_workers[m_workerOf.at(aKey)]), [this, aKey] {
-      Take(m_workers[m_workerOf.at(aKey)]->m_table.Finish(m_now, aKey));
+    Schedule(ServiceOf(*m_workers[m_workerOf.at(aKey)]), [this, aKey] {
+      Apply(m_workers[m_workerOf.at(aKey)]->m_table.Finish(m_now, aKey));
       CallAnswer answer;
       answer.m_call = aKey.m_call;
       answer.m_outcome = CallOutcome::Answered;
@@ -235,7 +236,7 @@
     });
   }
 
-  void Take(const RunActions& aActions)
+  void Apply(const RunActions& aActions)
   {
     for (const RefusedRun& each : aActions.m_refused) {
       Answer(each.m_key,
@@ -257,9 +258,9 @@
       duration_cast<microseconds>(worker.ServiceTime(m_now, kTarget));
     aAnswer.m_wait =
       duration_cast<microseconds>(worker.WaitOf(m_now, 2, kTarget));
-    After(kHop, [this, aKey, answer = std::move(aAnswer)] {
+    Schedule(kHop, [this, aKey, answer = std::move(aAnswer)] {
       const std::size_t caller = aKey.m_process - 1;
-      Carry(caller, m_callers[caller]->OnAnswer(m_now, answer));
+      Execute(caller, m_callers[caller]->OnAnswer(m_now, answer));
     });
   }
 
@@ -271,7 +272,7 @@
   std::vector<std::size_t> m_firstCaller{};
   std::vector<std::unique_ptr<Worker>> m_workers{};
   std::multimap<TimePoint, std::function<void()>> m_events{};
-  std::map<std::uint64_t, TimePoint> m_began{};
+  std::map<std::uint64_t, TimePoint> m_arrivals{};
   std::map<CallKey, std::size_t> m_workerOf{};
 };
 
--- a/tests/calls/route_table.cpp
+++ b/tests/calls/route_table.cpp
@@ -4,7 +4,7 @@
 
 using namespace greengagehub;
 
-TEST_CASE("routes match by host, then by the longest path at a segment")
+TEST_CASE("routes match by host, then by the longest prefix of path segments")
 {
   Content content;
   REQUIRE(content
@@ -28,7 +28,7 @@
   CHECK(service("yard.example", "/other") == "a");
 }
 
-TEST_CASE("a path without any route has none")
+TEST_CASE("no route is found in a table without routes")
 {
   const RouteTable table{ Content{} };
   CHECK(table.Find("x", "/a/b/") == nullptr);
--- a/tests/calls/run_table.cpp
+++ b/tests/calls/run_table.cpp
@@ -9,7 +9,7 @@
 
 const TimePoint kStart{ 1h };
 
-/// A call without a target of its own.
+/// Demand of a call whose target is its deadline.
 WorkDemand
 Demand(CallClass aClass, std::chrono::microseconds aTimeLeft)
 {
@@ -30,18 +30,17 @@
 
 }
 
-TEST_CASE("a cancellation that overtakes its request keeps it from running")
+TEST_CASE("a request that arrives after its cancellation is not executed")
 {
-  // A tenant's release is cancelled by the caller's daemon; the cancellation
-  // arrives before the request, is answered "not started", and the caller is
-  // told "not run". If the request then ran, the compartment would open.
+  // The caller was told "not run" after the cancellation was answered with "not
+  // started".
   RunTable table{ {} };
   CHECK(table.Cancel(kStart, { 1, 7 }) == CancelResult::NotStarted);
   CHECK(Admit(table, 7).m_kind == Admission::Kind::Refused);
   CHECK(table.Running() == 0);
 }
 
-TEST_CASE("a repeated request runs once")
+TEST_CASE("a duplicate request is executed once")
 {
   RunTable table{ {} };
   CHECK(Admit(table, 7).m_kind == Admission::Kind::Start);
@@ -49,11 +48,10 @@
   CHECK(table.Running() == 1);
 }
 
-TEST_CASE("what was queued on an older connection never starts")
+TEST_CASE("attempts queued from an older connection never start")
 {
-  // A link goes silent with a release queued behind it. The caller opens a
-  // new one and is told "not run" of the old attempt, so that it may try
-  // elsewhere. The old attempt must not start when a slot comes free.
+  // After reconnecting, the caller is told "not run" and may retry elsewhere,
+  // so the old attempt must not start when a slot becomes free.
   RunTable table{ { .m_slots = 1 } };
   REQUIRE(Admit(table, 1).m_kind == Admission::Kind::Start);
   REQUIRE(Admit(table, 2).m_kind == Admission::Kind::Queued);
@@ -73,9 +71,9 @@
   REQUIRE(Admit(table, 5).m_kind == Admission::Kind::Queued);
   REQUIRE(Admit(table, 6).m_kind == Admission::Kind::Queued);
   RunActions out;
-  const auto last =
+  const auto urgent =
     table.Admit(kStart, { 1, 7 }, 1, Demand(CallClass::Critical, 1s), out);
-  CHECK(last.m_kind == Admission::Kind::Queued);
+  CHECK(urgent.m_kind == Admission::Kind::Queued);
   REQUIRE(out.m_refused.size() == 1);
   CHECK(out.m_refused[0].m_key.m_call == 2);
 }
@@ -84,10 +82,10 @@
 {
   RunTable table{ { .m_slots = 1 } };
   REQUIRE(Admit(table, 1).m_kind == Admission::Kind::Start);
-  const auto late = Admit(table, 2, CallClass::Critical, 1ms);
-  CHECK(late.m_kind == Admission::Kind::Refused);
-  CHECK(late.m_reason == RefusalReason::DeadlineTooShort);
-  CHECK(late.m_retryAfter > 0ms);
+  const auto rejected = Admit(table, 2, CallClass::Critical, 1ms);
+  CHECK(rejected.m_kind == Admission::Kind::Refused);
+  CHECK(rejected.m_reason == RefusalReason::DeadlineTooShort);
+  CHECK(rejected.m_retryAfter > 0ms);
 }
 
 TEST_CASE("a queued call is refused before its deadline, not after")
@@ -103,7 +101,7 @@
   CHECK(out.m_refused[0].m_reason == RefusalReason::DeadlinePassed);
 }
 
-TEST_CASE("leaving refuses what waits and what comes, and lets runs finish")
+TEST_CASE("draining refuses queued and new attempts and lets runs finish")
 {
   RunTable table{ { .m_slots = 1 } };
   REQUIRE(Admit(table, 1).m_kind == Admission::Kind::Start);
@@ -113,55 +111,53 @@
   CHECK(table.Running() == 1);
 }
 
-TEST_CASE("a cold worker opens its slots little by little")
+TEST_CASE("the usable slots grow during the warm-up")
 {
   RunTable table{ { .m_slots = 10, .m_queue = 40, .m_warmUp = 10s } };
   CHECK(Admit(table, 1).m_kind == Admission::Kind::Start);
   CHECK(Admit(table, 2).m_kind == Admission::Kind::Queued);
   CHECK(table.OnTick(kStart + 5s).m_start.empty());
   RunActions out;
-  const auto later =
+  const auto admitted =
     table.Admit(kStart + 6s, { 1, 9 }, 1, Demand(CallClass::Critical, 1s), out);
-  CHECK(later.m_kind == Admission::Kind::Start);
+  CHECK(admitted.m_kind == Admission::Kind::Start);
 }
 
-TEST_CASE("an attempt that was forgotten is never said not to have run")
+TEST_CASE("an evicted attempt is never reported as not started")
 {
-  // A release ran, and so long ago that its entry is gone. Its caller's
-  // daemon, cut off meanwhile, asks about it. "Not started" would be a false
-  // "not run", and the release would be made a second time.
-  RunTable table{ { .m_remember = 10s } };
+  // The attempt was executed and its entry evicted. On "not started" its caller
+  // would retry it and execute it twice.
+  RunTable table{ { .m_retention = 10s } };
   REQUIRE(Admit(table, 5).m_kind == Admission::Kind::Start);
   static_cast<void>(table.Finish(kStart, { 1, 5 }));
   CHECK(table.Cancel(kStart, { 1, 5 }) == CancelResult::Finished);
   static_cast<void>(table.OnTick(kStart + 11s));
-  CHECK(table.Remembered() == 0);
+  CHECK(table.RetainedCount() == 0);
   CHECK(table.Cancel(kStart + 11s, { 1, 5 }) == CancelResult::Forgotten);
-  // Nor may a copy of its request run again.
+  // A duplicate of its request is not executed either.
   RunActions out;
-  const auto repeated = table.Admit(
+  const auto duplicate = table.Admit(
     kStart + 11s, { 1, 5 }, 1, Demand(CallClass::Critical, 1s), out);
-  CHECK(repeated.m_kind == Admission::Kind::Repeated);
-  // Later attempts and other processes are not touched by that.
+  CHECK(duplicate.m_kind == Admission::Kind::Repeated);
+  // Later attempts and other processes are not affected.
   CHECK(Admit(table, 6).m_kind == Admission::Kind::Start);
   CHECK(table.Cancel(kStart + 11s, { 2, 5 }) == CancelResult::NotStarted);
 }
 
-TEST_CASE("memory of ended attempts is bounded in number")
+TEST_CASE("the number of ended attempts kept is limited")
 {
-  RunTable table{ { .m_maxRemembered = 100 } };
+  RunTable table{ { .m_maxRetained = 100 } };
   for (std::uint64_t call = 1; call <= 1000; ++call) {
     REQUIRE(Admit(table, call).m_kind == Admission::Kind::Start);
     static_cast<void>(table.Finish(kStart, { 1, call }));
   }
-  CHECK(table.Remembered() <= 100);
+  CHECK(table.RetainedCount() <= 100);
 }
 
-TEST_CASE("a call that another worker could take at once is not queued")
+TEST_CASE("a call that asks not to be queued is refused as busy")
 {
-  // Sixty callers each know of a worker what its last answer told, seconds ago.
-  // All send their next call to the one that looked best; it waits there while
-  // the worker beside it is idle.
+  // Callers with old load reports select the same worker; their calls would be
+  // queued there while other workers are idle.
   RunTable table{ { .m_slots = 2, .m_queue = 10 } };
   RunActions out;
   const auto admit = [&](std::uint64_t aCall, bool aRefuseIfBusy) {
@@ -174,7 +170,7 @@
                          .m_refuseIfBusy = aRefuseIfBusy },
                        out);
   };
-  // A run of 200 ms, so that a wait at both slots is known to be long.
+  // A run of 200 ms, so that the expected wait is long.
   REQUIRE(admit(1, true).m_kind == Admission::Kind::Start);
   static_cast<void>(table.Finish(kStart + 200ms, { 1, 1 }));
   REQUIRE(admit(2, true).m_kind == Admission::Kind::Start);
@@ -182,6 +178,6 @@
   const Admission busy = admit(4, true);
   CHECK(busy.m_kind == Admission::Kind::Refused);
   CHECK(busy.m_reason == RefusalReason::Busy);
-  // One that has asked all others waits.
+  // Without the flag the call is queued.
   CHECK(admit(5, false).m_kind == Admission::Kind::Queued);
 }
--- a/tests/calls/trace_replay.cpp
+++ b/tests/calls/trace_replay.cpp
@@ -6,8 +6,8 @@
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
-// Replays recorded traces of attempts at one worker against their stated
-// outcomes; the format is described in tests/traces/README.md.
+// Replays recorded traces of attempts at one worker and compares the outcomes;
+// tests/traces/README.md describes the format.
 
 using namespace greengagehub;
 using namespace greengagehub::testkit;
@@ -45,12 +45,12 @@
       return "ok";
     }
     if (verb == "finish") {
-      return Told("finished", m_runs.Finish(m_now, { 1, number }));
+      return Describe("finished", m_runs.Finish(m_now, { 1, number }));
     }
     if (verb == "tick") {
-      return Told("ticked", m_runs.OnTick(m_now));
+      return Describe("ticked", m_runs.OnTick(m_now));
     }
-    return Told("left", m_runs.StartLeaving(m_now));
+    return Describe("left", m_runs.StartLeaving(m_now));
   }
 
 private:
@@ -81,9 +81,9 @@
       m_runs.Admit(m_now, { 1, aCall }, epoch, DemandOf(parsed, left), out);
     switch (admission.m_kind) {
       case Admission::Kind::Start:
-        return Told("started", out);
+        return Describe("started", out);
       case Admission::Kind::Queued:
-        return Told("queued", out);
+        return Describe("queued", out);
       case Admission::Kind::Repeated:
         return "repeated";
       case Admission::Kind::Refused:
@@ -107,16 +107,16 @@
     return "?";
   }
 
-  static std::string Told(std::string aWhat, const RunActions& aActions)
+  static std::string Describe(std::string aOutcome, const RunActions& aActions)
   {
     for (const CallKey& each : aActions.m_start) {
-      aWhat += fmt::format(", start {}", each.m_call);
+      aOutcome += fmt::format(", start {}", each.m_call);
     }
     for (const RefusedRun& each : aActions.m_refused) {
-      aWhat +=
+      aOutcome +=
         fmt::format(", refuse {} {}", each.m_key.m_call, NameOf(each.m_reason));
     }
-    return aWhat;
+    return aOutcome;
   }
 
   TimePoint m_now{ kStart };
--- a/tests/calls/worker_presence.cpp
+++ b/tests/calls/worker_presence.cpp
@@ -22,10 +22,10 @@
 
 }
 
-TEST_CASE("a worker that leaves never comes back under the same id")
+TEST_CASE("an incarnation that leaves never takes calls again")
 {
-  // A report sent before the leave arrives after it, held up on the way. Taken
-  // at its word, the worker would get new calls while it shuts down.
+  // A delayed report from before the leave must not send calls to a worker that
+  // is shutting down.
   WorkerPresence worker{ 1500ms };
   CHECK(worker.OnReport(kStart, Report("a", 1)) == Change::Arrived);
   CHECK(worker.TakesCalls());
@@ -35,7 +35,7 @@
   CHECK_FALSE(worker.TakesCalls());
 }
 
-TEST_CASE("a farewell without notice counts as leaving")
+TEST_CASE("a leave message without a preceding report counts as leaving")
 {
   WorkerPresence worker{ 1500ms };
   CHECK(worker.OnLeft(kStart, { "a", std::nullopt }) == Change::None);
@@ -45,19 +45,18 @@
   CHECK_FALSE(worker.TakesCalls());
 }
 
-TEST_CASE("a late report of an earlier start does not unseat its successor")
+TEST_CASE("a late report of a past incarnation is ignored")
 {
-  // The worker's reports are held up by a cut; it crashes behind it and starts
-  // again. The new start reports first, then the old one's report arrives. All
-  // requests would be addressed to a start that is gone, and be turned away.
+  // Requests would be addressed to an incarnation that no longer runs, and be
+  // rejected.
   WorkerPresence worker{ 1500ms };
-  SUBCASE("the earlier start was known here")
+  SUBCASE("the past incarnation was known")
   {
     CHECK(worker.OnReport(kStart, Report("old", 40)) == Change::Arrived);
     CHECK(worker.OnReport(kStart + 8s, Report("new", 1)) == Change::Arrived);
     CHECK(worker.OnReport(kStart + 9s, Report("old", 41)) == Change::None);
   }
-  SUBCASE("it was not, as this daemon has started since")
+  SUBCASE("the past incarnation was unknown, as the daemon restarted")
   {
     CHECK(worker.OnReport(kStart, Report("new", 2)) == Change::Arrived);
     CHECK(worker.OnReport(kStart + 1s, Report("old", 41)) == Change::None);
@@ -65,10 +64,10 @@
   CHECK(worker.Current()->m_start.m_id == "new");
 }
 
-TEST_CASE("a worker that was asked counts until it reports")
+TEST_CASE("a health check response is used until the first heartbeat")
 {
-  // A daemon has been restarted beside a worker that runs on. Its next report
-  // may be more than a second away, in which its slots would stand empty.
+  // After a restart of the daemon the worker would get no calls until its next
+  // heartbeat.
   WorkerPresence worker{ 1500ms };
   CHECK(worker.OnProbed(kStart, Report("a", 7)) == Change::Arrived);
   CHECK(worker.TakesCalls());
@@ -77,7 +76,7 @@
   CHECK(worker.Current()->m_start.m_id == "a");
 }
 
-TEST_CASE("where the known start has fallen silent, another one is believed")
+TEST_CASE("another incarnation is accepted while the current one is silent")
 {
   WorkerPresence worker{ 1500ms };
   CHECK(worker.OnReport(kStart, Report("a", 2)) == Change::Arrived);
