--- a/include/greengagehub/calls/decision_settings.hpp
+++ b/include/greengagehub/calls/decision_settings.hpp
@@ -27,7 +27,7 @@
   /// A call that will miss its target waits for at most its remaining time
   /// divided by this, so that its caller can still react to the refusal.
   std::uint32_t m_latePart{ 3 };
-  /// Whether the age of unfinished runs counts when a worker slows down.
+  /// Whether a slow worker is also detected from its unfinished runs.
   bool m_seesSlowness{ true };
   /// Share of a worker from which calls of higher gain are taken to use all of
   /// it.
@@ -39,7 +39,7 @@
   /// answers shorten the wait little and cost a round trip each.
   std::uint32_t m_maxBusy{ 2 };
   /// Another worker is asked if the expected wait is longer than the time left
-  /// to the target divided by this, and the round trip lately was shorter.
+  /// to the target divided by this, and recent round trips were shorter.
   std::uint32_t m_busyPart{ 20 };
   /// Further workers that a call is offered to after the first refused it. Each
   /// costs a round trip.
--- a/src/calls/run_table.cpp
+++ b/src/calls/run_table.cpp
@@ -98,7 +98,7 @@
   }
   const auto known = m_runs.find(aKey);
   if (known != m_runs.end()) {
-    // Refused or cancelled before: the caller was already told "not run".
+    // Refused or cancelled before: "not run" was reported already.
     const bool isRefused = known->second->m_state == State::Refused;
     return { isRefused ? Admission::Kind::Refused : Admission::Kind::Repeated,
              RefusalReason::Cancelled,
--- a/src/calls/worker_presence.cpp
+++ b/src/calls/worker_presence.cpp
@@ -15,9 +15,9 @@
 /// Past incarnations kept; reports are late by seconds, in which there are few
 /// restarts.
 constexpr std::size_t kMaxPast = 16;
-/// How long an ID is ignored after a leave message of an unknown incarnation. A
+/// How long a past incarnation without a start time is matched by its ID; a
 /// backend server may restart under the same ID.
-constexpr auto kUnknownLeaveLife = std::chrono::seconds{ 30 };
+constexpr auto kIdMatchLife = std::chrono::seconds{ 30 };
 
 }
 
@@ -33,7 +33,7 @@
   const auto found = std::find_if(
     m_past.begin(), m_past.end(), [&](const PastIncarnation& aEach) {
       const bool isExpired =
-        !aEach.m_start.m_born && aNow - aEach.m_since > kUnknownLeaveLife;
+        !aEach.m_start.m_born && aNow - aEach.m_since > kIdMatchLife;
       return !isExpired && MayBeSame(aEach.m_start, aStart);
     });
   return found == m_past.end() ? nullptr : &*found;
--- a/tests/calls/run_table.cpp
+++ b/tests/calls/run_table.cpp
@@ -32,8 +32,8 @@
 
 TEST_CASE("a request that arrives after its cancellation is not executed")
 {
-  // The caller was told "not run" after the cancellation was answered with "not
-  // started".
+  // The cancellation was answered with "not started", and the call reported as
+  // not run.
   RunTable table{ {} };
   CHECK(table.Cancel(kStart, { 1, 7 }) == CancelResult::NotStarted);
   CHECK(Admit(table, 7).m_kind == Admission::Kind::Refused);
@@ -50,7 +50,7 @@
 
 TEST_CASE("attempts queued from an older connection never start")
 {
-  // After reconnecting, the caller is told "not run" and may retry elsewhere,
+  // After reconnecting, the caller receives "not run" and may retry elsewhere,
   // so the old attempt must not start when a slot becomes free.
   RunTable table{ { .m_slots = 1 } };
   REQUIRE(Admit(table, 1).m_kind == Admission::Kind::Start);
