--- a/include/greengagehub/calls/dispatcher.hpp
+++ b/include/greengagehub/calls/dispatcher.hpp
@@ -11,7 +11,7 @@
 
 namespace greengagehub {
 
-/// \brief What a caller asked for, as far as decisions need it.
+/// \brief The properties of a call that its dispatch depends on.
 struct CallPlan
 {
   std::string m_service;
@@ -19,14 +19,15 @@
   bool m_idempotent{ false };
   TimePoint m_deadline;
   CallKind m_kind{};
-  /// When an answer stops being as good as an immediate one.
+  /// Latency target; an earlier answer has no more value.
   TimePoint m_target{ TimePoint::max() };
+  /// Retries that the call and the calls made for it may still use.
   std::uint32_t m_triesLeft{ 2 };
-  /// Price of a crossing between failure domains, as a share of its worth.
+  /// Cost of crossing between failure domains, as a share of the call's value.
   double m_crossing{ 0.0 };
-  /// Rank of its route, 0 first.
+  /// Rank of the call's route, 0 highest.
   std::uint32_t m_priority{ 0 };
-  /// Likelihood that it is made for a run that was itself a repeat.
+  /// Probability that the call is made by a retried run.
   double m_inherited{ 0.0 };
   Fingerprint m_content{};
 };
@@ -40,33 +41,33 @@
   std::chrono::microseconds m_timeLeft{ 0 };
   std::chrono::microseconds m_targetLeft{ 0 };
   std::uint32_t m_triesLeft{ 0 };
-  /// An earlier attempt has reached a worker.
+  /// Whether an earlier attempt reached a worker.
   bool m_isRepeat{ false };
-  /// Whether another worker is to be asked rather than to wait there.
+  /// Whether the daemon must refuse the call instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
 
-/// \brief Ask a worker's daemon to cancel an attempt unless it started.
+/// \brief Ask a worker's daemon to cancel an attempt that hasn't started.
 struct SendCancel
 {
   std::uint64_t m_attempt{ 0 };
   std::string m_slot;
-  /// Nobody waits for the answer any more.
+  /// The answer is no longer needed.
   bool m_abandon{ false };
 };
 
-/// \brief What a worker's daemon said of an attempt in doubt.
+/// \brief State of an attempt, as reported by the worker's daemon.
 enum class AttemptState : std::uint8_t
 {
-  /// Never started and never will.
+  /// Did not start and never will.
   NotStarted,
-  /// Started; its answer will come.
+  /// Started; the answer will follow.
   Started,
-  /// Started and ended; its answer is lost.
+  /// Ended, but the answer is lost.
   Lost,
 };
 
-/// \brief The final answer to the caller.
+/// \brief Deliver the final answer to the caller.
 struct FinishCall
 {
   std::uint64_t m_call{ 0 };
@@ -76,26 +77,24 @@
 using DispatchAction = std::variant<SendAttempt, SendCancel, FinishCall>;
 using DispatchActions = std::vector<DispatchAction>;
 
-/// \brief The caller's side of calls: choice of worker, retries, what may be
-/// said when something is lost.
+/// \brief The caller's side of calls: selects workers, retries attempts, and
+/// determines the outcome when a connection is lost.
 ///
-/// A worker nearby is asked to refuse rather than to let a call wait, and after
-/// two of those it goes to the one that told the shortest wait. Answers the
-/// load pattern of many callers and few calls from each: what one knows of a
-/// worker is mostly older than its queue, so that all take the same one for the
-/// best.
+/// A call has one attempt at a time. It is reported as "not run", or retried
+/// although it isn't idempotent, only if the worker's daemon confirmed that the
+/// previous attempt did not start.
 ///
-/// Where a version is on trial, the call draws once whether it goes there. One
-/// that did not stays with the version in service for all its tries, and one
-/// that did and failed there goes back to it.
+/// Busy workers in the own failure domain are asked to refuse a call instead of
+/// queueing it, as load reports are often older than the queue they describe.
+/// After `m_maxBusy` such refusals the call may wait at any worker.
 ///
-/// A call whose content is held is not sent, nor sent again; one under which a
-/// worker has ended is sent on once, as long as that is the only end counted
-/// against its content.
+/// During a roll-out, a call is assigned at random to the canary or to the
+/// version in service. An attempt that failed at the canary is retried at the
+/// version in service, never the other way round.
 ///
-/// A call has one attempt at a time. Another attempt of a call that is not
-/// idempotent is made only after the worker's daemon said that the one before
-/// did not start. The caller is told "not run" on the same condition.
+/// A call with a quarantined fingerprint isn't sent. A call during which a
+/// worker crashed is retried only if no other crash counts against its
+/// fingerprint.
 template<RoutingPolicy Policy>
 class BasicDispatcher
 {
@@ -109,12 +108,12 @@
   }
   [[nodiscard]] std::size_t InFlight() const noexcept { return m_calls.size(); }
 
-  /// \returns Whether a service other than the own one has had as many repeats
-  /// from here as it may get.
+  /// \returns Whether the retry budget of another service, one called by
+  /// retried runs, is nearly used up.
   [[nodiscard]] bool AreRepeatsUsedUp(TimePoint aNow,
                                       const std::string& aOwnService) const
   {
-    return m_budget.IsUsedUpBeside(aNow, aOwnService);
+    return m_budget.IsOtherServiceExhausted(aNow, aOwnService);
   }
 
   [[nodiscard]] Policy& Routing() noexcept { return m_policy; }
@@ -145,33 +144,37 @@
     }
   }
 
+  /// \brief Starts a call.
+  /// \param aCall id that the caller assigns, unique among calls in flight.
   [[nodiscard]] DispatchActions Begin(TimePoint aNow,
                                       std::uint64_t aCall,
                                       CallPlan aPlan);
-  /// \brief An answer came; one of a former attempt is ignored.
+  /// \brief Handles an answer; an answer to an earlier attempt is ignored.
   [[nodiscard]] DispatchActions OnAnswer(TimePoint aNow, CallAnswer aAnswer);
+  /// \brief Handles the reply to a SendCancel.
   [[nodiscard]] DispatchActions OnCancelResult(TimePoint aNow,
                                                std::uint64_t aAttempt,
                                                AttemptState aState);
-  /// \brief The connection to a daemon broke or went silent.
+  /// \brief Handles the loss of the connection to a daemon.
   [[nodiscard]] DispatchActions OnLinkLost(TimePoint aNow,
                                            const std::string& aSlot);
-  /// \brief A new connection to the daemon is open. What is in doubt there is
-  /// asked about, unless the process is another one, which cannot know.
+  /// \brief Handles a new connection to a daemon. Queries the state of attempts
+  /// in doubt, unless the daemon has restarted since and lost it.
   [[nodiscard]] DispatchActions OnLinkUp(TimePoint aNow,
                                          const std::string& aSlot,
                                          std::uint64_t aProcess);
-  /// \brief The request could not be handed to any connection.
+  /// \brief Handles a request that no connection could accept.
   [[nodiscard]] DispatchActions OnNotSent(TimePoint aNow,
                                           std::uint64_t aAttempt);
-  /// \brief The caller hung up.
+  /// \brief Handles a caller that disconnected.
   [[nodiscard]] DispatchActions OnCallerGone(TimePoint aNow,
                                              std::uint64_t aCall);
-  /// \returns When OnTick has something to do next, if ever.
+  /// \returns When OnTick() must be called next; nothing if no call is in
+  /// flight.
   [[nodiscard]] std::optional<TimePoint> NextDeadline() const;
-  /// \brief Ends calls whose deadline has passed.
+  /// \brief Finishes calls whose deadline has passed.
   [[nodiscard]] DispatchActions OnTick(TimePoint aNow);
-  /// \brief Notes which process an attempt was sent to.
+  /// \brief Records the daemon process that an attempt was sent to.
   void SentTo(std::uint64_t aAttempt, std::uint64_t aProcess);
 
 private:
@@ -182,45 +185,48 @@
     std::uint64_t m_attempt{ 0 };
     std::string m_slot;
     std::uint64_t m_process{ 0 };
-    TimePoint m_sent{};
+    TimePoint m_sentAt{};
     std::vector<std::string> m_tried;
-    /// Workers that were busy when they were asked.
-    std::vector<std::string> m_busy{};
-    /// The link was lost and nobody knows yet whether it started.
+    /// Workers that refused the call because they were busy.
+    std::vector<std::string> m_busySlots{};
+    /// The connection was lost and the state of the attempt is unknown.
     bool m_inDoubt{ false };
-    /// An attempt of it was sent whose fate nobody knows.
+    /// The outcome of an earlier attempt is unknown.
     bool m_mayHaveRun{ false };
-    /// An attempt of it was put on a connection to a worker.
-    bool m_hasArrived{ false };
-    /// Refusals that did not reach a worker, after which it went elsewhere.
+    /// An attempt was written to a connection to a worker.
+    bool m_hasReachedWorker{ false };
+    /// Refusals by daemons before the call reached a worker.
     std::uint32_t m_redirects{ 0 };
-    /// It has drawn the version that is tried.
-    bool m_drewTrial{ false };
-    /// Workers that were gone.
-    std::uint32_t m_absent{ 0 };
-    /// A worker's failure, told if no other worker does better.
+    /// The call was assigned to the canary.
+    bool m_drewCanary{ false };
+    /// Attempts that met no available worker.
+    std::uint32_t m_absentWorkers{ 0 };
+    /// A server error, returned to the caller if no retry succeeds.
     std::optional<CallAnswer> m_fallback{};
   };
 
-  void Try(TimePoint aNow,
-           DispatchActions& aOut,
-           Call& aCall,
-           CallAnswer aElse);
+  /// \brief Sends an attempt, or finishes the call with `aPrevious` if no
+  /// worker is left.
+  void StartAttempt(TimePoint aNow,
+                    DispatchActions& aOut,
+                    Call& aCall,
+                    CallAnswer aPrevious);
   void Finish(DispatchActions& aOut, Call& aCall, CallAnswer aAnswer);
-  void OnWorkersAnswer(TimePoint aNow,
-                       DispatchActions& aOut,
-                       Call& aCall,
-                       CallAnswer aAnswer);
-  /// \returns For how long the call's content is held; nothing if it is not.
+  void OnWorkerAnswer(TimePoint aNow,
+                      DispatchActions& aOut,
+                      Call& aCall,
+                      CallAnswer aAnswer);
+  /// \returns Time left in quarantine; nothing if the call isn't quarantined.
   [[nodiscard]] std::optional<std::chrono::milliseconds> HeldFor(
     TimePoint aNow,
     const Call& aCall) const;
-  /// \returns Whether a worker that ended under it is the first one.
-  [[nodiscard]] bool IsFirstEnd(const Call& aCall,
-                                const CallAnswer& aAnswer) const;
-  [[nodiscard]] bool MayTryAgain(TimePoint aNow,
-                                 Call& aCall,
-                                 const CallAnswer& aAnswer);
+  /// \returns Whether no other crash counts against the call's fingerprint.
+  [[nodiscard]] bool IsFirstCrash(const Call& aCall,
+                                  const CallAnswer& aAnswer) const;
+  /// \returns Whether to retry; records the retry in the call and the budget.
+  [[nodiscard]] bool MayRetry(TimePoint aNow,
+                              Call& aCall,
+                              const CallAnswer& aAnswer);
   void EndAttempt(TimePoint aNow,
                   Call& aCall,
                   WorkerTable::Verdict aVerdict,
@@ -229,16 +235,18 @@
                      DispatchActions& aOut,
                      Call& aCall,
                      CallAnswer aAnswer);
-  /// \returns The worker to send it to, if any is left.
-  [[nodiscard]] std::optional<WorkerTable::Index> ChooseFor(TimePoint aNow,
-                                                            Call& aCall);
-  /// \returns The same among those that the rule allows.
-  [[nodiscard]] std::optional<WorkerTable::Index>
-  ChooseAmong(TimePoint aNow, const Call& aCall, const VersionRule* aRule);
-  /// \returns Whether asking a worker first costs little of the time that the
-  /// call has, as asking went lately.
-  [[nodiscard]] bool IsAskingCheap(TimePoint aNow, const Call& aCall) const;
-  [[nodiscard]] Call* ByAttempt(std::uint64_t aAttempt);
+  /// \returns The worker to send the call to, if any is left.
+  [[nodiscard]] std::optional<WorkerTable::Index> SelectWorker(TimePoint aNow,
+                                                               Call& aCall);
+  /// \returns A worker that the rule allows, if any is left.
+  [[nodiscard]] std::optional<WorkerTable::Index> SelectWorkerByRule(
+    TimePoint aNow,
+    const Call& aCall,
+    const VersionRule* aRule);
+  /// \returns Whether a busy reply takes little of the call's time, judging by
+  /// recent ones.
+  [[nodiscard]] bool IsBusyReplyFast(TimePoint aNow, const Call& aCall) const;
+  [[nodiscard]] Call* FindByAttempt(std::uint64_t aAttempt);
 
   struct Deadline
   {
@@ -258,11 +266,11 @@
   std::unordered_map<std::uint64_t, std::uint64_t> m_attempts;
   std::set<Deadline> m_deadlines;
   std::uint64_t m_lastAttempt{ 0 };
-  /// Moving mean of the time until a worker's daemon says that it is busy.
-  Duration m_askTime{ 0 };
+  /// Moving average of the time until a daemon replies that its worker is busy.
+  Duration m_busyReplyTime{ 0 };
 };
 
-/// The policy that won on measurement, see docs/design/overload.md.
-using Dispatcher = BasicDispatcher<NearestFit>;
+/// See docs/design/overload.md for a comparison of the policies.
+using Dispatcher = BasicDispatcher<LowestExpectedLoss>;
 
 }
--- a/include/greengagehub/calls/placing.hpp
+++ b/include/greengagehub/calls/placing.hpp
@@ -4,73 +4,68 @@
 
 namespace greengagehub {
 
-/// \brief What is presumed of a worker as far as it has told nothing lately.
-struct Presumed
+/// \brief Times assumed for a worker that has no recent report of its own.
+struct AssumedTimes
 {
-  /// How long it takes for such a call.
+  /// Service time of a call of the kind.
   Duration m_service{ 0 };
-  /// What such a call waits there.
+  /// Time that such a call waits in the queue.
   Duration m_wait{ 0 };
 };
 
-/// \brief What calls of a kind wait in each failure domain, by what its workers
-/// told lately.
+/// \brief Average queue wait in each failure domain for one kind of calls,
+/// from recent reports of the domain's workers.
 ///
-/// Answers the load pattern of many workers and few calls from each daemon: of
-/// 60 workers nearby a daemon hears from most only every few seconds, while
-/// their queues change within half a second. Taken for idle until they tell
-/// otherwise, the workers of a domain that has more traffic than they can take
-/// refuse one after the other, and slots in other domains stay free.
+/// With many workers and few calls from each daemon, the last report of a
+/// worker is seconds old while its queue changes within half a second. The
+/// domain's average replaces the outdated value, so that an overloaded domain
+/// isn't mistaken for an idle one.
 class DomainWaits
 {
 public:
   DomainWaits(const std::vector<const WorkerRow*>& aRows,
               const RoutingContext& aContext);
 
-  [[nodiscard]] Duration In(std::string_view aDomain) const noexcept;
+  /// \returns The average wait; 0 if the domain has no reports.
+  [[nodiscard]] Duration ExpectedWait(std::string_view aDomain) const noexcept;
 
 private:
-  struct Told
+  /// Sums for a weighted average.
+  struct DomainSum
   {
     std::string_view m_domain;
     std::chrono::duration<double> m_wait{ 0.0 };
     double m_weight{ 0.0 };
   };
-  std::vector<Told> m_reported;
+  std::vector<DomainSum> m_sums;
 };
 
-/// \returns Share of calls that miss their target where the mean time to an
-/// answer is `aExpected`.
+/// \returns Probability, in [0, 1], that a call misses its target if its mean
+/// response time is `aExpected`.
 [[nodiscard]] double
-RiskOfLateness(Duration aExpected, Duration aTargetLeft) noexcept;
+LatenessProbability(Duration aExpected, Duration aTargetLeft) noexcept;
 
-/// \returns What a call is expected to lose of its worth at a worker: a part by
-/// an answer past its target, all by one past its deadline or by a failure.
-///
-/// Answers the load pattern of a worker that has become unreachable or fails:
-/// it must look worse than the dearest crossing, or calls stay at home and die
-/// there.
+/// \returns Expected loss of a call at a worker, as a share of the call's
+/// value: partial after the target, total after the deadline or on a failure.
+/// At an unreachable or failing worker it exceeds the highest crossing cost.
 [[nodiscard]] double
 ExpectedLoss(const DecisionSettings& aDecisions,
              const WorkerRow& aRow,
              const RoutingContext& aContext,
-             const Presumed& aPresumed) noexcept;
+             const AssumedTimes& aAssumed) noexcept;
 
-/// \brief The worker where a call loses least: by missing its target, or by the
-/// price of crossing between failure domains.
+/// \brief Selects the worker with the lowest sum of expected loss and cost of
+/// crossing between failure domains.
 ///
-/// Answers the load pattern of domains with unequal demand and workers of
-/// unequal speed. An answer that is earlier than its target is worth no more,
-/// so a faster worker elsewhere is no reason to cross; a full one at home is,
-/// the sooner the smaller the call. A worker that has just come is taken for
-/// somewhat slower than a typical one, and every so often one call is sent
-/// there to learn: taken for a fast one, it would get a call from every daemon
-/// before its first answer, just while it is cold. Two workers are drawn and
-/// weighed: of many callers that hear seldom, all would take the same one for
-/// the best.
-struct NearestFit
+/// An answer before its target gains nothing, so a faster worker in another
+/// domain doesn't attract calls, but a full worker in the own domain sheds
+/// them. Only a random sample of workers is compared: daemons with outdated
+/// reports would otherwise all select the same worker. A worker without reports
+/// counts as slower than average and gets an occasional call, so that a cold
+/// one isn't flooded.
+struct LowestExpectedLoss
 {
-  /// Own failure domain; empty: all are alike.
+  /// Own failure domain; empty: all workers count as near.
   std::string m_domain{};
   DecisionSettings m_decisions{};
 
@@ -84,30 +79,30 @@
                                    Random& aRandom) const;
 
 private:
-  /// \returns The rows that are weighed, in random order.
-  [[nodiscard]] std::vector<std::size_t> Drawn(
+  /// \returns Indices of the rows to compare, in random order.
+  [[nodiscard]] std::vector<std::size_t> SampleCandidates(
     const std::vector<const WorkerRow*>& aRows,
     Random& aRandom) const;
 };
 
-/// \returns Mean service time for calls of the kind over those workers that
-/// have told one; what a worker that has just come is taken for.
+/// \returns Mean service time for calls of the kind over the workers that
+/// reported one, or a default if none did.
 [[nodiscard]] Duration
-TypicalService(const std::vector<const WorkerRow*>& aRows,
-               CallKind aKind) noexcept;
+MeanServiceTime(const std::vector<const WorkerRow*>& aRows,
+                CallKind aKind) noexcept;
 
-/// \returns Time until a call sent now is expected to be answered, with what
-/// refusals seen there cost on average.
+/// \returns Expected time until a call sent now is answered, including a
+/// penalty for recent refusals.
 [[nodiscard]] Duration
-ExpectedTime(const DecisionSettings& aDecisions,
-             const WorkerRow& aRow,
-             const RoutingContext& aContext,
-             const Presumed& aPresumed) noexcept;
-
-/// \param aRequestBytes of the call's body.
-/// \param aAnswerBytes of the answers that its route gets, on average.
-/// \returns What a crossing between failure domains costs, as a share of what
-/// the call is worth.
+ExpectedResponseTime(const DecisionSettings& aDecisions,
+                     const WorkerRow& aRow,
+                     const RoutingContext& aContext,
+                     const AssumedTimes& aAssumed) noexcept;
+
+/// \param aRequestBytes size of the request body.
+/// \param aAnswerBytes mean size of the answers on the call's route.
+/// \returns Cost of crossing between failure domains, as a share of the call's
+/// value.
 [[nodiscard]] double
 CrossingPrice(const DecisionSettings& aDecisions,
               double aRequestBytes,
--- a/include/greengagehub/calls/retry_budget.hpp
+++ b/include/greengagehub/calls/retry_budget.hpp
@@ -10,14 +10,14 @@
 
 namespace greengagehub {
 
-/// \brief Counts events of the last stretch of time, in slices of it.
-class WindowCount
+/// \brief Counts events in a sliding window that is divided into slices.
+class WindowCounter
 {
 public:
   static constexpr std::size_t kSlices = 20;
 
   void Add(TimePoint aNow, Duration aWindow);
-  /// \returns Events of the last window, rounded up to a whole slice.
+  /// \returns Number of events in the window, rounded up to a whole slice.
   [[nodiscard]] std::uint32_t Sum(TimePoint aNow, Duration aWindow) const;
 
 private:
@@ -27,48 +27,44 @@
     std::uint32_t m_count{ 0 };
   };
 
-  /// One more than the window has, as the oldest is only partly in it.
+  /// One more than kSlices: the oldest slice is only partly in the window.
   std::array<Slice, kSlices + 1> m_slices{};
 };
 
-/// \brief How many attempts beyond the first of each call a daemon may make.
+/// \brief Limits on the retries of a daemon, for each service.
 struct RetryLimits
 {
-  /// Share of the calls of the window.
+  /// Retries allowed as a share of the calls in the window.
   double m_share{ 0.1 };
-  /// Beside the share, so that a quiet daemon can route around one dead
-  /// worker.
+  /// Retries allowed on top of the share, so that a daemon with little traffic
+  /// can route around a dead worker.
   double m_slack{ 10.0 };
   std::chrono::milliseconds m_window{ std::chrono::seconds{ 10 } };
 };
 
-/// \brief Share of a worker's runs that were repeats, lately.
+/// \brief Recent share of a worker's runs that were retries.
 ///
-/// What a worker calls for a repeated run is repeated work for the services
-/// behind it, though each of its calls is made once.
+/// Calls made by a retried run are repeated work for the services called, even
+/// though each of them is sent for the first time.
 class RepeatShare
 {
 public:
-  void Note(TimePoint aNow, bool aIsRepeat);
-  /// \returns The share, in [0, 1]; 0 while nothing ran.
+  void Note(TimePoint aNow, bool aIsRetry);
+  /// \returns The share, in [0, 1]; 0 if there were no runs.
   [[nodiscard]] double At(TimePoint aNow) const;
 
 private:
-  WindowCount m_runs;
-  WindowCount m_repeats;
+  WindowCounter m_runs;
+  WindowCounter m_retries;
 };
 
-/// \brief Retries as a share of live calls, service by service, so that an
-/// outage is met with at most that much more load, however many callers there
-/// are.
+/// \brief Limits retries per service to a share of its calls, which bounds the
+/// extra load during an outage regardless of the number of callers.
 ///
-/// Answers two load patterns beside. Where a service that calls another is
-/// retried, the calls of its repeated runs count as retries of the other, or
-/// both together exceed what the other may get. Where workers shed, calls that
-/// are more urgent than the service's mean may use the whole budget and the
-/// others a part of it: the first are those whose failure fails the call that
-/// waits for them. The mean, as one odd route of highest priority should not
-/// count for the whole.
+/// Calls made by retried runs count as retries, so that the budgets of a caller
+/// and of the service it calls don't multiply. Calls less urgent than the
+/// service's mean priority may use only a part of the budget; the rest is
+/// reserved for more urgent ones, such as those that other calls wait for.
 class RetryBudget
 {
 public:
@@ -79,44 +75,43 @@
 
   void SetLimits(RetryLimits aLimits) noexcept { m_limits = aLimits; }
 
-  /// \brief A first try was made.
-  /// \param aPriority rank of the call, 0 first.
-  /// \param aInherited likelihood that a repeated run made it.
+  /// \brief Records the first attempt of a call.
+  /// \param aPriority rank of the call, 0 highest.
+  /// \param aRetriedRunProbability probability that the call is made by a
+  /// retried run.
   void Deposit(TimePoint aNow,
                const std::string& aService,
                std::uint32_t aPriority = 0,
-               double aInherited = 0.0);
-  /// \returns Whether a retry may be made; takes it from the budget.
+               double aRetriedRunProbability = 0.0);
+  /// \brief Takes a retry from the budget.
+  /// \returns False if none is left.
   [[nodiscard]] bool Withdraw(TimePoint aNow,
                               const std::string& aService,
                               std::uint32_t aPriority = 0);
 
-  /// \returns Whether any service but this one, for which repeated runs have
-  /// made calls, has no retry left.
-  ///
-  /// Answers the load pattern of a service that fails most calls of another's
-  /// runs: the runs are repeated within their own service's budget, and each
-  /// makes calls that no budget can refuse any more.
-  [[nodiscard]] bool IsUsedUpBeside(TimePoint aNow,
-                                    const std::string& aService) const;
+  /// \returns Whether the budget of another service, one called by retried
+  /// runs, is nearly used up. Runs of this service must then not be retried, as
+  /// the first attempts of their calls aren't limited by any budget.
+  [[nodiscard]] bool IsOtherServiceExhausted(TimePoint aNow,
+                                             const std::string& aService) const;
 
 private:
   struct Counts
   {
-    WindowCount m_calls;
-    /// With what was inherited.
-    WindowCount m_retries;
-    /// What was inherited and is less than one retry yet.
-    double m_inherited{ 0.0 };
-    /// Whether repeated runs have made calls to it.
-    bool m_inherits{ false };
-    /// Moving mean over the calls; below 0 before the first.
+    WindowCounter m_calls;
+    /// Retries, including calls made by retried runs.
+    WindowCounter m_retries;
+    /// Fraction of a retry accumulated from calls of retried runs.
+    double m_fraction{ 0.0 };
+    /// Whether retried runs have made calls to the service.
+    bool m_isCalledByRetries{ false };
+    /// Moving average over the calls; negative before the first call.
     double m_meanPriority{ -1.0 };
   };
 
   [[nodiscard]] bool HasRoom(TimePoint aNow,
                              const Counts& aCounts,
-                             double aPart) const;
+                             double aBudgetPart) const;
 
   RetryLimits m_limits;
   std::map<std::string, Counts, std::less<>> m_services;
--- a/include/greengagehub/calls/worker_table.hpp
+++ b/include/greengagehub/calls/worker_table.hpp
@@ -14,72 +14,70 @@
 
 namespace greengagehub {
 
-/// \brief One worker as callers on this daemon see it.
+/// \brief A worker and the statistics that this daemon has about it.
 struct WorkerRow
 {
   std::string m_slot;
   std::string m_service;
   std::string m_domain;
-  /// Of its software; empty: not told.
+  /// Version of its software; empty: not reported.
   std::string m_version{};
-  /// Digest of the slot: an order among workers that all daemons share.
-  std::uint64_t m_rank{ 0 };
+  /// Hash of the slot: sorts workers in the same order on all daemons.
+  std::uint64_t m_slotHash{ 0 };
   std::uint32_t m_slots{ 1 };
-  /// Its present start; 0: not told.
+  /// Tag of its current incarnation; 0: not reported.
   StartTag m_start{ 0 };
-  /// Attempts of this daemon under way there.
+  /// Attempts in flight from this daemon.
   std::uint32_t m_inFlight{ 0 };
-  /// Load that its last answer told, and when.
-  std::uint32_t m_reported{ 0 };
+  /// Calls queued and running, and the time of the report.
+  std::uint32_t m_reportedLoad{ 0 };
   TimePoint m_reportedAt{};
-  /// What its answers to calls of one kind told: a worker that runs long
-  /// exports may still answer lookups at once.
-  struct KindFigures
+  /// Last statistics reported for one kind of calls.
+  struct KindStats
   {
     CallKind m_kind{};
     std::chrono::microseconds m_serviceTime{ 0 };
-    /// What another call of the kind would have waited, and when.
+    /// Queue wait of another call of the kind at that time.
     std::chrono::microseconds m_wait{ 0 };
     TimePoint m_at{};
   };
-  std::vector<KindFigures> m_kinds{};
-  /// Moving share of failed attempts, in [0, 1].
+  std::vector<KindStats> m_kindStats{};
+  /// Moving average of the share of failed attempts, in [0, 1].
   double m_failures{ 0.0 };
-  /// Moving share of attempts that it refused for overload, in [0, 1].
+  /// Moving average of the share of attempts refused for overload, in [0, 1].
   double m_refusals{ 0.0 };
   TimePoint m_ejectedUntil{};
   std::uint32_t m_ejections{ 0 };
   bool m_leaving{ false };
 };
 
-/// \brief What an answer tells of the worker it comes from.
+/// \brief Load figures that a worker's answer carries.
 struct LoadReport
 {
   /// Calls queued and running.
   std::uint32_t m_load{ 0 };
-  /// Calls it runs at once; 0: it runs none now.
+  /// Calls that it can run concurrently; 0: no worker is present.
   std::uint32_t m_slots{ 0 };
-  /// Of the answered call.
+  /// Kind of the answered call.
   CallKind m_kind{};
   std::chrono::microseconds m_serviceTime{ 0 };
   std::chrono::microseconds m_wait{ 0 };
 };
 
-/// \brief What a choice rests on beside the workers themselves.
+/// \brief Properties of a call that the selection of a worker depends on.
 struct RoutingContext
 {
   TimePoint m_now;
   CallKind m_kind{};
-  /// Until an answer stops being as good as an immediate one.
+  /// Time left to the call's latency target.
   Duration m_targetLeft{ std::chrono::seconds{ 1 } };
-  /// Price of a crossing between failure domains, as a share of what the call
-  /// is worth.
+  /// Cost of crossing between failure domains, as a share of the call's value.
   double m_crossing{ 0.0 };
-  /// Until an answer is of no use any more.
+  /// Time left to the call's deadline.
   Duration m_deadlineLeft{ std::chrono::seconds{ 10 } };
 };
 
-/// \brief A choice among workers, given as rows; variation by this concept.
+/// \brief A strategy that selects one of the given workers.
 template<class T>
 concept RoutingPolicy = requires(T aPolicy,
                                  const std::vector<const WorkerRow*>& aRows,
@@ -91,15 +89,14 @@
     } -> std::same_as<std::size_t>;
 };
 
-/// \returns Expected load of a worker for each of its slots: what it reported
-/// lately or what this daemon has there, whichever is more, with failures and
-/// refusals seen on calls on top. A worker that fails fast has empty slots, and
-/// one that misreports claims to have them: either would otherwise draw every
-/// call.
+/// \returns Expected load per slot: the larger of the reported load and this
+/// daemon's calls in flight, plus penalties for failures and refusals. Without
+/// the penalties a worker that fails fast or misreports its load would attract
+/// every call.
 [[nodiscard]] double
 LoadScore(const WorkerRow& aRow, TimePoint aNow) noexcept;
 
-/// \brief Any worker, equally likely.
+/// \brief Uniformly random selection.
 struct RandomChoice
 {
   [[nodiscard]] std::size_t Choose(const std::vector<const WorkerRow*>& aRows,
@@ -107,7 +104,7 @@
                                    Random& aRandom) const;
 };
 
-/// \brief The less loaded of two random ones (Mitzenmacher, 2001).
+/// \brief The less loaded of two random workers (Mitzenmacher, 2001).
 struct TwoChoices
 {
   [[nodiscard]] std::size_t Choose(const std::vector<const WorkerRow*>& aRows,
@@ -115,7 +112,7 @@
                                    Random& aRandom) const;
 };
 
-/// \brief The least loaded of all, ties at random.
+/// \brief The least loaded worker; ties are broken at random.
 struct ShortestQueue
 {
   [[nodiscard]] std::size_t Choose(const std::vector<const WorkerRow*>& aRows,
@@ -127,7 +124,7 @@
 /// Modiano, "Dynamic overload balancing in server farms", IFIP Networking
 /// 2014), weighted min-max fair: overflow is spread in proportion to capacity.
 ///
-/// Kept for comparison; docs/design/overload.md says why it is not used.
+/// Used for comparison only; see docs/design/overload.md.
 class JoinWithTagging
 {
 public:
@@ -136,7 +133,7 @@
                                    Random& aRandom);
 
 private:
-  /// The paper's virtual queue: tagged arrivals in, a decided rate out.
+  /// The paper's virtual queue: tagged calls enter, a computed rate drains it.
   struct VirtualQueue
   {
     double m_length{ 0.0 };
@@ -148,7 +145,7 @@
   std::map<std::string, VirtualQueue, std::less<>> m_virtual;
 };
 
-/// \brief Workers by service, with what calls to them have shown.
+/// \brief Workers by service, with the statistics of calls to them.
 class WorkerTable
 {
 public:
@@ -159,19 +156,22 @@
     return m_rows.At(aIndex);
   }
   [[nodiscard]] std::optional<Index> Find(const std::string& aSlot) const;
-  /// \returns Whether a worker of the service is known that takes calls.
+  /// \returns Whether the service has a worker that accepts calls.
   [[nodiscard]] bool HasUsable(const std::string& aService) const;
 
+  /// \brief Adds or updates a worker. Statistics are kept unless its service or
+  /// its incarnation changed.
   void Put(WorkerRow aRow);
   void Remove(const std::string& aSlot);
   void SetLeaving(const std::string& aSlot);
 
-  /// \returns The version that most of the service's workers have told; of
-  /// two that as many have, the one that was here first.
+  /// \returns The version that most workers of the service report; in a tie,
+  /// the one seen first.
   [[nodiscard]] std::string MainVersion(const std::string& aService) const;
 
-  /// \param aExclude slots that this call tried already.
-  /// \param aRule which versions it may go to; none: those in MainVersion().
+  /// \param aExclude slots not to select, such as those already tried.
+  /// \param aRule versions allowed; null: only MainVersion().
+  /// \returns Nothing if no worker is available.
   template<RoutingPolicy Policy>
   [[nodiscard]] std::optional<Index> Choose(
     Policy& aPolicy,
@@ -182,7 +182,7 @@
     const VersionRule* aRule = nullptr) const
   {
     const std::vector<Index> usable =
-      Usable(aService, aExclude, aContext.m_now, aRule);
+      AvailableWorkers(aService, aExclude, aContext.m_now, aRule);
     if (usable.empty()) {
       return std::nullopt;
     }
@@ -198,50 +198,51 @@
   {
     m_decisions = aDecisions;
   }
-  void Sent(Index aIndex);
-  /// \returns Mean share of failures over the service's workers that have
-  /// answered.
+  void RecordSent(Index aIndex);
+  /// \returns Mean share of failures over those workers of the service that
+  /// have answered a call.
   [[nodiscard]] double MeanFailures(const std::string& aService) const;
-  /// \brief What an attempt says of its worker.
+  /// \brief What an attempt shows about its worker.
   enum class Verdict : std::uint8_t
   {
     Good,
     /// Refused for overload.
     Refused,
-    /// No answer, or one that says the worker is broken.
+    /// No answer, or a server error.
     Failed,
-    /// Nothing of whether it is well.
+    /// Nothing; statistics of failures and refusals don't change.
     None,
   };
-  void Ended(const std::string& aSlot,
-             TimePoint aNow,
-             Verdict aVerdict,
-             const std::optional<LoadReport>& aReport,
-             Random& aRandom);
+  void RecordResult(const std::string& aSlot,
+                    TimePoint aNow,
+                    Verdict aVerdict,
+                    const std::optional<LoadReport>& aReport,
+                    Random& aRandom);
 
 private:
-  static void TakeFigures(WorkerRow& aRow,
+  static void RecordStats(WorkerRow& aRow,
                           TimePoint aNow,
                           const LoadReport& aReport);
-  /// \returns Least share of failures among the service's workers.
-  [[nodiscard]] double LeastFailures(const std::string& aService) const;
+  /// \returns Lowest share of failures among the service's workers; 0 if there
+  /// are fewer than two.
+  [[nodiscard]] double LowestFailures(const std::string& aService) const;
 
-  [[nodiscard]] std::vector<Index> Usable(
+  [[nodiscard]] std::vector<Index> AvailableWorkers(
     const std::string& aService,
     const std::vector<std::string>& aExclude,
     TimePoint aNow,
     const VersionRule* aRule) const;
-  /// \brief Leaves only those that the rule allows.
+
   void KeepAllowed(std::vector<Index>& aGroup, const VersionRule& aRule) const;
-  /// \brief Notes whether the service's workers tell more than one version.
-  void NoteVersions(const std::string& aService);
+  /// \brief Updates the entry of `m_mainVersions` for the service.
+  void UpdateMainVersion(const std::string& aService);
 
   DecisionSettings m_decisions{};
   Table<WorkerRow> m_rows;
   std::map<std::string, Index, std::less<>> m_bySlot;
   std::map<std::string, std::vector<Index>, std::less<>> m_byService;
-  /// MainVersion() of services whose workers tell more than one.
-  std::map<std::string, std::string, std::less<>> m_mixed;
+  /// MainVersion() of those services whose workers run several versions.
+  std::map<std::string, std::string, std::less<>> m_mainVersions;
 };
 
 }
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -16,7 +16,7 @@
 
 template<RoutingPolicy Policy>
 typename BasicDispatcher<Policy>::Call*
-BasicDispatcher<Policy>::ByAttempt(std::uint64_t aAttempt)
+BasicDispatcher<Policy>::FindByAttempt(std::uint64_t aAttempt)
 {
   const auto attempt = m_attempts.find(aAttempt);
   if (attempt == m_attempts.end()) {
@@ -38,8 +38,7 @@
   }
   aAnswer.m_call = call;
   if (aAnswer.m_outcome == CallOutcome::NotRun && aCall.m_mayHaveRun) {
-    // The last attempt was refused, but an earlier one was sent: "not run"
-    // would be false.
+    // An earlier attempt may have run, even though the last was refused.
     aAnswer.m_outcome = CallOutcome::Unknown;
   }
   m_attempts.erase(aCall.m_attempt);
@@ -55,24 +54,24 @@
                                     Verdict aVerdict,
                                     const std::optional<LoadReport>& aReport)
 {
-  m_workers.Ended(aCall.m_slot, aNow, aVerdict, aReport, m_random);
+  m_workers.RecordResult(aCall.m_slot, aNow, aVerdict, aReport, m_random);
 }
 
 template<RoutingPolicy Policy>
 std::optional<WorkerTable::Index>
-BasicDispatcher<Policy>::ChooseFor(TimePoint aNow, Call& aCall)
+BasicDispatcher<Policy>::SelectWorker(TimePoint aNow, Call& aCall)
 {
   if (m_rollouts == nullptr || m_rollouts->IsEmpty()) {
-    return ChooseAmong(aNow, aCall, nullptr);
+    return SelectWorkerByRule(aNow, aCall, nullptr);
   }
-  const bool triesTrial = aCall.m_drewTrial && !aCall.m_hasArrived;
+  const bool triesCanary = aCall.m_drewCanary && !aCall.m_hasReachedWorker;
   const VersionRules rules =
-    m_rollouts->RulesFor(aNow, aCall.m_plan.m_service, triesTrial);
+    m_rollouts->RulesFor(aNow, aCall.m_plan.m_service, triesCanary);
   if (rules.IsEmpty()) {
-    return ChooseAmong(aNow, aCall, nullptr);
+    return SelectWorkerByRule(aNow, aCall, nullptr);
   }
   for (const VersionRule& each : rules) {
-    if (const auto chosen = ChooseAmong(aNow, aCall, &each)) {
+    if (const auto chosen = SelectWorkerByRule(aNow, aCall, &each)) {
       return chosen;
     }
   }
@@ -81,9 +80,9 @@
 
 template<RoutingPolicy Policy>
 std::optional<WorkerTable::Index>
-BasicDispatcher<Policy>::ChooseAmong(TimePoint aNow,
-                                     const Call& aCall,
-                                     const VersionRule* aRule)
+BasicDispatcher<Policy>::SelectWorkerByRule(TimePoint aNow,
+                                            const Call& aCall,
+                                            const VersionRule* aRule)
 {
   const RoutingContext context{
     aNow,
@@ -94,17 +93,17 @@
   };
   const Fingerprint content = aCall.m_plan.m_content;
   if (m_quarantine != nullptr && m_quarantine->IsSuspect(content)) {
-    OnePlace place{ content };
+    OnePlace pinned{ content };
     return m_workers.Choose(
-      place, aCall.m_plan.m_service, aCall.m_tried, context, m_random, aRule);
+      pinned, aCall.m_plan.m_service, aCall.m_tried, context, m_random, aRule);
   }
-  if (aCall.m_busy.size() < m_decisions.m_maxBusy) {
+  if (aCall.m_busySlots.size() < m_decisions.m_maxBusy) {
     std::vector<std::string> exclude = aCall.m_tried;
-    exclude.insert(exclude.end(), aCall.m_busy.begin(), aCall.m_busy.end());
+    exclude.insert(
+      exclude.end(), aCall.m_busySlots.begin(), aCall.m_busySlots.end());
     const auto chosen = m_workers.Choose(
       m_policy, aCall.m_plan.m_service, exclude, context, m_random, aRule);
-    // Rather than beyond the domain it may wait at one of those that were
-    // asked: what they told is weighed against the crossing.
+    // Otherwise waiting at a busy worker may cost less than crossing.
     if (chosen && IsNear(m_policy, m_workers.At(*chosen))) {
       return chosen;
     }
@@ -115,18 +114,19 @@
 
 template<RoutingPolicy Policy>
 bool
-BasicDispatcher<Policy>::IsAskingCheap(TimePoint aNow, const Call& aCall) const
+BasicDispatcher<Policy>::IsBusyReplyFast(TimePoint aNow,
+                                         const Call& aCall) const
 {
   const Duration left = std::max<Duration>(aCall.m_plan.m_target - aNow, {});
-  return m_askTime <= left / m_decisions.m_busyPart;
+  return m_busyReplyTime <= left / m_decisions.m_busyPart;
 }
 
 template<RoutingPolicy Policy>
 void
-BasicDispatcher<Policy>::Try(TimePoint aNow,
-                             DispatchActions& aOut,
-                             Call& aCall,
-                             CallAnswer aElse)
+BasicDispatcher<Policy>::StartAttempt(TimePoint aNow,
+                                      DispatchActions& aOut,
+                                      Call& aCall,
+                                      CallAnswer aPrevious)
 {
   if (const auto left = HeldFor(aNow, aCall)) {
     Finish(aOut,
@@ -134,36 +134,35 @@
            Refuse(aCall.m_id, CallOutcome::NotRun, RefusalReason::Held, *left));
     return;
   }
-  const auto chosen = ChooseFor(aNow, aCall);
-  const bool again = !aCall.m_tried.empty();
-  // Where all queues are full, asking one daemon after the other multiplies the
-  // messages just when there is most to do. A worker that turns calls away by
-  // itself is another matter: it may take the next, and the budget bounds how
-  // many are tried.
-  const bool hopeless = chosen && again && !aElse.m_reachedWorker &&
-                        aElse.m_reason != RefusalReason::Busy &&
-                        m_workers.At(*chosen).m_refusals > kKnownToRefuse;
-  if (!chosen || hopeless) {
-    Finish(aOut, aCall, std::move(aElse));
+  const auto chosen = SelectWorker(aNow, aCall);
+  const bool isRetry = !aCall.m_tried.empty();
+  // Limits messages under overload: after a refusal by a daemon, workers that
+  // refuse most calls aren't tried. Refusals by workers themselves are bounded
+  // by the retry budget.
+  const bool wouldBeRefused = chosen && isRetry && !aPrevious.m_reachedWorker &&
+                              aPrevious.m_reason != RefusalReason::Busy &&
+                              m_workers.At(*chosen).m_refusals > kKnownToRefuse;
+  if (!chosen || wouldBeRefused) {
+    Finish(aOut, aCall, std::move(aPrevious));
     return;
   }
   const bool wasBusy =
-    std::find(aCall.m_busy.begin(),
-              aCall.m_busy.end(),
-              m_workers.At(*chosen).m_slot) != aCall.m_busy.end();
-  const bool mayAsk = aCall.m_busy.size() < m_decisions.m_maxBusy && !wasBusy &&
-                      IsNear(m_policy, m_workers.At(*chosen));
-  const bool asks = mayAsk && IsAskingCheap(aNow, aCall);
-  if (mayAsk && !asks) {
-    // Or it would never be measured again.
-    m_askTime -= m_askTime / kAskForgets;
-  }
-  m_workers.Sent(*chosen);
+    std::find(aCall.m_busySlots.begin(),
+              aCall.m_busySlots.end(),
+              m_workers.At(*chosen).m_slot) != aCall.m_busySlots.end();
+  const bool mayRefuse = aCall.m_busySlots.size() < m_decisions.m_maxBusy &&
+                         !wasBusy && IsNear(m_policy, m_workers.At(*chosen));
+  const bool refuseIfBusy = mayRefuse && IsBusyReplyFast(aNow, aCall);
+  if (mayRefuse && !refuseIfBusy) {
+    // Decays without samples, so that busy replies are requested again.
+    m_busyReplyTime -= m_busyReplyTime / kAskForgets;
+  }
+  m_workers.RecordSent(*chosen);
   m_attempts.erase(aCall.m_attempt);
   aCall.m_attempt = ++m_lastAttempt;
   aCall.m_slot = m_workers.At(*chosen).m_slot;
   aCall.m_process = 0;
-  aCall.m_sent = aNow;
+  aCall.m_sentAt = aNow;
   aCall.m_inDoubt = false;
   aCall.m_tried.push_back(aCall.m_slot);
   m_attempts.emplace(aCall.m_attempt, aCall.m_id);
@@ -174,8 +173,8 @@
     TimeLeft(aNow, aCall.m_plan.m_deadline),
     TimeLeft(aNow, std::min(aCall.m_plan.m_target, aCall.m_plan.m_deadline)),
     aCall.m_plan.m_triesLeft,
-    aCall.m_hasArrived,
-    asks });
+    aCall.m_hasReachedWorker,
+    refuseIfBusy });
 }
 
 template<RoutingPolicy Policy>
@@ -189,18 +188,18 @@
   Call call;
   call.m_id = aCall;
   call.m_plan = std::move(aPlan);
-  call.m_drewTrial =
+  call.m_drewCanary =
     m_rollouts != nullptr &&
     m_rollouts->DrawsTrial(aNow, call.m_plan.m_service, m_random);
   m_deadlines.insert({ call.m_plan.m_deadline + kGrace, aCall });
-  Call& kept = m_calls.emplace(aCall, std::move(call)).first->second;
-  Try(aNow,
-      out,
-      kept,
-      Refuse(aCall,
-             CallOutcome::NotRun,
-             RefusalReason::NoWorker,
-             std::chrono::seconds{ 1 }));
+  Call& inserted = m_calls.emplace(aCall, std::move(call)).first->second;
+  StartAttempt(aNow,
+               out,
+               inserted,
+               Refuse(aCall,
+                      CallOutcome::NotRun,
+                      RefusalReason::NoWorker,
+                      std::chrono::seconds{ 1 }));
   return out;
 }
 
@@ -215,48 +214,48 @@
 
 template<RoutingPolicy Policy>
 bool
-BasicDispatcher<Policy>::IsFirstEnd(const Call& aCall,
-                                    const CallAnswer& aAnswer) const
+BasicDispatcher<Policy>::IsFirstCrash(const Call& aCall,
+                                      const CallAnswer& aAnswer) const
 {
-  const std::uint32_t known =
+  const std::uint32_t knownCrashes =
     m_quarantine == nullptr ? 0
                             : m_quarantine->EndsUnder(aCall.m_plan.m_content);
-  return std::max(known, aAnswer.m_ends) < Quarantine::kSuspectEnds;
+  return std::max(knownCrashes, aAnswer.m_ends) < Quarantine::kSuspectEnds;
 }
 
 template<RoutingPolicy Policy>
 bool
-BasicDispatcher<Policy>::MayTryAgain(TimePoint aNow,
-                                     Call& aCall,
-                                     const CallAnswer& aAnswer)
+BasicDispatcher<Policy>::MayRetry(TimePoint aNow,
+                                  Call& aCall,
+                                  const CallAnswer& aAnswer)
 {
   if (aAnswer.m_reason == RefusalReason::Busy) {
     std::erase(aCall.m_tried, aCall.m_slot);
-    aCall.m_busy.push_back(aCall.m_slot);
-    m_askTime += (aNow - aCall.m_sent - m_askTime) / kAskWeight;
+    aCall.m_busySlots.push_back(aCall.m_slot);
+    m_busyReplyTime += (aNow - aCall.m_sentAt - m_busyReplyTime) / kAskWeight;
     return true;
   }
   if (aAnswer.m_reason == RefusalReason::Held ||
       aAnswer.m_reason == RefusalReason::NoRepeats) {
     return false;
   }
-  // Another try may end the next worker, with all that runs there.
+  // Another attempt may crash the next worker and fail all calls there.
   if (aAnswer.m_reason == RefusalReason::WorkerEnded &&
-      !IsFirstEnd(aCall, aAnswer)) {
+      !IsFirstCrash(aCall, aAnswer)) {
     return false;
   }
-  const bool safe =
+  const bool isSafe =
     aAnswer.m_outcome == CallOutcome::NotRun || aCall.m_plan.m_idempotent;
-  if (!safe || aNow >= aCall.m_plan.m_deadline) {
+  if (!isSafe || aNow >= aCall.m_plan.m_deadline) {
     return false;
   }
-  const bool reachedNone =
+  const bool reachedNoWorker =
     aAnswer.m_outcome == CallOutcome::NotRun && !aAnswer.m_reachedWorker;
-  if (reachedNone && IsAbsent(aAnswer.m_reason)) {
-    return ++aCall.m_absent <= kMaxAbsent;
+  if (reachedNoWorker && IsAbsent(aAnswer.m_reason)) {
+    return ++aCall.m_absentWorkers <= kMaxAbsent;
   }
-  if (reachedNone) {
-    // Puts no load on any worker, so that only the messages count.
+  if (reachedNoWorker) {
+    // Adds no load to workers, so the retry budget doesn't apply.
     return ++aCall.m_redirects <= m_decisions.m_maxRedirects;
   }
   if (aCall.m_plan.m_triesLeft == 0 ||
@@ -265,7 +264,7 @@
     return false;
   }
   --aCall.m_plan.m_triesLeft;
-  aCall.m_hasArrived = true;
+  aCall.m_hasReachedWorker = true;
   return true;
 }
 
@@ -278,8 +277,8 @@
 {
   aCall.m_mayHaveRun =
     aCall.m_mayHaveRun || aAnswer.m_outcome == CallOutcome::Unknown;
-  if (MayTryAgain(aNow, aCall, aAnswer)) {
-    Try(aNow, aOut, aCall, std::move(aAnswer));
+  if (MayRetry(aNow, aCall, aAnswer)) {
+    StartAttempt(aNow, aOut, aCall, std::move(aAnswer));
   } else {
     Finish(aOut, aCall, std::move(aAnswer));
   }
@@ -287,19 +286,21 @@
 
 template<RoutingPolicy Policy>
 void
-BasicDispatcher<Policy>::OnWorkersAnswer(TimePoint aNow,
-                                         DispatchActions& aOut,
-                                         Call& aCall,
-                                         CallAnswer aAnswer)
+BasicDispatcher<Policy>::OnWorkerAnswer(TimePoint aNow,
+                                        DispatchActions& aOut,
+                                        Call& aCall,
+                                        CallAnswer aAnswer)
 {
   const bool failed = aAnswer.m_response.m_status >= kFirstServerError;
-  // Another worker may do better, if an answer can still be in time.
-  const bool commonCause =
+  // A retry is useful if the cause is local to the worker and an answer can
+  // still meet the target.
+  const bool isCommonFailure =
     failed && m_decisions.m_seesCommonCause &&
     m_workers.MeanFailures(aCall.m_plan.m_service) > kCommonFailures;
-  const bool again = failed && !commonCause && aCall.m_plan.m_idempotent &&
-                     aNow + 2 * aAnswer.m_serviceTime < aCall.m_plan.m_target;
-  if (!again) {
+  const bool shouldRetry =
+    failed && !isCommonFailure && aCall.m_plan.m_idempotent &&
+    aNow + 2 * aAnswer.m_serviceTime < aCall.m_plan.m_target;
+  if (!shouldRetry) {
     Finish(aOut, aCall, std::move(aAnswer));
     return;
   }
@@ -312,7 +313,7 @@
 BasicDispatcher<Policy>::OnAnswer(TimePoint aNow, CallAnswer aAnswer)
 {
   DispatchActions out;
-  Call* call = ByAttempt(aAnswer.m_call);
+  Call* call = FindByAttempt(aAnswer.m_call);
   if (call == nullptr) {
     return out;
   }
@@ -322,9 +323,9 @@
                            aAnswer.m_serviceTime,
                            aAnswer.m_wait };
   if (aAnswer.m_outcome == CallOutcome::Answered) {
-    const bool broken = aAnswer.m_response.m_status >= kFirstServerError;
-    EndAttempt(aNow, *call, broken ? Verdict::Failed : Verdict::Good, report);
-    OnWorkersAnswer(aNow, out, *call, std::move(aAnswer));
+    const bool failed = aAnswer.m_response.m_status >= kFirstServerError;
+    EndAttempt(aNow, *call, failed ? Verdict::Failed : Verdict::Good, report);
+    OnWorkerAnswer(aNow, out, *call, std::move(aAnswer));
     return out;
   }
   if (aAnswer.m_reason == RefusalReason::Leaving) {
@@ -342,12 +343,12 @@
                                         AttemptState aState)
 {
   DispatchActions out;
-  Call* call = ByAttempt(aAttempt);
+  Call* call = FindByAttempt(aAttempt);
   if (call == nullptr || !call->m_inDoubt) {
     return out;
   }
   if (aState == AttemptState::Started) {
-    // Its answer will come on the new connection.
+    // The answer will arrive on the new connection.
     call->m_inDoubt = false;
     return out;
   }
@@ -364,17 +365,17 @@
 BasicDispatcher<Policy>::OnLinkLost(TimePoint aNow, const std::string& aSlot)
 {
   DispatchActions out;
-  std::vector<std::uint64_t> hit;
+  std::vector<std::uint64_t> affected;
   for (const auto& [id, call] : m_calls) {
     if (call.m_slot == aSlot && !call.m_inDoubt) {
-      hit.push_back(id);
+      affected.push_back(id);
     }
   }
-  for (const std::uint64_t id : hit) {
+  for (const std::uint64_t id : affected) {
     Call& call = m_calls.at(id);
     if (!call.m_plan.m_idempotent) {
-      // Only the worker's daemon can tell whether it started: ask on the next
-      // connection. Until then nothing may be sent again or told.
+      // Only the worker's daemon has the state of the attempt; it is queried
+      // on the next connection.
       call.m_inDoubt = true;
       continue;
     }
@@ -394,20 +395,19 @@
                                   std::uint64_t aProcess)
 {
   DispatchActions out;
-  std::vector<std::uint64_t> doubted;
+  std::vector<std::uint64_t> inDoubt;
   for (const auto& [id, call] : m_calls) {
     if (call.m_slot == aSlot && call.m_inDoubt) {
-      doubted.push_back(id);
+      inDoubt.push_back(id);
     }
   }
-  for (const std::uint64_t id : doubted) {
+  for (const std::uint64_t id : inDoubt) {
     Call& call = m_calls.at(id);
     if (call.m_process == aProcess) {
       out.emplace_back(SendCancel{ call.m_attempt, aSlot, false });
       continue;
     }
-    // Another process: the one that knew is gone, and its worker may have run
-    // the call.
+    // The daemon has restarted and lost the state; the call may have run.
     EndAttempt(aNow, call, Verdict::Failed, std::nullopt);
     RetryOrFinish(aNow,
                   out,
@@ -422,7 +422,7 @@
 BasicDispatcher<Policy>::OnNotSent(TimePoint aNow, std::uint64_t aAttempt)
 {
   DispatchActions out;
-  if (Call* call = ByAttempt(aAttempt)) {
+  if (Call* call = FindByAttempt(aAttempt)) {
     EndAttempt(aNow, *call, Verdict::Failed, std::nullopt);
     RetryOrFinish(aNow,
                   out,
@@ -484,7 +484,7 @@
 void
 BasicDispatcher<Policy>::SentTo(std::uint64_t aAttempt, std::uint64_t aProcess)
 {
-  if (Call* call = ByAttempt(aAttempt)) {
+  if (Call* call = FindByAttempt(aAttempt)) {
     call->m_process = aProcess;
   }
 }
@@ -493,6 +493,6 @@
 template class BasicDispatcher<TwoChoices>;
 template class BasicDispatcher<ShortestQueue>;
 template class BasicDispatcher<JoinWithTagging>;
-template class BasicDispatcher<NearestFit>;
+template class BasicDispatcher<LowestExpectedLoss>;
 
 }
--- a/src/calls/placing.cpp
+++ b/src/calls/placing.cpp
@@ -9,50 +9,48 @@
 
 namespace {
 
-/// News of a worker's queue counts in full when fresh and nothing after this
-/// time.
-constexpr auto kNewsLife = std::chrono::milliseconds{ 500 };
-/// What the workers of a domain told counts for each other for about so long:
-/// the load of a domain changes over seconds, the queue of one worker within
-/// half of one.
-constexpr std::chrono::milliseconds kDomainNewsLife{ 1000 };
-/// Weight of an idle worker beside what was told, so that a domain of which
-/// little has been heard for a while is tried again.
-constexpr double kIdlePrior = 0.25;
-/// One call in so many goes to a worker nearby that has told nothing yet.
-constexpr std::uint64_t kExploreOneIn = 32;
-/// A worker that has told nothing is taken for this many times slower than a
-/// typical one, as it may be cold; half of the time that cold ones take more.
-constexpr double kNewcomer = 1.5;
-/// Service time while no worker has told one.
-constexpr auto kUnknownService = std::chrono::milliseconds{ 50 };
-/// Part of the service time by which a full worker is slower than an empty one;
-/// it also spreads calls over workers that are all far from full.
-constexpr double kCrowding = 0.3;
-/// Bytes of a call that crosses beside its bodies: deflated heads of 65 and 80
-/// bytes, measured on played days, and the packets' own.
+/// The weight of a reported wait falls linearly to zero over this time.
+constexpr auto kReportLifetime = std::chrono::milliseconds{ 500 };
+/// Time constant of the exponential decay of a report in its domain's average.
+/// The load of a domain changes more slowly than the queue of one worker.
+constexpr std::chrono::milliseconds kDomainReportDecay{ 1000 };
+/// Weight of a zero wait in a domain's average, so that a domain without recent
+/// reports gets calls again.
+constexpr double kIdleWeight = 0.25;
+/// One call in this many goes to a near worker without reports.
+constexpr std::uint64_t kExplorationInterval = 32;
+/// Assumed slowdown of a worker without reports against the mean, as it may be
+/// cold.
+constexpr double kUnreportedSlowdown = 1.5;
+/// Service time assumed if no worker reported one.
+constexpr auto kDefaultServiceTime = std::chrono::milliseconds{ 50 };
+/// Slowdown of a full worker against an empty one, as a share of the service
+/// time; also spreads calls over lightly loaded workers.
+constexpr double kLoadSlowdown = 0.3;
+/// Bytes of a crossing call apart from its bodies: compressed headers and
+/// packet overhead.
 constexpr double kCallOverheadBytes = 250.0;
-/// A target that is over or nearly so: the sooner the better, still.
-constexpr auto kLeastTarget = std::chrono::milliseconds{ 100 };
-/// A refusal costs the way there and another try, as time beside service times
-/// of some 100 ms.
+/// Lower bound for the time left to the target, so that faster workers are
+/// preferred for late calls, too.
+constexpr auto kMinTargetLeft = std::chrono::milliseconds{ 100 };
+/// Time penalty for a refusal: a round trip and another attempt.
 constexpr auto kRefusalCost = std::chrono::milliseconds{ 250 };
 
-/// \returns What the worker told of such calls, or of another route's with the
-/// same target while this one is new there.
-const WorkerRow::KindFigures*
-FiguresOf(const WorkerRow& aRow, CallKind aKind) noexcept
+/// \returns The worker's statistics for the kind, else those of another route
+/// with the same target, else null.
+const WorkerRow::KindStats*
+FindStats(const WorkerRow& aRow, CallKind aKind) noexcept
 {
-  const WorkerRow::KindFigures* alike = nullptr;
-  for (const WorkerRow::KindFigures& each : aRow.m_kinds) {
+  const WorkerRow::KindStats* sameTarget = nullptr;
+  for (const WorkerRow::KindStats& each : aRow.m_kindStats) {
     if (each.m_kind == aKind) {
       return &each;
     }
     if (each.m_kind.m_target == aKind.m_target) {
-      alike = &each;
+      sameTarget = &each;
     }
   }
-  return alike;
+  return sameTarget;
 }
 
 }
@@ -62,73 +60,73 @@
 {
   using Seconds = std::chrono::duration<double>;
   for (const WorkerRow* each : aRows) {
-    const auto* figures = FiguresOf(*each, aContext.m_kind);
-    if (figures == nullptr) {
+    const auto* stats = FindStats(*each, aContext.m_kind);
+    if (stats == nullptr) {
       continue;
     }
     const double age =
-      Seconds(aContext.m_now - figures->m_at) / Seconds(kDomainNewsLife);
-    auto told = std::find_if(
-      m_reported.begin(), m_reported.end(), [&](const Told& aTold) {
-        return aTold.m_domain == each->m_domain;
+      Seconds(aContext.m_now - stats->m_at) / Seconds(kDomainReportDecay);
+    auto sum =
+      std::find_if(m_sums.begin(), m_sums.end(), [&](const DomainSum& aSum) {
+        return aSum.m_domain == each->m_domain;
       });
-    if (told == m_reported.end()) {
-      told = m_reported.insert(m_reported.end(), Told{ each->m_domain });
+    if (sum == m_sums.end()) {
+      sum = m_sums.insert(m_sums.end(), DomainSum{ each->m_domain });
     }
     const double weight = std::exp(-age);
-    told->m_wait += weight * Seconds(figures->m_wait);
-    told->m_weight += weight;
+    sum->m_wait += weight * Seconds(stats->m_wait);
+    sum->m_weight += weight;
   }
 }
 
 Duration
-DomainWaits::In(std::string_view aDomain) const noexcept
+DomainWaits::ExpectedWait(std::string_view aDomain) const noexcept
 {
-  for (const Told& each : m_reported) {
+  for (const DomainSum& each : m_sums) {
     if (each.m_domain == aDomain) {
-      return std::chrono::duration_cast<Duration>(each.m_wait /
-                                                  (each.m_weight + kIdlePrior));
+      return std::chrono::duration_cast<Duration>(
+        each.m_wait / (each.m_weight + kIdleWeight));
     }
   }
   return Duration{ 0 };
 }
 
 Duration
-TypicalService(const std::vector<const WorkerRow*>& aRows,
-               CallKind aKind) noexcept
+MeanServiceTime(const std::vector<const WorkerRow*>& aRows,
+                CallKind aKind) noexcept
 {
   Duration sum = Duration::zero();
   int known = 0;
   for (const WorkerRow* each : aRows) {
-    if (const auto* figures = FiguresOf(*each, aKind)) {
-      sum += figures->m_serviceTime;
+    if (const auto* stats = FindStats(*each, aKind)) {
+      sum += stats->m_serviceTime;
       ++known;
     }
   }
-  return known > 0 ? sum / known : Duration{ kUnknownService };
+  return known > 0 ? sum / known : Duration{ kDefaultServiceTime };
 }
 
 Duration
-ExpectedTime(const DecisionSettings& aDecisions,
-             const WorkerRow& aRow,
-             const RoutingContext& aContext,
-             const Presumed& aPresumed) noexcept
+ExpectedResponseTime(const DecisionSettings& aDecisions,
+                     const WorkerRow& aRow,
+                     const RoutingContext& aContext,
+                     const AssumedTimes& aAssumed) noexcept
 {
   using Seconds = std::chrono::duration<double>;
-  Seconds service = aPresumed.m_service;
-  Seconds wait = aPresumed.m_wait;
-  if (const auto* known = FiguresOf(aRow, aContext.m_kind)) {
+  Seconds service = aAssumed.m_service;
+  Seconds wait = aAssumed.m_wait;
+  if (const auto* known = FindStats(aRow, aContext.m_kind)) {
     const double age =
-      Seconds(aContext.m_now - known->m_at) / Seconds(kNewsLife);
-    const double trust = std::clamp(1.0 - age, 0.0, 1.0);
+      Seconds(aContext.m_now - known->m_at) / Seconds(kReportLifetime);
+    const double freshness = std::clamp(1.0 - age, 0.0, 1.0);
     service = known->m_serviceTime;
-    wait = trust * Seconds(known->m_wait) + (1.0 - trust) * wait;
+    wait = freshness * Seconds(known->m_wait) + (1.0 - freshness) * wait;
   }
   const double slots = std::max(1U, aRow.m_slots);
   const double load = aRow.m_inFlight / slots;
-  const double beyond = std::max(0.0, load - 1.0);
-  const double crowded = kCrowding * std::min(1.0, load);
-  Seconds expected = service * (1.0 + beyond + crowded) + wait;
+  const double excessLoad = std::max(0.0, load - 1.0);
+  const double slowdown = kLoadSlowdown * std::min(1.0, load);
+  Seconds expected = service * (1.0 + excessLoad + slowdown) + wait;
   if (aDecisions.m_pushesBack) {
     expected += aRow.m_refusals * kRefusalCost;
   }
@@ -147,13 +145,12 @@
 }
 
 double
-RiskOfLateness(Duration aExpected, Duration aTargetLeft) noexcept
+LatenessProbability(Duration aExpected, Duration aTargetLeft) noexcept
 {
-  // Fits a service time whose spread is half of its mean: 3% at 0.3 of the
-  // target, 11% at half, a half where the mean just meets it.
+  // Approximates a service time whose standard deviation is half of its mean.
   const std::chrono::duration<double> expected = aExpected;
   const std::chrono::duration<double> left =
-    std::max<Duration>(aTargetLeft, kLeastTarget);
+    std::max<Duration>(aTargetLeft, kMinTargetLeft);
   const double ratio = expected / left;
   const double cubed = ratio * ratio * ratio;
   return cubed / (1.0 + cubed);
@@ -163,76 +160,84 @@
 ExpectedLoss(const DecisionSettings& aDecisions,
              const WorkerRow& aRow,
              const RoutingContext& aContext,
-             const Presumed& aPresumed) noexcept
+             const AssumedTimes& aAssumed) noexcept
 {
-  const Duration expected = ExpectedTime(aDecisions, aRow, aContext, aPresumed);
-  const double late = RiskOfLateness(expected, aContext.m_targetLeft);
-  const double lost = RiskOfLateness(expected, aContext.m_deadlineLeft);
+  const Duration expected =
+    ExpectedResponseTime(aDecisions, aRow, aContext, aAssumed);
+  const double lateProbability =
+    LatenessProbability(expected, aContext.m_targetLeft);
+  const double deadlineProbability =
+    LatenessProbability(expected, aContext.m_deadlineLeft);
   const double failed = aDecisions.m_pushesBack ? aRow.m_failures : 0.0;
   const double answered = 1.0 - failed;
-  return failed + answered * (aDecisions.m_lateLoss * late +
-                              (1.0 - aDecisions.m_lateLoss) * lost);
+  return failed +
+         answered * (aDecisions.m_lateLoss * lateProbability +
+                     (1.0 - aDecisions.m_lateLoss) * deadlineProbability);
 }
 
 std::size_t
-NearestFit::Choose(const std::vector<const WorkerRow*>& aRows,
-                   const RoutingContext& aContext,
-                   Random& aRandom) const
+LowestExpectedLoss::Choose(const std::vector<const WorkerRow*>& aRows,
+                           const RoutingContext& aContext,
+                           Random& aRandom) const
 {
-  if (m_decisions.m_explores && Below(aRandom, kExploreOneIn) == 0) {
+  if (m_decisions.m_explores && Below(aRandom, kExplorationInterval) == 0) {
     for (std::size_t i = 0; i < aRows.size(); ++i) {
-      const bool unknown = FiguresOf(*aRows[i], aContext.m_kind) == nullptr &&
-                           aRows[i]->m_inFlight == 0;
-      if (unknown && !IsFar(*aRows[i])) {
+      const bool isUnreported =
+        FindStats(*aRows[i], aContext.m_kind) == nullptr &&
+        aRows[i]->m_inFlight == 0;
+      if (isUnreported && !IsFar(*aRows[i])) {
         return i;
       }
     }
   }
-  const Duration typical = TypicalService(aRows, aContext.m_kind);
+  const Duration meanService = MeanServiceTime(aRows, aContext.m_kind);
   const DomainWaits waits{ aRows, aContext };
   const auto cost = [&](const WorkerRow& aRow) {
-    const bool isNew = FiguresOf(aRow, aContext.m_kind) == nullptr;
-    // Until the first call there has ended it gets no second one.
-    const double again = isNew && aRow.m_inFlight > 0 ? 1.0 : 0.0;
-    const Presumed presumed{
-      isNew ? std::chrono::duration_cast<Duration>(typical * kNewcomer)
-            : typical,
-      m_decisions.m_sharesNews ? waits.In(aRow.m_domain) : Duration{ 0 }
-    };
-    return ExpectedLoss(m_decisions, aRow, aContext, presumed) + again +
+    const bool isUnreported = FindStats(aRow, aContext.m_kind) == nullptr;
+    // A worker without reports gets no second call before the first has ended.
+    const double probePenalty = isUnreported && aRow.m_inFlight > 0 ? 1.0 : 0.0;
+    const AssumedTimes assumed{ isUnreported
+                                  ? std::chrono::duration_cast<Duration>(
+                                      meanService * kUnreportedSlowdown)
+                                  : meanService,
+                                m_decisions.m_sharesNews
+                                  ? waits.ExpectedWait(aRow.m_domain)
+                                  : Duration{ 0 } };
+    return ExpectedLoss(m_decisions, aRow, aContext, assumed) + probePenalty +
            (IsFar(aRow) ? aContext.m_crossing : 0.0);
   };
   std::size_t best = 0;
-  double least = std::numeric_limits<double>::infinity();
-  for (const std::size_t at : Drawn(aRows, aRandom)) {
-    const double here = cost(*aRows[at]);
-    if (here < least) {
+  double lowest = std::numeric_limits<double>::infinity();
+  for (const std::size_t at : SampleCandidates(aRows, aRandom)) {
+    const double candidateCost = cost(*aRows[at]);
+    if (candidateCost < lowest) {
       best = at;
-      least = here;
+      lowest = candidateCost;
     }
   }
   return best;
 }
 
 std::vector<std::size_t>
-NearestFit::Drawn(const std::vector<const WorkerRow*>& aRows,
-                  Random& aRandom) const
+LowestExpectedLoss::SampleCandidates(const std::vector<const WorkerRow*>& aRows,
+                                     Random& aRandom) const
 {
-  std::vector<std::size_t> drawn(aRows.size());
-  std::iota(drawn.begin(), drawn.end(), std::size_t{ 0 });
-  for (std::size_t i = 0; i + 1 < drawn.size(); ++i) {
-    std::swap(drawn[i], drawn[i + Below(aRandom, drawn.size() - i)]);
+  std::vector<std::size_t> candidates(aRows.size());
+  std::iota(candidates.begin(), candidates.end(), std::size_t{ 0 });
+  for (std::size_t i = 0; i + 1 < candidates.size(); ++i) {
+    std::swap(candidates[i],
+              candidates[i + Below(aRandom, candidates.size() - i)]);
   }
   if (m_decisions.m_choices == 0) {
-    return drawn;
+    return candidates;
   }
   std::uint32_t near = 0;
   std::uint32_t far = 0;
-  std::erase_if(drawn, [&](std::size_t aIndex) {
+  std::erase_if(candidates, [&](std::size_t aIndex) {
     std::uint32_t& count = IsFar(*aRows[aIndex]) ? far : near;
     return ++count > m_decisions.m_choices;
   });
-  return drawn;
+  return candidates;
 }
 
 }
--- a/src/calls/retry_budget.cpp
+++ b/src/calls/retry_budget.cpp
@@ -6,33 +6,30 @@
 
 namespace {
 
-/// Weight of a call in the mean priority of its service: the last hundred
-/// count.
+/// Weight of a call in the moving average of its service's priorities.
 constexpr double kPriorityWeight = 0.01;
-/// Within which a priority is that of nearly all calls.
-constexpr double kEqual = 0.1;
-/// Part of the budget for calls that are less urgent than the service's mean:
-/// with half, as many lookups as exports can be tried again where half of all
-/// are shed.
-constexpr double kPartForOthers = 0.5;
-/// Part of a service's budget up to which runs are repeated that call it: some
-/// of its calls are made and not counted yet.
-constexpr double kPartForRuns = 0.8;
-/// Over which runs are counted for the share of repeats: some hundred at a busy
-/// worker, and over soon after a disruption.
+/// Difference from the mean priority up to which a call may use the whole
+/// budget.
+constexpr double kPriorityTolerance = 0.1;
+/// Part of the budget for calls less urgent than the service's mean priority.
+constexpr double kLowPriorityPart = 0.5;
+/// Part of a service's budget up to which runs that call it are retried; the
+/// rest covers calls that aren't counted yet.
+constexpr double kRetriedRunPart = 0.8;
+/// Window of the share of retried runs.
 constexpr Duration kRunsWindow = std::chrono::seconds{ 1 };
 
 std::int64_t
 SliceNumber(TimePoint aNow, Duration aWindow)
 {
   return aNow.time_since_epoch() /
-         (aWindow / static_cast<int>(WindowCount::kSlices));
+         (aWindow / static_cast<int>(WindowCounter::kSlices));
 }
 
 }
 
 void
-WindowCount::Add(TimePoint aNow, Duration aWindow)
+WindowCounter::Add(TimePoint aNow, Duration aWindow)
 {
   const std::int64_t number = SliceNumber(aNow, aWindow);
   Slice& slice = m_slices[static_cast<std::size_t>(number) % m_slices.size()];
@@ -43,7 +40,7 @@
 }
 
 std::uint32_t
-WindowCount::Sum(TimePoint aNow, Duration aWindow) const
+WindowCounter::Sum(TimePoint aNow, Duration aWindow) const
 {
   const std::int64_t newest = SliceNumber(aNow, aWindow);
   const std::int64_t oldest = newest - static_cast<std::int64_t>(kSlices);
@@ -57,11 +54,11 @@
 }
 
 void
-RepeatShare::Note(TimePoint aNow, bool aIsRepeat)
+RepeatShare::Note(TimePoint aNow, bool aIsRetry)
 {
   m_runs.Add(aNow, kRunsWindow);
-  if (aIsRepeat) {
-    m_repeats.Add(aNow, kRunsWindow);
+  if (aIsRetry) {
+    m_retries.Add(aNow, kRunsWindow);
   }
 }
 
@@ -69,14 +66,14 @@
 RepeatShare::At(TimePoint aNow) const
 {
   const double runs = m_runs.Sum(aNow, kRunsWindow);
-  return runs > 0.0 ? m_repeats.Sum(aNow, kRunsWindow) / runs : 0.0;
+  return runs > 0.0 ? m_retries.Sum(aNow, kRunsWindow) / runs : 0.0;
 }
 
 void
 RetryBudget::Deposit(TimePoint aNow,
                      const std::string& aService,
                      std::uint32_t aPriority,
-                     double aInherited)
+                     double aRetriedRunProbability)
 {
   Counts& counts = m_services[aService];
   counts.m_calls.Add(aNow, m_limits.m_window);
@@ -85,10 +82,11 @@
     counts.m_meanPriority = priority;
   }
   counts.m_meanPriority += kPriorityWeight * (priority - counts.m_meanPriority);
-  counts.m_inherited += aInherited;
-  counts.m_inherits = counts.m_inherits || aInherited > 0.0;
-  if (counts.m_inherited >= 1.0) {
-    counts.m_inherited -= 1.0;
+  counts.m_fraction += aRetriedRunProbability;
+  counts.m_isCalledByRetries =
+    counts.m_isCalledByRetries || aRetriedRunProbability > 0.0;
+  if (counts.m_fraction >= 1.0) {
+    counts.m_fraction -= 1.0;
     counts.m_retries.Add(aNow, m_limits.m_window);
   }
 }
@@ -102,8 +100,9 @@
     return false;
   }
   Counts& counts = m_services[aService];
-  const bool isFirst = aPriority <= counts.m_meanPriority + kEqual;
-  if (!HasRoom(aNow, counts, isFirst ? 1.0 : kPartForOthers)) {
+  const bool mayUseWholeBudget =
+    aPriority <= counts.m_meanPriority + kPriorityTolerance;
+  if (!HasRoom(aNow, counts, mayUseWholeBudget ? 1.0 : kLowPriorityPart)) {
     return false;
   }
   counts.m_retries.Add(aNow, m_limits.m_window);
@@ -111,21 +110,24 @@
 }
 
 bool
-RetryBudget::HasRoom(TimePoint aNow, const Counts& aCounts, double aPart) const
+RetryBudget::HasRoom(TimePoint aNow,
+                     const Counts& aCounts,
+                     double aBudgetPart) const
 {
   const double calls = aCounts.m_calls.Sum(aNow, m_limits.m_window);
   const double retries = aCounts.m_retries.Sum(aNow, m_limits.m_window);
   const double allowed = m_limits.m_share * calls + m_limits.m_slack;
-  return retries + 1.0 <= allowed * aPart;
+  return retries + 1.0 <= allowed * aBudgetPart;
 }
 
 bool
-RetryBudget::IsUsedUpBeside(TimePoint aNow, const std::string& aService) const
+RetryBudget::IsOtherServiceExhausted(TimePoint aNow,
+                                     const std::string& aService) const
 {
   return std::ranges::any_of(m_services, [&](const auto& aEach) {
     const Counts& counts = aEach.second;
-    return aEach.first != aService && counts.m_inherits &&
-           !HasRoom(aNow, counts, kPartForRuns);
+    return aEach.first != aService && counts.m_isCalledByRetries &&
+           !HasRoom(aNow, counts, kRetriedRunPart);
   });
 }
 
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -10,17 +10,19 @@
 
 namespace {
 
-/// A report counts in full when fresh and nothing after this time.
-constexpr auto kReportLife = std::chrono::milliseconds{ 500 };
-constexpr double kFailureWeight = 0.125;
-/// Failures push a worker back by up to this many full loads.
+/// The weight of a reported load falls linearly to zero over this time.
+constexpr auto kReportLifetime = std::chrono::milliseconds{ 500 };
+/// Weight of an attempt in the moving averages of failures and refusals.
+constexpr double kOutcomeWeight = 0.125;
+/// Load per slot added to the score of a worker that fails every call.
 constexpr double kFailurePenalty = 4.0;
 constexpr double kRefusalPenalty = 4.0;
-constexpr double kEjectAbove = 0.55;
-/// Kinds of calls remembered for each worker.
+/// Share of failures, above the lowest of the service, that ejects a worker.
+constexpr double kEjectionThreshold = 0.55;
+/// Kinds of calls with statistics for each worker.
 constexpr std::size_t kMaxKinds = 16;
-constexpr auto kFirstEjection = std::chrono::milliseconds{ 1000 };
-constexpr std::uint32_t kMaxDoublings = 5;
+constexpr auto kFirstEjectionTime = std::chrono::milliseconds{ 1000 };
+constexpr std::uint32_t kMaxEjectionDoublings = 5;
 
 }
 
@@ -28,9 +30,9 @@
 LoadScore(const WorkerRow& aRow, TimePoint aNow) noexcept
 {
   const double age =
-    std::chrono::duration<double>(aNow - aRow.m_reportedAt) / kReportLife;
-  const double trust = std::clamp(1.0 - age, 0.0, 1.0);
-  const double reported = trust * aRow.m_reported;
+    std::chrono::duration<double>(aNow - aRow.m_reportedAt) / kReportLifetime;
+  const double freshness = std::clamp(1.0 - age, 0.0, 1.0);
+  const double reported = freshness * aRow.m_reportedLoad;
   const double own = aRow.m_inFlight;
   const double slots = std::max(1U, aRow.m_slots);
   return std::max(own, reported) / slots + aRow.m_failures * kFailurePenalty +
@@ -81,7 +83,7 @@
                        double aSlots,
                        TimePoint aNow) const
 {
-  // One slot of the paper's time is the mean service time of a call.
+  // A time slot of the paper corresponds to the mean service time of a call.
   constexpr double kTradeOff = 100.0;
   constexpr double kAlpha = 100.0;
   constexpr std::chrono::duration<double> kSlotTime{ 0.01 };
@@ -124,19 +126,19 @@
 
 namespace {
 
-/// What calls showed of a former start (slow, failing, full) says nothing of
-/// this one. Attempts under way are still counted until they end.
+/// Sets the incarnation and resets the statistics if it changed. Attempts in
+/// flight stay counted until they end.
 void
-TakeStart(WorkerRow& aRow, StartTag aStart)
+UpdateIncarnation(WorkerRow& aRow, StartTag aStart)
 {
-  const bool another = aRow.m_start != 0 && aRow.m_start != aStart;
+  const bool isNewIncarnation = aRow.m_start != 0 && aRow.m_start != aStart;
   aRow.m_start = aStart;
-  if (!another) {
+  if (!isNewIncarnation) {
     return;
   }
-  aRow.m_reported = 0;
+  aRow.m_reportedLoad = 0;
   aRow.m_reportedAt = TimePoint{};
-  aRow.m_kinds.clear();
+  aRow.m_kindStats.clear();
   aRow.m_failures = 0.0;
   aRow.m_refusals = 0.0;
   aRow.m_ejectedUntil = TimePoint{};
@@ -177,10 +179,10 @@
       row.m_leaving = aRow.m_leaving;
       if (row.m_version != aRow.m_version) {
         row.m_version = std::move(aRow.m_version);
-        NoteVersions(row.m_service);
+        UpdateMainVersion(row.m_service);
       }
       if (aRow.m_start != 0) {
-        TakeStart(row, aRow.m_start);
+        UpdateIncarnation(row, aRow.m_start);
       }
       return;
     }
@@ -188,11 +190,11 @@
   }
   const std::string slot = aRow.m_slot;
   const std::string service = aRow.m_service;
-  aRow.m_rank = ShortHashOf(slot);
+  aRow.m_slotHash = ShortHashOf(slot);
   const Index index = m_rows.Insert(std::move(aRow));
   m_bySlot.emplace(slot, index);
   m_byService[service].push_back(index);
-  NoteVersions(service);
+  UpdateMainVersion(service);
 }
 
 void
@@ -210,7 +212,7 @@
   }
   m_bySlot.erase(aSlot);
   m_rows.Erase(*known);
-  NoteVersions(service);
+  UpdateMainVersion(service);
 }
 
 std::string
@@ -220,7 +222,7 @@
   if (group == m_byService.end()) {
     return {};
   }
-  // In the order in which they came.
+  // In order of first appearance, which breaks ties.
   std::vector<std::pair<std::string_view, std::size_t>> counts;
   for (const Index index : group->second) {
     const std::string& version = m_rows.At(index).m_version;
@@ -238,19 +240,19 @@
 }
 
 void
-WorkerTable::NoteVersions(const std::string& aService)
+WorkerTable::UpdateMainVersion(const std::string& aService)
 {
-  m_mixed.erase(aService);
+  m_mainVersions.erase(aService);
   const auto group = m_byService.find(aService);
   if (group == m_byService.end()) {
     return;
   }
   const std::string_view first = m_rows.At(group->second.front()).m_version;
-  const bool alike = std::ranges::all_of(group->second, [&](Index aIndex) {
+  const bool isUniform = std::ranges::all_of(group->second, [&](Index aIndex) {
     return m_rows.At(aIndex).m_version == first;
   });
-  if (!alike) {
-    m_mixed.emplace(aService, MainVersion(aService));
+  if (!isUniform) {
+    m_mainVersions.emplace(aService, MainVersion(aService));
   }
 }
 
@@ -265,7 +267,7 @@
     return;
   }
   std::ranges::sort(
-    aGroup, {}, [this](Index aIndex) { return m_rows.At(aIndex).m_rank; });
+    aGroup, {}, [this](Index aIndex) { return m_rows.At(aIndex).m_slotHash; });
   const auto first =
     aGroup.begin() + static_cast<std::ptrdiff_t>(aRule.m_first % aGroup.size());
   std::rotate(aGroup.begin(), first, aGroup.end());
@@ -281,16 +283,16 @@
 }
 
 std::vector<WorkerTable::Index>
-WorkerTable::Usable(const std::string& aService,
-                    const std::vector<std::string>& aExclude,
-                    TimePoint aNow,
-                    const VersionRule* aRule) const
+WorkerTable::AvailableWorkers(const std::string& aService,
+                              const std::vector<std::string>& aExclude,
+                              TimePoint aNow,
+                              const VersionRule* aRule) const
 {
-  std::vector<Index> usable;
+  std::vector<Index> available;
   std::vector<Index> ejected;
   const auto group = m_byService.find(aService);
   if (group == m_byService.end()) {
-    return usable;
+    return available;
   }
   std::vector<Index> allowed;
   allowed.reserve(group->second.size());
@@ -298,67 +300,68 @@
     group->second, std::back_inserter(allowed), [this](Index aIndex) {
       return !m_rows.At(aIndex).m_leaving;
     });
-  const auto mixed = m_mixed.find(aService);
+  const auto mainVersion = m_mainVersions.find(aService);
   if (aRule != nullptr) {
     KeepAllowed(allowed, *aRule);
-  } else if (mixed != m_mixed.end() && !mixed->second.empty()) {
-    // No order stands: a version that has just come is not in service.
+  } else if (mainVersion != m_mainVersions.end() &&
+             !mainVersion->second.empty()) {
+    // Without a roll-out a new version gets no calls.
     KeepAllowed(allowed,
-                { VersionRule::Kind::Only, mixed->second, 0, 0, true });
+                { VersionRule::Kind::Only, mainVersion->second, 0, 0, true });
   }
   for (const Index index : allowed) {
     const WorkerRow& row = m_rows.At(index);
-    const bool tried =
+    const bool isExcluded =
       std::find(aExclude.begin(), aExclude.end(), row.m_slot) != aExclude.end();
-    if (tried) {
+    if (isExcluded) {
       continue;
     }
-    (row.m_ejectedUntil > aNow ? ejected : usable).push_back(index);
+    (row.m_ejectedUntil > aNow ? ejected : available).push_back(index);
   }
-  // Never eject more than half: when most fail, the cause is elsewhere, and
-  // the few left would be crushed.
-  if (usable.size() < ejected.size()) {
-    usable.insert(usable.end(), ejected.begin(), ejected.end());
+  // At most half of the workers are ejected: if most fail, the cause is
+  // probably shared, and the remaining ones would be overloaded.
+  if (available.size() < ejected.size()) {
+    available.insert(available.end(), ejected.begin(), ejected.end());
   }
-  return usable;
+  return available;
 }
 
 void
-WorkerTable::Sent(Index aIndex)
+WorkerTable::RecordSent(Index aIndex)
 {
   ++m_rows.At(aIndex).m_inFlight;
 }
 
 void
-WorkerTable::TakeFigures(WorkerRow& aRow,
+WorkerTable::RecordStats(WorkerRow& aRow,
                          TimePoint aNow,
                          const LoadReport& aReport)
 {
   if (aReport.m_slots == 0) {
     return;
   }
-  const WorkerRow::KindFigures figures{
+  const WorkerRow::KindStats stats{
     aReport.m_kind, aReport.m_serviceTime, aReport.m_wait, aNow
   };
   const auto known = std::find_if(
-    aRow.m_kinds.begin(), aRow.m_kinds.end(), [&](const auto& aEach) {
+    aRow.m_kindStats.begin(), aRow.m_kindStats.end(), [&](const auto& aEach) {
       return aEach.m_kind == aReport.m_kind;
     });
-  if (known != aRow.m_kinds.end()) {
-    *known = figures;
+  if (known != aRow.m_kindStats.end()) {
+    *known = stats;
     return;
   }
-  if (aRow.m_kinds.size() < kMaxKinds) {
-    aRow.m_kinds.push_back(figures);
+  if (aRow.m_kindStats.size() < kMaxKinds) {
+    aRow.m_kindStats.push_back(stats);
     return;
   }
   const auto oldest =
-    std::min_element(aRow.m_kinds.begin(),
-                     aRow.m_kinds.end(),
+    std::min_element(aRow.m_kindStats.begin(),
+                     aRow.m_kindStats.end(),
                      [](const auto& aLeft, const auto& aRight) {
                        return aLeft.m_at < aRight.m_at;
                      });
-  *oldest = figures;
+  *oldest = stats;
 }
 
 double
@@ -381,7 +384,7 @@
 }
 
 double
-WorkerTable::LeastFailures(const std::string& aService) const
+WorkerTable::LowestFailures(const std::string& aService) const
 {
   const auto group = m_byService.find(aService);
   if (group == m_byService.end() || group->second.size() < 2) {
@@ -395,11 +398,11 @@
 }
 
 void
-WorkerTable::Ended(const std::string& aSlot,
-                   TimePoint aNow,
-                   Verdict aVerdict,
-                   const std::optional<LoadReport>& aReport,
-                   Random& aRandom)
+WorkerTable::RecordResult(const std::string& aSlot,
+                          TimePoint aNow,
+                          Verdict aVerdict,
+                          const std::optional<LoadReport>& aReport,
+                          Random& aRandom)
 {
   const auto known = Find(aSlot);
   if (!known) {
@@ -408,32 +411,32 @@
   WorkerRow& row = m_rows.At(*known);
   row.m_inFlight -= row.m_inFlight > 0 ? 1 : 0;
   if (aReport) {
-    row.m_reported = aReport->m_load;
+    row.m_reportedLoad = aReport->m_load;
     row.m_reportedAt = aNow;
     row.m_slots = aReport->m_slots > 0 ? aReport->m_slots : row.m_slots;
-    TakeFigures(row, aNow, *aReport);
+    RecordStats(row, aNow, *aReport);
   }
   if (aVerdict == Verdict::None) {
     return;
   }
   const bool failed = aVerdict == Verdict::Failed;
   const bool refused = aVerdict == Verdict::Refused;
-  row.m_failures += kFailureWeight * ((failed ? 1.0 : 0.0) - row.m_failures);
-  row.m_refusals += kFailureWeight * ((refused ? 1.0 : 0.0) - row.m_refusals);
+  row.m_failures += kOutcomeWeight * ((failed ? 1.0 : 0.0) - row.m_failures);
+  row.m_refusals += kOutcomeWeight * ((refused ? 1.0 : 0.0) - row.m_refusals);
   if (!failed) {
-    row.m_ejections = row.m_failures < kFailureWeight ? 0 : row.m_ejections;
+    row.m_ejections = row.m_failures < kOutcomeWeight ? 0 : row.m_ejections;
     return;
   }
-  // Where all fail alike, as when a service that they call is away, the cause
-  // is not in this one.
-  const double beyondOthers = row.m_failures - LeastFailures(row.m_service);
-  if (m_decisions.m_ejects && beyondOthers > kEjectAbove &&
+  // If all workers fail alike, as when a service that they depend on is down,
+  // the cause isn't local to this one.
+  const double excessFailures = row.m_failures - LowestFailures(row.m_service);
+  if (m_decisions.m_ejects && excessFailures > kEjectionThreshold &&
       row.m_ejectedUntil <= aNow) {
-    const auto span = kFirstEjection * (1U << row.m_ejections);
-    row.m_ejectedUntil = aNow + Jittered(aRandom, span);
-    row.m_ejections = std::min(row.m_ejections + 1, kMaxDoublings);
-    // It gets a fresh chance afterwards.
-    row.m_failures = kEjectAbove / 2;
+    const auto ejectionTime = kFirstEjectionTime * (1U << row.m_ejections);
+    row.m_ejectedUntil = aNow + Jittered(aRandom, ejectionTime);
+    row.m_ejections = std::min(row.m_ejections + 1, kMaxEjectionDoublings);
+    // Only further failures eject the worker again.
+    row.m_failures = kEjectionThreshold / 2;
   }
 }
 
--- a/tests/calls/dispatcher.cpp
+++ b/tests/calls/dispatcher.cpp
@@ -9,11 +9,11 @@
 
 const TimePoint kStart{ 1h };
 
-/// A dispatcher with two workers and one call under way.
-class OneCall
+/// A dispatcher with two workers and one call in flight.
+class SingleCall
 {
 public:
-  explicit OneCall(bool aIdempotent)
+  explicit SingleCall(bool aIdempotent)
   {
     for (const char* slot : { "a", "b" }) {
       WorkerRow row;
@@ -25,13 +25,13 @@
     plan.m_service = "locker-app";
     plan.m_idempotent = aIdempotent;
     plan.m_deadline = kStart + 1s;
-    Take(m_dispatcher.Begin(kStart, 1, std::move(plan)));
+    Apply(m_dispatcher.Begin(kStart, 1, std::move(plan)));
     m_dispatcher.SentTo(m_attempt, kProcess);
   }
 
   static constexpr std::uint64_t kProcess = 77;
 
-  void Take(const DispatchActions& aActions)
+  void Apply(const DispatchActions& aActions)
   {
     for (const DispatchAction& each : aActions) {
       if (const auto* send = std::get_if<SendAttempt>(&each)) {
@@ -56,40 +56,40 @@
 
 }
 
-TEST_CASE("a release whose link is lost is not sent again before its fate is "
-          "known")
+TEST_CASE("a non-idempotent call with a lost connection is not retried before "
+          "its state is known")
 {
-  // The connection to the worker's daemon breaks with a release on it.
-  // Sending it elsewhere at once would open the compartment twice.
-  OneCall call{ false };
-  call.Take(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
+  // Guards against running a call twice that must run at most once.
+  SingleCall call{ false };
+  call.Apply(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
   CHECK(call.m_sends == 1);
   CHECK_FALSE(call.m_final);
-  call.Take(call.m_dispatcher.OnLinkUp(kStart, call.m_slot, OneCall::kProcess));
+  call.Apply(
+    call.m_dispatcher.OnLinkUp(kStart, call.m_slot, SingleCall::kProcess));
   CHECK(call.m_cancels == 1);
 
-  SUBCASE("not started: it goes elsewhere")
+  SUBCASE("not started: it is retried at the other worker")
   {
-    call.Take(call.m_dispatcher.OnCancelResult(
+    call.Apply(call.m_dispatcher.OnCancelResult(
       kStart, call.m_attempt, AttemptState::NotStarted));
     CHECK(call.m_sends == 2);
   }
-  SUBCASE("started: its answer still comes")
+  SUBCASE("started: its answer is awaited")
   {
     const auto attempt = call.m_attempt;
-    call.Take(
+    call.Apply(
       call.m_dispatcher.OnCancelResult(kStart, attempt, AttemptState::Started));
     CHECK_FALSE(call.m_final);
     CallAnswer answer;
     answer.m_call = attempt;
     answer.m_outcome = CallOutcome::Answered;
-    call.Take(call.m_dispatcher.OnAnswer(kStart, answer));
+    call.Apply(call.m_dispatcher.OnAnswer(kStart, answer));
     REQUIRE(call.m_final);
     CHECK(call.m_final->m_outcome == CallOutcome::Answered);
   }
-  SUBCASE("lost: unknown, and not sent again")
+  SUBCASE("lost: the outcome is unknown, without a retry")
   {
-    call.Take(call.m_dispatcher.OnCancelResult(
+    call.Apply(call.m_dispatcher.OnCancelResult(
       kStart, call.m_attempt, AttemptState::Lost));
     REQUIRE(call.m_final);
     CHECK(call.m_final->m_outcome == CallOutcome::Unknown);
@@ -97,40 +97,41 @@
   }
 }
 
-TEST_CASE("a release at a process that is gone is unknown, at once")
+TEST_CASE("a non-idempotent call has an unknown outcome once its daemon has "
+          "restarted")
 {
-  OneCall call{ false };
-  call.Take(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
-  call.Take(call.m_dispatcher.OnLinkUp(kStart, call.m_slot, 78));
+  SingleCall call{ false };
+  call.Apply(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
+  call.Apply(call.m_dispatcher.OnLinkUp(kStart, call.m_slot, 78));
   REQUIRE(call.m_final);
   CHECK(call.m_final->m_outcome == CallOutcome::Unknown);
   CHECK(call.m_sends == 1);
 }
 
-TEST_CASE("a lookup whose link is lost goes elsewhere at once")
+TEST_CASE("an idempotent call with a lost connection is retried at once")
 {
-  OneCall call{ true };
-  call.Take(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
+  SingleCall call{ true };
+  call.Apply(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
   CHECK(call.m_sends == 2);
 }
 
-TEST_CASE("an answer of an abandoned attempt is not given to the caller")
+TEST_CASE("the answer of an abandoned attempt is ignored")
 {
-  OneCall call{ true };
+  SingleCall call{ true };
   const auto first = call.m_attempt;
-  call.Take(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
+  call.Apply(call.m_dispatcher.OnLinkLost(kStart, call.m_slot));
   CallAnswer late;
   late.m_call = first;
   late.m_outcome = CallOutcome::Answered;
-  call.Take(call.m_dispatcher.OnAnswer(kStart, late));
+  call.Apply(call.m_dispatcher.OnAnswer(kStart, late));
   CHECK_FALSE(call.m_final);
 }
 
-TEST_CASE("a call without a word by its deadline is unknown, at once")
+TEST_CASE("a call without an answer at its deadline has an unknown outcome")
 {
-  OneCall call{ false };
+  SingleCall call{ false };
   REQUIRE(call.m_dispatcher.NextDeadline());
-  call.Take(call.m_dispatcher.OnTick(*call.m_dispatcher.NextDeadline()));
+  call.Apply(call.m_dispatcher.OnTick(*call.m_dispatcher.NextDeadline()));
   REQUIRE(call.m_final);
   CHECK(call.m_final->m_outcome == CallOutcome::Unknown);
   CHECK(call.m_final->m_reason == RefusalReason::DeadlinePassed);
@@ -138,9 +139,9 @@
   CHECK(call.m_dispatcher.InFlight() == 0);
 }
 
-TEST_CASE("retries are a share of live calls")
+TEST_CASE("retries are limited to a share of calls")
 {
-  // Every worker refuses: callers must not send many times the load.
+  // Guards against retries that multiply the load while every worker refuses.
   Dispatcher dispatcher{ 1 };
   for (int i = 0; i < 10; ++i) {
     WorkerRow row;
@@ -169,11 +170,11 @@
 
 namespace {
 
-/// Ten workers that all answer alike, and the attempts that calls to them take.
-class Alike
+/// A dispatcher with ten workers that share one answer function.
+class UniformWorkers
 {
 public:
-  Alike()
+  UniformWorkers()
   {
     for (int i = 0; i < 10; ++i) {
       WorkerRow row;
@@ -184,7 +185,7 @@
     m_dispatcher.SetRetryLimits({ .m_share = 1.0, .m_slack = 0.0 });
   }
 
-  /// Makes a call and answers all attempts of it as `aAnswer` says.
+  /// \returns Number of attempts of one call, each answered by `aAnswer`.
   template<class Answer>
   int Call(Answer aAnswer)
   {
@@ -210,13 +211,11 @@
 
 }
 
-TEST_CASE("where workers shed most of what they get, calls are still tried "
-          "again")
+TEST_CASE("calls are retried while workers shed most of their load")
 {
-  // Every worker turns away three calls in four by itself. The next may take
-  // it; given up after the first, three lookups in four fail, and with them
-  // the calls that wait for them, while the budget for retries lies idle.
-  Alike workers;
+  // Guards against giving up after the first rejection by a worker while the
+  // retry budget is unused.
+  UniformWorkers workers;
   int number = 0;
   int attempts = 0;
   constexpr int kCalls = 400;
@@ -238,13 +237,12 @@
   CHECK(attempts <= kCalls * 2);
 }
 
-TEST_CASE("a failure that all workers share is not run again")
+TEST_CASE("a failure common to all workers is not retried")
 {
-  // The service that these workers call sheds, and they answer 500. Each run
-  // that is repeated makes its calls again, and the service gets twice what it
-  // cannot bear.
-  Alike workers;
-  const auto fails = [](std::uint64_t aAttempt) {
+  // Guards against retries that add load to an overloaded service behind the
+  // workers.
+  UniformWorkers workers;
+  const auto serverError = [](std::uint64_t aAttempt) {
     CallAnswer answer;
     answer.m_call = aAttempt;
     answer.m_outcome = CallOutcome::Answered;
@@ -254,22 +252,23 @@
     return answer;
   };
   for (int i = 0; i < 50; ++i) {
-    static_cast<void>(workers.Call(fails));
+    static_cast<void>(workers.Call(serverError));
   }
   int attempts = 0;
   for (int i = 0; i < 50; ++i) {
-    attempts += workers.Call(fails);
+    attempts += workers.Call(serverError);
   }
   CHECK(attempts == 50);
 }
 
 namespace {
 
-/// Four workers of the own domain and one beyond it; a call to them.
-class Domain
+/// A dispatcher with four workers in its own domain, one in another, and one
+/// call in flight.
+class DomainFixture
 {
 public:
-  Domain()
+  DomainFixture()
   {
     m_dispatcher.Routing().m_domain = "solna";
     for (const char* slot : { "a", "b", "c", "d" }) {
@@ -282,7 +281,7 @@
     plan.m_target = kStart + 400ms;
     plan.m_kind = 400ms;
     plan.m_crossing = 0.5;
-    Take(m_dispatcher.Begin(kStart, 1, std::move(plan)));
+    Apply(m_dispatcher.Begin(kStart, 1, std::move(plan)));
   }
 
   void Put(const char* aSlot, const char* aDomain)
@@ -295,18 +294,18 @@
     m_dispatcher.Workers().Put(std::move(row));
   }
 
-  /// The worker that was asked last says that it is busy.
-  void Busy(std::chrono::milliseconds aWait)
+  /// The worker of the last attempt refuses it as busy.
+  void RefuseAsBusy(std::chrono::milliseconds aWait)
   {
     CallAnswer answer =
       Refuse(m_send.m_attempt, CallOutcome::NotRun, RefusalReason::Busy);
     answer.m_slots = 6;
     answer.m_serviceTime = 100ms;
     answer.m_wait = aWait;
-    Take(m_dispatcher.OnAnswer(kStart, std::move(answer)));
+    Apply(m_dispatcher.OnAnswer(kStart, std::move(answer)));
   }
 
-  void Take(const DispatchActions& aActions)
+  void Apply(const DispatchActions& aActions)
   {
     REQUIRE(aActions.size() == 1);
     const auto* send = std::get_if<SendAttempt>(&aActions.front());
@@ -320,26 +319,24 @@
 
 }
 
-TEST_CASE("of three workers that are busy a call waits at the least busy")
+TEST_CASE("after two busy workers a call may wait at the next")
 {
-  Domain domain;
-  const std::string first = domain.m_send.m_slot;
-  CHECK(domain.m_send.m_refuseIfBusy);
-  domain.Busy(30ms);
-  const std::string second = domain.m_send.m_slot;
+  DomainFixture fixture;
+  const std::string first = fixture.m_send.m_slot;
+  CHECK(fixture.m_send.m_refuseIfBusy);
+  fixture.RefuseAsBusy(30ms);
+  const std::string second = fixture.m_send.m_slot;
   CHECK(second != first);
-  CHECK(domain.m_send.m_refuseIfBusy);
-  domain.Busy(300ms);
-  // Two have said so: now it waits where it is, or at the better of them.
-  CHECK(domain.m_send.m_slot != second);
-  CHECK_FALSE(domain.m_send.m_refuseIfBusy);
+  CHECK(fixture.m_send.m_refuseIfBusy);
+  fixture.RefuseAsBusy(300ms);
+  // After two busy replies the call waits at the worker with the lowest cost.
+  CHECK(fixture.m_send.m_slot != second);
+  CHECK_FALSE(fixture.m_send.m_refuseIfBusy);
 }
 
-TEST_CASE("workers are not asked where asking takes long")
+TEST_CASE("busy refusals are not requested while busy replies are slow")
 {
-  // Daemons with a tenth of a core under load need up to 80 ms to say that
-  // their worker is busy. Asked twice before each call, they had more to do,
-  // and calls that runs wait for lost a third of their 120 ms on the way.
+  // Guards against calls that lose much of their time to slow busy replies.
   Dispatcher dispatcher{ 1 };
   dispatcher.Routing().m_domain = "solna";
   for (const char* slot : { "a", "b", "c", "d" }) {
@@ -350,64 +347,64 @@
     dispatcher.Workers().Put(std::move(row));
   }
   TimePoint now = kStart;
-  const auto isAsked = [&](std::uint64_t aCall, Duration aAskTime) {
+  const auto requestsRefusal = [&](std::uint64_t aCall, Duration aReplyTime) {
     CallPlan plan;
     plan.m_service = "board";
     plan.m_deadline = now + 1s;
     plan.m_target = now + 120ms;
     plan.m_kind = 120ms;
-    const DispatchActions begun = dispatcher.Begin(now, aCall, std::move(plan));
-    const auto send = std::get<SendAttempt>(begun.front());
+    const DispatchActions actions =
+      dispatcher.Begin(now, aCall, std::move(plan));
+    const auto send = std::get<SendAttempt>(actions.front());
     if (send.m_refuseIfBusy) {
-      now += aAskTime;
+      now += aReplyTime;
       static_cast<void>(dispatcher.OnAnswer(
         now, Refuse(send.m_attempt, CallOutcome::NotRun, RefusalReason::Busy)));
     }
     static_cast<void>(dispatcher.OnCallerGone(now, aCall));
     return send.m_refuseIfBusy;
   };
-  CHECK(isAsked(1, 80ms));
-  CHECK_FALSE(isAsked(2, 80ms));
-  // It is tried again before long, and goes on where it has become cheap.
+  CHECK(requestsRefusal(1, 80ms));
+  CHECK_FALSE(requestsRefusal(2, 80ms));
+  // Busy refusals are requested again later, and stay on if replies are fast.
   std::uint64_t call = 3;
-  while (!isAsked(call, 100us) && call < 100) {
+  while (!requestsRefusal(call, 100us) && call < 100) {
     ++call;
   }
   CHECK(call > 3);
   CHECK(call < 100);
-  CHECK(isAsked(call + 1, 100us));
+  CHECK(requestsRefusal(call + 1, 100us));
 }
 
-TEST_CASE("a call is not refused because workers nearby were busy")
+TEST_CASE("a call is not refused because all workers in the domain are busy")
 {
-  // Both workers of a domain are busy for some milliseconds. Asked in turn,
-  // each says so; the caller must not hear that as a refusal.
-  Domain domain;
+  // Guards against a busy reply that is passed to the caller as a refusal.
+  DomainFixture fixture;
   for (const char* slot : { "b", "c", "d", "far" }) {
-    if (slot != domain.m_send.m_slot) {
-      domain.m_dispatcher.Workers().Remove(slot);
+    if (slot != fixture.m_send.m_slot) {
+      fixture.m_dispatcher.Workers().Remove(slot);
     }
   }
-  const std::string only = domain.m_send.m_slot;
-  domain.m_dispatcher.Workers().Remove(only == "a" ? "b" : "a");
-  domain.Busy(30ms);
-  CHECK(domain.m_send.m_slot == only);
-  CHECK_FALSE(domain.m_send.m_refuseIfBusy);
+  const std::string nearSlot = fixture.m_send.m_slot;
+  fixture.m_dispatcher.Workers().Remove(nearSlot == "a" ? "b" : "a");
+  fixture.RefuseAsBusy(30ms);
+  CHECK(fixture.m_send.m_slot == nearSlot);
+  CHECK_FALSE(fixture.m_send.m_refuseIfBusy);
 }
 
-TEST_CASE("a call does not cross because the only worker nearby is busy")
+TEST_CASE("a call does not cross domains because the only near worker is busy")
 {
-  // A domain has one worker of the service. Busy for 15 ms of the 400 ms that
-  // there are, it was left out, and a large answer crossed for it.
-  Domain domain;
-  domain.Put("far", "kista");
-  const std::string only = domain.m_send.m_slot;
+  // Guards against excluding the only near worker for a short wait, so that a
+  // large answer crosses.
+  DomainFixture fixture;
+  fixture.Put("far", "kista");
+  const std::string nearSlot = fixture.m_send.m_slot;
   for (const char* slot : { "a", "b", "c", "d" }) {
-    if (slot != only) {
-      domain.m_dispatcher.Workers().Remove(slot);
+    if (slot != nearSlot) {
+      fixture.m_dispatcher.Workers().Remove(slot);
     }
   }
-  domain.Busy(15ms);
-  CHECK(domain.m_send.m_slot == only);
-  CHECK_FALSE(domain.m_send.m_refuseIfBusy);
+  fixture.RefuseAsBusy(15ms);
+  CHECK(fixture.m_send.m_slot == nearSlot);
+  CHECK_FALSE(fixture.m_send.m_refuseIfBusy);
 }
--- a/tests/calls/held_contents.cpp
+++ b/tests/calls/held_contents.cpp
@@ -3,7 +3,7 @@
 #include <doctest/doctest.h>
 #include <set>
 
-// Calls whose content ends workers, and calls beside them.
+// Calls that crash workers, and calls to unreachable workers.
 
 using namespace greengagehub;
 using namespace std::chrono_literals;
@@ -11,16 +11,16 @@
 namespace {
 
 const TimePoint kStart{ 1h };
-constexpr Fingerprint kContent{ 1, 1 };
+constexpr Fingerprint kFingerprint{ 1, 1 };
 constexpr int kWorkers = 8;
 
-/// The caller's side with workers that answer as the test says.
-class Caller
+/// A dispatcher whose attempts a test answers.
+class TestCaller
 {
 public:
-  using Answer = std::function<CallAnswer(const SendAttempt&)>;
+  using AnswerAttempt = std::function<CallAnswer(const SendAttempt&)>;
 
-  Caller()
+  TestCaller()
   {
     for (int i = 0; i < kWorkers; ++i) {
       WorkerRow row;
@@ -32,15 +32,15 @@
     m_dispatcher.SetQuarantine(m_quarantine);
   }
 
-  /// \returns The final answer; m_sends holds what was sent.
-  CallAnswer Call(const Answer& aAnswer)
+  /// \returns The final answer; the attempts are in m_sends.
+  CallAnswer Call(const AnswerAttempt& aAnswer)
   {
     CallPlan plan;
     plan.m_service = "locker-app";
     plan.m_idempotent = true;
     plan.m_deadline = kStart + 1s;
     plan.m_triesLeft = 3;
-    plan.m_content = kContent;
+    plan.m_content = kFingerprint;
     m_sends.clear();
     auto actions = m_dispatcher.Begin(kStart, ++m_lastCall, std::move(plan));
     while (const auto* send = std::get_if<SendAttempt>(&actions.front())) {
@@ -52,17 +52,17 @@
     return std::get<FinishCall>(actions.front()).m_answer;
   }
 
-  /// A worker ends under the content.
-  CallAnswer End()
+  /// \returns The answer for a worker that crashes during the call.
+  CallAnswer Crash()
   {
-    EndReport report{ ++m_lastEnd, "lockers-1", "locker-app", {}, {} };
-    report.m_ran.push_back({ kContent, 40ms, std::nullopt });
-    const TimePoint at = kStart + std::chrono::seconds{ m_lastEnd };
+    EndReport report{ ++m_lastCrash, "lockers-1", "locker-app", {}, {} };
+    report.m_ran.push_back({ kFingerprint, 40ms, std::nullopt });
+    const TimePoint at = kStart + std::chrono::seconds{ m_lastCrash };
     static_cast<void>(m_quarantine.OnNews(at, { { report }, {} }));
     CallAnswer answer =
       Refuse(0, CallOutcome::Unknown, RefusalReason::WorkerEnded);
     answer.m_reachedWorker = true;
-    answer.m_ends = m_quarantine.EndsUnder(kContent);
+    answer.m_ends = m_quarantine.EndsUnder(kFingerprint);
     return answer;
   }
 
@@ -70,11 +70,11 @@
   Dispatcher m_dispatcher{ 1 };
   std::vector<SendAttempt> m_sends;
   std::uint64_t m_lastCall{ 0 };
-  std::uint64_t m_lastEnd{ 0 };
+  std::uint64_t m_lastCrash{ 0 };
 };
 
 CallAnswer
-Good()
+SuccessAnswer()
 {
   CallAnswer answer;
   answer.m_outcome = CallOutcome::Answered;
@@ -84,32 +84,31 @@
 
 }
 
-TEST_CASE("a call that ends its worker is sent on once, and then not at all")
+TEST_CASE("a call that crashes its worker is retried once, then quarantined")
 {
-  // With a route that allows four attempts, one call ended four workers.
-  Caller caller;
-  const auto ends = [&](const SendAttempt&) { return caller.End(); };
-  CHECK(caller.Call(ends).m_outcome == CallOutcome::Unknown);
+  // Guards against one call that crashes a worker with each of its attempts.
+  TestCaller caller;
+  const auto crashes = [&](const SendAttempt&) { return caller.Crash(); };
+  CHECK(caller.Call(crashes).m_outcome == CallOutcome::Unknown);
   CHECK(caller.m_sends.size() == 2);
-  CHECK(caller.Call(ends).m_outcome == CallOutcome::Unknown);
+  CHECK(caller.Call(crashes).m_outcome == CallOutcome::Unknown);
   CHECK(caller.m_sends.size() == 1);
-  const CallAnswer held = caller.Call(ends);
+  const CallAnswer quarantined = caller.Call(crashes);
   CHECK(caller.m_sends.empty());
-  CHECK(held.m_outcome == CallOutcome::NotRun);
-  CHECK(held.m_reason == RefusalReason::Held);
-  // Not before it is let go.
-  CHECK(held.m_retryAfter > 9min);
+  CHECK(quarantined.m_outcome == CallOutcome::NotRun);
+  CHECK(quarantined.m_reason == RefusalReason::Held);
+  // Not before the quarantine ends.
+  CHECK(quarantined.m_retryAfter > 9min);
 }
 
-TEST_CASE("a call that comes to be held while it waits is not sent again")
+TEST_CASE("a call quarantined during an attempt is not retried")
 {
-  // Its first worker turned it away; meanwhile others have ended under such
-  // calls. It has not run, and may say so.
-  Caller caller;
+  // Its first attempt was rejected, so the outcome is still "not run".
+  TestCaller caller;
   const CallAnswer answer = caller.Call([&](const SendAttempt&) {
-    static_cast<void>(caller.End());
-    static_cast<void>(caller.End());
-    static_cast<void>(caller.End());
+    static_cast<void>(caller.Crash());
+    static_cast<void>(caller.Crash());
+    static_cast<void>(caller.Crash());
     return Refuse(0, CallOutcome::NotRun, RefusalReason::Overloaded);
   });
   CHECK(caller.m_sends.size() == 1);
@@ -117,10 +116,10 @@
   CHECK(answer.m_reason == RefusalReason::Held);
 }
 
-TEST_CASE("what a worker's daemon holds is not tried elsewhere")
+TEST_CASE("a call quarantined by the worker's daemon is not retried")
 {
-  // The caller's daemon has not heard of the verdict yet.
-  Caller caller;
+  // The caller's daemon has not received the quarantine entry yet.
+  TestCaller caller;
   const CallAnswer answer = caller.Call([](const SendAttempt&) {
     return Refuse(0, CallOutcome::NotRun, RefusalReason::Held, 5min);
   });
@@ -129,25 +128,26 @@
   CHECK(answer.m_retryAfter == 5min);
 }
 
-TEST_CASE("a call passes by workers that are gone")
+TEST_CASE("a call skips unreachable workers")
 {
-  // Three of eight workers have ended. A call met these three one after the
-  // other and was refused, while five stood idle.
-  Caller caller;
+  // Guards against a call that is refused after attempts at three unreachable
+  // workers while five are idle.
+  TestCaller caller;
   for (int i = 0; i < 200; ++i) {
     const CallAnswer answer = caller.Call([](const SendAttempt& aSend) {
-      const bool gone = aSend.m_slot < "5";
-      return gone ? Refuse(
-                      0, CallOutcome::NotRun, RefusalReason::WorkerUnreachable)
-                  : Good();
+      const bool isUnreachable = aSend.m_slot < "5";
+      return isUnreachable ? Refuse(0,
+                                    CallOutcome::NotRun,
+                                    RefusalReason::WorkerUnreachable)
+                           : SuccessAnswer();
     });
     CHECK(answer.m_outcome == CallOutcome::Answered);
   }
 }
 
-TEST_CASE("where all workers are gone the call is refused after some messages")
+TEST_CASE("if all workers are unreachable, attempts are limited")
 {
-  Caller caller;
+  TestCaller caller;
   const CallAnswer answer = caller.Call([](const SendAttempt&) {
     return Refuse(0, CallOutcome::NotRun, RefusalReason::WorkerUnreachable);
   });
@@ -155,22 +155,23 @@
   CHECK(caller.m_sends.size() <= 7);
 }
 
-TEST_CASE("a content that has ended two workers goes to one place")
+TEST_CASE(
+  "a fingerprint with two crashes goes to the same worker from all daemons")
 {
-  // Copies of it come by several daemons at the same moment. Spread over the
-  // workers that are left, they end them all before the third end is known.
-  std::set<std::string> places;
+  // Guards against copies that crash several workers before the third crash is
+  // known.
+  std::set<std::string> slots;
   for (int i = 0; i < 5; ++i) {
-    Caller caller;
-    static_cast<void>(caller.End());
-    static_cast<void>(caller.End());
+    TestCaller caller;
+    static_cast<void>(caller.Crash());
+    static_cast<void>(caller.Crash());
     for (int copies = 0; copies < 4; ++copies) {
       static_cast<void>(caller.Call([](const SendAttempt&) {
         return Refuse(0, CallOutcome::NotRun, RefusalReason::Held, 100ms);
       }));
       REQUIRE(caller.m_sends.size() == 1);
-      places.insert(caller.m_sends[0].m_slot);
+      slots.insert(caller.m_sends[0].m_slot);
     }
   }
-  CHECK(places.size() == 1);
+  CHECK(slots.size() == 1);
 }
--- a/tests/calls/one_worker.hpp
+++ b/tests/calls/one_worker.hpp
@@ -9,41 +9,41 @@
 
 namespace greengagehub::test {
 
-/// \brief Calls of one kind that come evenly spaced.
-struct Stream
+/// \brief Calls of one kind that arrive at a fixed interval.
+struct CallStream
 {
   CallKind m_kind{};
   std::uint32_t m_priority{ 0 };
-  std::chrono::microseconds m_every{ 0 };
+  std::chrono::microseconds m_interval{ 0 };
   std::chrono::milliseconds m_service{ 0 };
   std::chrono::milliseconds m_target{ 0 };
   std::chrono::milliseconds m_deadline{ 0 };
 };
 
-/// \brief What became of one stream's calls.
-struct Served
+/// \brief Outcomes of the calls of one stream.
+struct StreamResult
 {
-  int m_came{ 0 };
-  int m_inTarget{ 0 };
+  int m_arrived{ 0 };
+  int m_onTime{ 0 };
   int m_late{ 0 };
   int m_refused{ 0 };
   Duration m_longestRefusal{ 0 };
 
-  [[nodiscard]] double Refused() const
+  [[nodiscard]] double RefusedShare() const
   {
-    return static_cast<double>(m_refused) / m_came;
+    return static_cast<double>(m_refused) / m_arrived;
   }
-  [[nodiscard]] double InTarget() const
+  [[nodiscard]] double OnTimeShare() const
   {
-    return static_cast<double>(m_inTarget) / m_came;
+    return static_cast<double>(m_onTime) / m_arrived;
   }
 };
 
-/// \brief One worker's run table under streams of calls, in virtual time.
-class OneWorker
+/// \brief Simulates one worker's run table under streams of calls.
+class SimulatedWorker
 {
 public:
-  explicit OneWorker(std::uint32_t aSlots)
+  explicit SimulatedWorker(std::uint32_t aSlots)
     : m_table({ .m_slots = aSlots, .m_queue = 4 * aSlots })
   {
   }
@@ -51,42 +51,43 @@
   [[nodiscard]] RunTable& Table() noexcept { return m_table; }
   [[nodiscard]] TimePoint Now() const noexcept { return m_now; }
 
-  /// \brief Plays the streams for a while. \returns A row for each.
-  std::vector<Served> Play(const std::vector<Stream>& aStreams, Duration aFor)
+  /// \returns The outcomes, one entry for each stream.
+  std::vector<StreamResult> Run(const std::vector<CallStream>& aStreams,
+                                Duration aDuration)
   {
-    std::vector<Served> served(aStreams.size());
+    std::vector<StreamResult> results(aStreams.size());
     std::vector<TimePoint> next(aStreams.size(), m_now);
-    const TimePoint end = m_now + aFor;
+    const TimePoint end = m_now + aDuration;
     for (;;) {
       const auto first = std::min_element(next.begin(), next.end());
       if (*first >= end) {
         break;
       }
       const auto index = static_cast<std::size_t>(first - next.begin());
-      RunTo(*first, served);
-      *first += aStreams[index].m_every;
-      Offer(aStreams[index], index, served);
+      RunTo(*first, results);
+      *first += aStreams[index].m_interval;
+      SendCall(aStreams[index], index, results);
     }
-    RunTo(end + std::chrono::seconds{ 10 }, served);
-    return served;
+    RunTo(end + std::chrono::seconds{ 10 }, results);
+    return results;
   }
 
 private:
-  struct Under
+  struct PendingCall
   {
     std::size_t m_stream{ 0 };
-    TimePoint m_came;
+    TimePoint m_arrived;
     std::chrono::milliseconds m_service{ 0 };
     std::chrono::milliseconds m_target{ 0 };
   };
 
-  void Offer(const Stream& aStream,
-             std::size_t aIndex,
-             std::vector<Served>& aServed)
+  void SendCall(const CallStream& aStream,
+                std::size_t aIndex,
+                std::vector<StreamResult>& aResults)
   {
-    const CallKey key{ 1, ++m_last };
-    m_under[key] = { aIndex, m_now, aStream.m_service, aStream.m_target };
-    ++aServed[aIndex].m_came;
+    const CallKey key{ 1, ++m_lastCall };
+    m_pending[key] = { aIndex, m_now, aStream.m_service, aStream.m_target };
+    ++aResults[aIndex].m_arrived;
     RunActions out;
     const Admission admission =
       m_table.Admit(m_now,
@@ -100,66 +101,68 @@
     if (admission.m_kind == Admission::Kind::Start) {
       Start(key);
     } else if (admission.m_kind == Admission::Kind::Refused) {
-      Refuse(key, aServed);
+      Refuse(key, aResults);
     }
-    Carry(out, aServed);
+    Apply(out, aResults);
   }
 
   void Start(const CallKey& aKey)
   {
-    // Half to one and a half of the mean, or all slots end at once.
+    // Varies between 0.5 and 1.5 of the mean, so that runs don't end in step.
     const auto mean = static_cast<std::uint64_t>(
-      std::chrono::microseconds{ m_under.at(aKey).m_service }.count());
-    const auto took = mean / 2 + Below(m_random, mean);
-    m_ends.emplace(m_now + std::chrono::microseconds{ took }, aKey);
+      std::chrono::microseconds{ m_pending.at(aKey).m_service }.count());
+    const auto serviceTime = mean / 2 + Below(m_random, mean);
+    m_ends.emplace(m_now + std::chrono::microseconds{ serviceTime }, aKey);
   }
 
-  void Refuse(const CallKey& aKey, std::vector<Served>& aServed)
+  void Refuse(const CallKey& aKey, std::vector<StreamResult>& aResults)
   {
-    const Under call = m_under.at(aKey);
-    Served& row = aServed[call.m_stream];
-    ++row.m_refused;
-    row.m_longestRefusal =
-      std::max<Duration>(row.m_longestRefusal, m_now - call.m_came);
-    m_under.erase(aKey);
+    const PendingCall call = m_pending.at(aKey);
+    StreamResult& result = aResults[call.m_stream];
+    ++result.m_refused;
+    result.m_longestRefusal =
+      std::max<Duration>(result.m_longestRefusal, m_now - call.m_arrived);
+    m_pending.erase(aKey);
   }
 
-  void Carry(const RunActions& aActions, std::vector<Served>& aServed)
+  void Apply(const RunActions& aActions, std::vector<StreamResult>& aResults)
   {
     for (const RefusedRun& each : aActions.m_refused) {
-      Refuse(each.m_key, aServed);
+      Refuse(each.m_key, aResults);
     }
     for (const CallKey& each : aActions.m_start) {
       Start(each);
     }
   }
 
-  void EndNext(std::vector<Served>& aServed)
+  void FinishNext(std::vector<StreamResult>& aResults)
   {
     const CallKey key = m_ends.begin()->second;
     m_ends.erase(m_ends.begin());
-    const Under call = m_under.at(key);
-    m_under.erase(key);
-    Served& row = aServed[call.m_stream];
-    ++(m_now - call.m_came <= call.m_target ? row.m_inTarget : row.m_late);
-    Carry(m_table.Finish(m_now, key), aServed);
+    const PendingCall call = m_pending.at(key);
+    m_pending.erase(key);
+    StreamResult& result = aResults[call.m_stream];
+    ++(m_now - call.m_arrived <= call.m_target ? result.m_onTime
+                                               : result.m_late);
+    Apply(m_table.Finish(m_now, key), aResults);
   }
 
-  /// Runs that end and waits that expire until then.
-  void RunTo(TimePoint aUntil, std::vector<Served>& aServed)
+  /// Processes ends of runs and expiries of waits up to `aUntil`.
+  void RunTo(TimePoint aUntil, std::vector<StreamResult>& aResults)
   {
     for (;;) {
-      const TimePoint ends =
+      const TimePoint nextEnd =
         m_ends.empty() ? TimePoint::max() : m_ends.begin()->first;
-      const TimePoint expires = m_table.NextExpiry().value_or(TimePoint::max());
-      if (std::min(ends, expires) > aUntil) {
+      const TimePoint nextExpiry =
+        m_table.NextExpiry().value_or(TimePoint::max());
+      if (std::min(nextEnd, nextExpiry) > aUntil) {
         break;
       }
-      m_now = std::max(m_now, std::min(ends, expires));
-      if (ends <= expires) {
-        EndNext(aServed);
+      m_now = std::max(m_now, std::min(nextEnd, nextExpiry));
+      if (nextEnd <= nextExpiry) {
+        FinishNext(aResults);
       } else {
-        Carry(m_table.OnTick(m_now), aServed);
+        Apply(m_table.OnTick(m_now), aResults);
       }
     }
     m_now = aUntil;
@@ -168,8 +171,8 @@
   RunTable m_table;
   Random m_random{ 1 };
   TimePoint m_now{ std::chrono::hours{ 1 } };
-  std::uint64_t m_last{ 0 };
-  std::map<CallKey, Under> m_under;
+  std::uint64_t m_lastCall{ 0 };
+  std::map<CallKey, PendingCall> m_pending;
   std::multimap<TimePoint, CallKey> m_ends;
 };
 
--- a/tests/calls/retry_budget.cpp
+++ b/tests/calls/retry_budget.cpp
@@ -13,13 +13,17 @@
 
 const TimePoint kStart{ 1h };
 
-/// Makes calls at an even rate and asks for a retry after each.
+/// Makes calls at a fixed interval and requests a retry for each.
+/// \returns Number of retries granted.
 std::uint32_t
-RetriesOf(RetryBudget& aBudget, TimePoint aFrom, int aCalls, Duration aEvery)
+CountRetries(RetryBudget& aBudget,
+             TimePoint aFrom,
+             int aCalls,
+             Duration aInterval)
 {
   std::uint32_t retries = 0;
   for (int i = 0; i < aCalls; ++i) {
-    const TimePoint now = aFrom + i * aEvery;
+    const TimePoint now = aFrom + i * aInterval;
     aBudget.Deposit(now, "ledger");
     retries += aBudget.Withdraw(now, "ledger") ? 1 : 0;
   }
@@ -28,29 +32,26 @@
 
 }
 
-TEST_CASE(
-  "where every worker sheds, retries stay a share of the window's calls")
+TEST_CASE("retries stay a share of the window's calls")
 {
-  // The workers of a service shed half of what they get. Each daemon sends
-  // what was shed to another worker, and the service gets half again as many
-  // requests as there are calls, which makes it shed more.
+  // Guards against retries that add load to a service that sheds, so that it
+  // sheds more.
   RetryBudget budget{ { .m_share = 0.2, .m_slack = 3.0, .m_window = 10s } };
-  CHECK(RetriesOf(budget, kStart, 1000, 10ms) <= 203);
-  CHECK(RetriesOf(budget, kStart + 10s, 1000, 10ms) <= 203);
+  CHECK(CountRetries(budget, kStart, 1000, 10ms) <= 203);
+  CHECK(CountRetries(budget, kStart + 10s, 1000, 10ms) <= 203);
 }
 
-TEST_CASE("a quiet time does not save up retries for a storm")
+TEST_CASE("unused retries do not accumulate beyond the window")
 {
-  // A budget that saves unused retries lets an hour's worth go out in the
-  // first second of an outage.
+  // Guards against a burst of saved retries at the start of an outage.
   RetryBudget budget{ { .m_share = 0.2, .m_slack = 3.0, .m_window = 10s } };
   for (int i = 0; i < 10'000; ++i) {
     budget.Deposit(kStart + i * 10ms, "ledger");
   }
-  CHECK(RetriesOf(budget, kStart + 100s, 1000, 1ms) <= 403);
+  CHECK(CountRetries(budget, kStart + 100s, 1000, 1ms) <= 403);
 }
 
-TEST_CASE("services do not use each other's retries")
+TEST_CASE("services have separate budgets")
 {
   RetryBudget budget{ { .m_share = 0.5, .m_slack = 0.0, .m_window = 10s } };
   for (int i = 0; i < 10; ++i) {
@@ -60,27 +61,26 @@
   CHECK(budget.Withdraw(kStart, "locker-app"));
 }
 
-TEST_CASE("what repeated runs call counts as repeats of the service called")
+TEST_CASE("calls made by retried runs count as retries")
 {
-  // Desks are retried because their probes of the board fail. Each repeated
-  // desk run probes the board again, and the board's daemons use their own
-  // retries on top: it gets more repeats than the two budgets allow together.
+  // Guards against a service that gets repeated calls beyond its budget because
+  // its callers' runs are retried, too.
   RetryBudget budget{ { .m_share = 0.2, .m_slack = 0.0, .m_window = 10s } };
-  constexpr double kInherited = 0.15;
+  constexpr double kRetriedRunProbability = 0.15;
   std::uint32_t retries = 0;
   for (int i = 0; i < 1000; ++i) {
     const TimePoint now = kStart + i * 10ms;
-    budget.Deposit(now, "board", 1, kInherited);
+    budget.Deposit(now, "board", 1, kRetriedRunProbability);
     retries += budget.Withdraw(now, "board", 1) ? 1 : 0;
   }
   CHECK(retries > 40);
-  CHECK(retries + kInherited * 1000 <= 201);
+  CHECK(retries + kRetriedRunProbability * 1000 <= 201);
 }
 
-TEST_CASE("lookups that a booking waits for keep part of the retries")
+TEST_CASE("a part of the budget is reserved for calls of higher priority")
 {
-  // A board sheds half of everything. Callers of weekly plans come back by
-  // themselves; a probe that is lost fails the booking view it was made for.
+  // Guards against calls of low priority that use up the retries of calls that
+  // others wait for.
   RetryBudget budget{ { .m_share = 0.2, .m_slack = 0.0, .m_window = 10s } };
   std::uint32_t plans = 0;
   std::uint32_t probes = 0;
@@ -89,7 +89,7 @@
     budget.Deposit(now, "board", 2);
     budget.Deposit(now, "board", 1);
     if (i % 50 == 0) {
-      // An odd route of highest priority does not make the others last.
+      // A few calls of highest priority must not demote the others.
       budget.Deposit(now, "board", 0);
     }
     plans += budget.Withdraw(now, "board", 2) ? 1 : 0;
@@ -101,7 +101,7 @@
   CHECK(plans + probes <= 405);
 }
 
-TEST_CASE("the share of repeats is that of the last second")
+TEST_CASE("the share of retried runs covers the last second")
 {
   RepeatShare share;
   CHECK(share.At(kStart) == 0.0);
@@ -114,71 +114,72 @@
 
 namespace {
 
-/// Desks whose runs each ask a service twice; the desks' failed runs are made
-/// again, and so are the service's calls that were turned away.
+/// Simulates desks whose runs each call a service twice. Failed runs and
+/// rejected calls are retried.
 class DesksAndService
 {
 public:
-  /// \returns The largest share of the window's budget that repeats at the
-  /// service have taken in any window.
-  double Play(std::chrono::seconds aShedsFrom, std::chrono::seconds aUntil)
+  /// \returns Highest ratio, over all windows, of repeated calls at the service
+  /// to its budget.
+  double HighestRetryUse(std::chrono::seconds aShedStart,
+                         std::chrono::seconds aDuration)
   {
-    double most = 0.0;
+    double highest = 0.0;
     const TimePoint begin{ 1h };
-    for (m_now = begin; m_now < begin + aUntil; m_now += kStep) {
-      m_sheds = m_now >= begin + aShedsFrom;
-      RunEnded();
-      for (int i = 0; i < kRunsAStep; ++i) {
+    for (m_now = begin; m_now < begin + aDuration; m_now += kStep) {
+      m_sheds = m_now >= begin + aShedStart;
+      FinishRuns();
+      for (int i = 0; i < kRunsPerStep; ++i) {
         m_budget.Deposit(m_now, "desk");
-        Begin(false);
+        StartRun(false);
       }
       const double calls = m_calls.Sum(m_now, kWindow);
-      const double repeats = m_repeats.Sum(m_now, kWindow);
-      most = std::max(most, repeats / (kShare * calls + kSlack));
+      const double repeatedCalls = m_repeatedCalls.Sum(m_now, kWindow);
+      highest = std::max(highest, repeatedCalls / (kShare * calls + kSlack));
     }
-    return most;
+    return highest;
   }
 
 private:
   static constexpr auto kStep = 10ms;
   static constexpr auto kWindow = 10s;
   static constexpr auto kRunTime = 150ms;
-  static constexpr int kRunsAStep = 8;
+  static constexpr int kRunsPerStep = 8;
   static constexpr double kShare = 0.2;
   static constexpr double kSlack = 216.0;
-  /// As daemons use of what they may.
-  static constexpr double kUsed = 0.85;
-  static constexpr double kShed = 0.55;
+  /// Share of the limits that the budget uses.
+  static constexpr double kUsedShare = 0.85;
+  static constexpr double kShedShare = 0.55;
 
   struct Run
   {
     TimePoint m_ends;
     bool m_fails{ false };
-    bool m_isRepeat{ false };
+    bool m_isRetry{ false };
   };
 
   [[nodiscard]] bool IsShed()
   {
-    return m_sheds && std::uniform_real_distribution<>{}(m_random) < kShed;
+    return m_sheds && std::uniform_real_distribution<>{}(m_random) < kShedShare;
   }
 
-  void Begin(bool aIsRepeat)
+  void StartRun(bool aIsRetry)
   {
-    m_share.Note(m_now, aIsRepeat);
+    m_retryShare.Note(m_now, aIsRetry);
     bool fails = false;
     for (int i = 0; i < 2; ++i) {
-      fails = Ask(aIsRepeat) || fails;
+      fails = CallService(aIsRetry) || fails;
     }
-    m_runs.push_back({ m_now + kRunTime, fails, aIsRepeat });
+    m_runs.push_back({ m_now + kRunTime, fails, aIsRetry });
   }
 
-  /// \returns Whether it failed.
-  bool Ask(bool aIsRepeat)
+  /// \returns Whether the call failed.
+  bool CallService(bool aIsRetry)
   {
-    m_budget.Deposit(m_now, "service", 1, m_share.At(m_now));
+    m_budget.Deposit(m_now, "service", 1, m_retryShare.At(m_now));
     m_calls.Add(m_now, kWindow);
-    if (aIsRepeat) {
-      m_repeats.Add(m_now, kWindow);
+    if (aIsRetry) {
+      m_repeatedCalls.Add(m_now, kWindow);
     }
     if (!IsShed()) {
       return false;
@@ -186,20 +187,20 @@
     if (!m_budget.Withdraw(m_now, "service", 1)) {
       return true;
     }
-    m_repeats.Add(m_now, kWindow);
+    m_repeatedCalls.Add(m_now, kWindow);
     return IsShed();
   }
 
-  void RunEnded()
+  void FinishRuns()
   {
     while (!m_runs.empty() && m_runs.front().m_ends <= m_now) {
       const Run run = m_runs.front();
       m_runs.pop_front();
-      const bool again = run.m_fails && !run.m_isRepeat &&
-                         m_budget.Withdraw(m_now, "desk") &&
-                         !m_budget.IsUsedUpBeside(m_now, "desk");
-      if (again) {
-        Begin(true);
+      const bool shouldRetry = run.m_fails && !run.m_isRetry &&
+                               m_budget.Withdraw(m_now, "desk") &&
+                               !m_budget.IsOtherServiceExhausted(m_now, "desk");
+      if (shouldRetry) {
+        StartRun(true);
       }
     }
   }
@@ -207,19 +208,18 @@
   TimePoint m_now{};
   bool m_sheds{ false };
   Random m_random{ 3 };
-  RetryBudget m_budget{ { kUsed * kShare, kUsed* kSlack, kWindow } };
-  RepeatShare m_share;
-  WindowCount m_calls;
-  WindowCount m_repeats;
+  RetryBudget m_budget{ { kUsedShare * kShare, kUsedShare* kSlack, kWindow } };
+  RepeatShare m_retryShare;
+  WindowCounter m_calls;
+  WindowCounter m_repeatedCalls;
   std::deque<Run> m_runs;
 };
 
 }
 
-TEST_CASE("retries of runs and of their calls together keep to the budget")
+TEST_CASE("retries of runs and of their calls together stay within the budget")
 {
-  // A service turns away 55 of 100 calls from one moment on. Its calls are made
-  // again until its budget is used; the runs that failed nevertheless are made
-  // again by another service's budget, and call it anew.
-  CHECK(DesksAndService{}.Play(12s, 30s) <= 1.0);
+  // Guards against retried runs that, within their own budget, exceed the
+  // budget of the service they call.
+  CHECK(DesksAndService{}.HighestRetryUse(12s, 30s) <= 1.0);
 }
--- a/tests/calls/trial_routing.cpp
+++ b/tests/calls/trial_routing.cpp
@@ -10,7 +10,9 @@
 const TimePoint kStart{ 1h };
 
 RolloutRecord
-Trial(std::uint32_t aPermille, std::uint32_t aWorkers, std::uint32_t aFirst)
+CanaryRecord(std::uint32_t aPermille,
+             std::uint32_t aWorkers,
+             std::uint32_t aFirst)
 {
   RolloutRecord record;
   record.m_order = { "lockers", "v2", 15s };
@@ -21,7 +23,8 @@
   return record;
 }
 
-/// Four workers in service and four of another version.
+/// A dispatcher with four workers of the version in service and four of
+/// another.
 class TwoVersions
 {
 public:
@@ -39,7 +42,7 @@
     m_dispatcher.SetRollouts(m_rollouts);
   }
 
-  /// \returns Slot of the first try.
+  /// \returns Slot of the first attempt.
   std::string Send()
   {
     CallPlan plan;
@@ -47,11 +50,11 @@
     plan.m_idempotent = true;
     plan.m_deadline = kStart + 1s;
     plan.m_target = kStart + 1s;
-    return SlotIn(m_dispatcher.Begin(kStart, ++m_calls, std::move(plan)));
+    return SlotOf(m_dispatcher.Begin(kStart, ++m_calls, std::move(plan)));
   }
 
-  /// The last try's worker fails.
-  /// \returns Slot of the next try.
+  /// The worker of the last attempt fails.
+  /// \returns Slot of the next attempt.
   std::string Fail()
   {
     CallAnswer answer;
@@ -59,18 +62,19 @@
     answer.m_outcome = CallOutcome::Answered;
     answer.m_response.m_status = 500;
     answer.m_reachedWorker = true;
-    return SlotIn(m_dispatcher.OnAnswer(kStart + 1ms, std::move(answer)));
+    return SlotOf(m_dispatcher.OnAnswer(kStart + 1ms, std::move(answer)));
   }
 
-  /// \returns How many of 400 calls begin at each version.
-  std::map<std::string, int> Spread(std::set<std::string>* aSlots = nullptr)
+  /// \returns Number of first attempts at each version, of 400 calls.
+  std::map<std::string, int> CountByVersion(
+    std::set<std::string>* aCanarySlots = nullptr)
   {
     std::map<std::string, int> sent;
     for (int i = 0; i < 400; ++i) {
       const std::string slot = Send();
       ++sent[slot.substr(0, 2)];
-      if (aSlots != nullptr && slot.starts_with("v2")) {
-        aSlots->insert(slot);
+      if (aCanarySlots != nullptr && slot.starts_with("v2")) {
+        aCanarySlots->insert(slot);
       }
     }
     return sent;
@@ -80,7 +84,7 @@
   Dispatcher m_dispatcher{ 1 };
 
 private:
-  std::string SlotIn(const DispatchActions& aActions)
+  std::string SlotOf(const DispatchActions& aActions)
   {
     for (const DispatchAction& each : aActions) {
       if (const auto* send = std::get_if<SendAttempt>(&each)) {
@@ -97,57 +101,59 @@
 
 }
 
-TEST_CASE("workers of a version that has just come get nothing without order")
+TEST_CASE("workers of a new version get no calls without a roll-out")
 {
-  // They are started at the moment of the order, and a daemon may see them
-  // before it hears of it.
+  // A daemon may see the new workers before it receives the roll-out.
   TwoVersions fleet;
-  CHECK(fleet.Spread()["v2"] == 0);
+  CHECK(fleet.CountByVersion()["v2"] == 0);
 }
 
-TEST_CASE("a trial gets its share, on the workers whose turn it is")
+TEST_CASE(
+  "a canary gets its share of calls, at the workers permitted in a step")
 {
   TwoVersions fleet;
-  REQUIRE(fleet.m_rollouts.Take(kStart, Trial(100, 1, 0)) ==
+  REQUIRE(fleet.m_rollouts.Take(kStart, CanaryRecord(100, 1, 0)) ==
           RolloutTable::Change::State);
   std::set<std::string> first;
-  const int tried = fleet.Spread(&first)["v2"];
-  CHECK(tried > 20);
-  CHECK(tried < 70);
+  const int canaryCalls = fleet.CountByVersion(&first)["v2"];
+  CHECK(canaryCalls > 20);
+  CHECK(canaryCalls < 70);
   CHECK(first.size() == 1);
 
-  RolloutRecord next = Trial(100, 1, 1);
+  RolloutRecord next = CanaryRecord(100, 1, 1);
   next.m_step = 2;
   REQUIRE(fleet.m_rollouts.Take(kStart, next) == RolloutTable::Change::Leave);
   std::set<std::string> second;
-  static_cast<void>(fleet.Spread(&second));
+  static_cast<void>(fleet.CountByVersion(&second));
   CHECK(second.size() == 1);
   CHECK(first != second);
 }
 
-TEST_CASE("a call that fails at the version on trial goes back to the other")
+TEST_CASE(
+  "a call that fails at the canary is retried at the version in service")
 {
-  // And one that did not draw the trial never goes there, whatever fails.
+  // A call assigned to the version in service is never retried at the canary.
   TwoVersions fleet;
-  REQUIRE(fleet.m_rollouts.Take(kStart, Trial(300, 0, 0)) ==
+  REQUIRE(fleet.m_rollouts.Take(kStart, CanaryRecord(300, 0, 0)) ==
           RolloutTable::Change::State);
-  int triedBoth = 0;
+  int movedToBase = 0;
   for (int i = 0; i < 400; ++i) {
-    const bool trial = fleet.Send().starts_with("v2");
-    const std::string again = fleet.Fail();
-    CHECK_FALSE(again.starts_with("v2"));
-    triedBoth += trial && again.starts_with("v1") ? 1 : 0;
+    const bool wasCanary = fleet.Send().starts_with("v2");
+    const std::string retrySlot = fleet.Fail();
+    CHECK_FALSE(retrySlot.starts_with("v2"));
+    movedToBase += wasCanary && retrySlot.starts_with("v1") ? 1 : 0;
   }
-  CHECK(triedBoth > 0);
+  CHECK(movedToBase > 0);
 }
 
-TEST_CASE("after a roll-back nothing goes to that version, not even last")
+TEST_CASE(
+  "a version gets no calls after its roll-back, even without alternatives")
 {
   TwoVersions fleet;
-  RolloutRecord record = Trial(1000, 0, 0);
+  RolloutRecord record = CanaryRecord(1000, 0, 0);
   record.m_state = RolloutState::RolledBack;
   REQUIRE(fleet.m_rollouts.Take(kStart, record) == RolloutTable::Change::State);
-  CHECK(fleet.Spread()["v2"] == 0);
+  CHECK(fleet.CountByVersion()["v2"] == 0);
   for (int i = 0; i < 4; ++i) {
     fleet.m_dispatcher.Workers().Remove("v1" + std::to_string(i));
   }
--- a/tests/calls/turns.cpp
+++ b/tests/calls/turns.cpp
@@ -2,7 +2,8 @@
 
 #include <doctest/doctest.h>
 
-// Who goes first and who is refused where calls of unlike length meet.
+// Queue order and refusals at an overloaded worker whose calls differ in
+// length.
 
 using namespace greengagehub;
 using namespace greengagehub::test;
@@ -10,55 +11,50 @@
 
 namespace {
 
-// A slow worker of nine slots that lost its neighbour. Reads fill it by
-// themselves; credits are brief, and price checks briefer still: a booking that
-// runs elsewhere waits for them and fails without them.
-constexpr Stream kRead{ 400ms, 2, 28ms, 250ms, 400ms, 800ms };
-constexpr Stream kCredit{ 150ms, 2, 58ms, 80ms, 150ms, 600ms };
-constexpr Stream kPriceCheck{ 60ms, 0, 16ms, 25ms, 60ms, 200ms };
+// Reads alone fill the worker. Credits and price checks are short; a booking at
+// another worker fails if its price check fails.
+constexpr CallStream kRead{ 400ms, 2, 28ms, 250ms, 400ms, 800ms };
+constexpr CallStream kCredit{ 150ms, 2, 58ms, 80ms, 150ms, 600ms };
+constexpr CallStream kPriceCheck{ 60ms, 0, 16ms, 25ms, 60ms, 200ms };
 
 }
 
-TEST_CASE("brief calls are not refused for reads that take ten times as long")
+TEST_CASE("short calls are not refused in favour of reads ten times as long")
 {
-  // A worker has 1.3 times the work that it can do, most of it reads. Ranked
-  // by whether they are late before all else, price checks that had waited for
-  // 30 ms went behind every read and were refused in the end: each took a
-  // booking of another worker with it, for 25 ms of a slot.
-  OneWorker worker{ 9 };
-  const auto served = worker.Play({ kRead, kCredit, kPriceCheck }, 20s);
-  CHECK(served[2].Refused() < 0.01);
-  CHECK(served[2].InTarget() > 0.95);
-  CHECK(served[1].Refused() < 0.02);
-  CHECK(served[1].InTarget() > 0.8);
-  // What is short is short for those that gain least for their time.
-  CHECK(served[0].Refused() > 0.2);
-  CHECK(served[0].Refused() < 0.4);
+  // Guards against short calls that are queued behind long ones, and finally
+  // refused, because they are the first to be late.
+  SimulatedWorker worker{ 9 };
+  const auto results = worker.Run({ kRead, kCredit, kPriceCheck }, 20s);
+  CHECK(results[2].RefusedShare() < 0.01);
+  CHECK(results[2].OnTimeShare() > 0.95);
+  CHECK(results[1].RefusedShare() < 0.02);
+  CHECK(results[1].OnTimeShare() > 0.8);
+  // The refusals hit the calls with the lowest value for their slot time.
+  CHECK(results[0].RefusedShare() > 0.2);
+  CHECK(results[0].RefusedShare() < 0.4);
 }
 
-TEST_CASE("kinds with one target and unlike work are told apart")
+TEST_CASE("routes with the same target and different service times are "
+          "separate kinds")
 {
-  // Two routes of a service aim at 400 ms; one takes 20 ms, the other 200. By
-  // the mean over both, the brief ones waited behind twice the load that they
-  // are, and every second one was refused with the long ones at 1.4 times what
-  // the worker can do.
-  const CallKind brief{ 400ms, 1 };
-  const CallKind lengthy{ 400ms, 2 };
-  OneWorker worker{ 9 };
-  const auto served = worker.Play({ { brief, 1, 10ms, 20ms, 400ms, 800ms },
-                                    { lengthy, 1, 17ms, 200ms, 400ms, 800ms } },
-                                  20s);
-  CHECK(served[0].Refused() == 0.0);
-  CHECK(served[0].InTarget() > 0.99);
-  CHECK(served[1].InTarget() > 0.45);
+  // Guards against short calls that are queued and refused by the mean service
+  // time of both routes.
+  const CallKind shortKind{ 400ms, 1 };
+  const CallKind longKind{ 400ms, 2 };
+  SimulatedWorker worker{ 9 };
+  const auto results =
+    worker.Run({ { shortKind, 1, 10ms, 20ms, 400ms, 800ms },
+                 { longKind, 1, 17ms, 200ms, 400ms, 800ms } },
+               20s);
+  CHECK(results[0].RefusedShare() == 0.0);
+  CHECK(results[0].OnTimeShare() > 0.99);
+  CHECK(results[1].OnTimeShare() > 0.45);
 }
 
-TEST_CASE("a kind that never ran is tried beside slow ones")
+TEST_CASE("a kind without runs is admitted beside slow kinds")
 {
-  // After a restart a worker has run only slow reads, of 300 ms while it is
-  // cold, and all slots are taken. A price check with 200 ms left was taken for
-  // as slow and refused as too short of time, never ran, and was
-  // refused so for as long as the worker stayed full.
+  // Guards against a kind that is refused by the service time of another kind
+  // and therefore never gets statistics of its own.
   constexpr std::uint64_t kSlots = 9;
   RunTable table{ { .m_slots = kSlots, .m_queue = 10 } };
   TimePoint now{ 1h };
@@ -66,9 +62,9 @@
   const WorkDemand read{
     .m_priority = 2, .m_kind = 400ms, .m_timeLeft = 800ms, .m_targetLeft = 400ms
   };
-  const WorkDemand check{ .m_kind = 60ms,
-                          .m_timeLeft = 200ms,
-                          .m_targetLeft = 60ms };
+  const WorkDemand priceCheck{ .m_kind = 60ms,
+                               .m_timeLeft = 200ms,
+                               .m_targetLeft = 60ms };
   for (std::uint64_t call = 1; call <= 2 * kSlots; ++call) {
     REQUIRE(table.Admit(now, { 1, call }, 1, read, out).m_kind ==
             Admission::Kind::Start);
@@ -79,6 +75,6 @@
       }
     }
   }
-  CHECK(table.Admit(now, { 1, 100 }, 1, check, out).m_kind ==
+  CHECK(table.Admit(now, { 1, 100 }, 1, priceCheck, out).m_kind ==
         Admission::Kind::Queued);
 }
--- a/tests/calls/unequal_domains.cpp
+++ b/tests/calls/unequal_domains.cpp
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-// Failure domains whose traffic does not match their workers.
+// Failure domains whose load is out of proportion to their capacity.
 
 using namespace greengagehub;
 using test::Replay;
@@ -10,13 +10,14 @@
 
 namespace {
 
-/// Three domains; the first has more calls than its workers can take, the
-/// others have room for them.
+/// Three domains; only the first may be overloaded.
 ReplayResult
-Play(bool aSharesNews, double aBusiest)
+RunReplay(bool aSharesNews, double aFirstLoad)
 {
   test::ReplaySetup setup;
-  setup.m_domains = { { 60, 12, aBusiest }, { 60, 12, 0.6 }, { 60, 12, 0.6 } };
+  setup.m_domains = { { 60, 12, aFirstLoad },
+                      { 60, 12, 0.6 },
+                      { 60, 12, 0.6 } };
   setup.m_crossing = 0.06;
   setup.m_decisions.m_sharesNews = aSharesNews;
   return Replay{ setup }.Run();
@@ -24,23 +25,25 @@
 
 }
 
-TEST_CASE(
-  "a domain with more traffic than its workers can take sends a part on")
+TEST_CASE("an overloaded domain sends a part of its calls to other domains")
 {
-  // Its daemons hear from each of the workers nearby every second or so, and
-  // took each for idle in between: calls went from one full worker to the next
-  // and came late, while a third of the slots elsewhere stood free.
-  const ReplayResult alone = Play(false, 1.2);
-  const ReplayResult shared = Play(true, 1.2);
-  MESSAGE("missed " << alone.Missed() << ", sharing news " << shared.Missed());
-  MESSAGE("crossed " << alone.Crossed() << ", " << shared.Crossed());
-  MESSAGE("sends a call " << alone.Sends() << ", " << shared.Sends());
-  CHECK(shared.Missed() < 0.75 * alone.Missed());
+  // Guards against daemons that treat workers with outdated reports as idle and
+  // send calls from one full worker to the next.
+  const ReplayResult ownReports = RunReplay(false, 1.2);
+  const ReplayResult sharedReports = RunReplay(true, 1.2);
+  MESSAGE("missed " << ownReports.Missed() << ", sharing reports "
+                    << sharedReports.Missed());
+  MESSAGE("crossed " << ownReports.Crossed() << ", "
+                     << sharedReports.Crossed());
+  MESSAGE("sends per call " << ownReports.Sends() << ", "
+                            << sharedReports.Sends());
+  CHECK(sharedReports.Missed() < 0.75 * ownReports.Missed());
 }
 
-TEST_CASE("where each domain has room, next to nothing crosses")
+TEST_CASE("almost no calls cross domains if each has enough capacity")
 {
-  const ReplayResult shared = Play(true, 0.7);
-  MESSAGE("missed " << shared.Missed() << ", crossed " << shared.Crossed());
-  CHECK(shared.Crossed() < 0.02);
+  const ReplayResult sharedReports = RunReplay(true, 0.7);
+  MESSAGE("missed " << sharedReports.Missed() << ", crossed "
+                    << sharedReports.Crossed());
+  CHECK(sharedReports.Crossed() < 0.02);
 }
--- a/tests/calls/worker_restart.cpp
+++ b/tests/calls/worker_restart.cpp
@@ -4,9 +4,8 @@
 
 #include <doctest/doctest.h>
 
-// A backend server that crashes and starts again under the id that it had. Its
-// reports count anew, so that neither the id nor the sequence tells the two
-// starts apart; the time of its start does, as long as the time of day goes on.
+// A backend server that restarts under the same id. Its sequence numbers
+// restart, so that only the start time tells the incarnations apart.
 
 using namespace greengagehub;
 using namespace std::chrono_literals;
@@ -16,15 +15,15 @@
 
 constexpr auto kPeriod = 1500ms;
 const TimePoint kStart{ 1h };
-const WallTime kBorn{ 1'000'000ms };
+const WallTime kWorkerStart{ 1'000'000ms };
 
 WorkerReport
-Report(WallTime aBorn,
+Report(WallTime aStartTime,
        std::uint64_t aSequence,
        bool aLeaving = false,
        const char* aId = "a")
 {
-  return { .m_start = { aId, aBorn },
+  return { .m_start = { aId, aStartTime },
            .m_service = "locker-app",
            .m_slots = 18,
            .m_leaving = aLeaving,
@@ -32,155 +31,160 @@
 }
 
 bool
-Serves(const WorkerPresence& aWorker, WallTime aBorn)
+IsServing(const WorkerPresence& aWorker, WallTime aStartTime)
 {
-  return aWorker.TakesCalls() && aWorker.Current()->m_start.m_born == aBorn;
+  return aWorker.TakesCalls() &&
+         aWorker.Current()->m_start.m_born == aStartTime;
 }
 
 }
 
-TEST_CASE("a worker that starts again under its id arrives with one report")
+TEST_CASE("a restarted worker with the same id arrives with its first report")
 {
-  // It had sent forty reports before it crashed; the new start counts from one.
-  // Taken for late ones, its reports would be ignored for a minute, or for good
-  // once the former start had said that it leaves.
+  // Guards against reports of a new incarnation that are ignored as late
+  // reports of the previous one.
   WorkerPresence worker{ kPeriod };
-  CHECK(worker.OnReport(kStart, Report(kBorn, 40)) == Change::Arrived);
+  CHECK(worker.OnReport(kStart, Report(kWorkerStart, 40)) == Change::Arrived);
   TimePoint now = kStart + 2s;
-  const WallTime born = kBorn + 50s;
-  SUBCASE("it crashed") {}
-  SUBCASE("the former start had said that it leaves")
+  const WallTime newStartTime = kWorkerStart + 50s;
+  SUBCASE("the previous incarnation crashed") {}
+  SUBCASE("the previous incarnation reported that it was leaving")
   {
-    CHECK(worker.OnReport(kStart + 1s, Report(kBorn, 41, true)) ==
+    CHECK(worker.OnReport(kStart + 1s, Report(kWorkerStart, 41, true)) ==
           Change::Leaving);
   }
-  SUBCASE("the former start had said farewell, without its time of start")
+  SUBCASE("the previous incarnation left without a start time")
   {
     CHECK(worker.OnLeft(kStart + 1s, { "a", std::nullopt }) == Change::Leaving);
   }
-  SUBCASE("another id was seen in between")
+  SUBCASE("another id reported in between")
   {
-    CHECK(worker.OnReport(kStart + 1s, Report(kBorn + 20s, 1, false, "b")) ==
-          Change::Arrived);
+    CHECK(
+      worker.OnReport(kStart + 1s, Report(kWorkerStart + 20s, 1, false, "b")) ==
+      Change::Arrived);
   }
-  SUBCASE("it has been silent for long")
+  SUBCASE("the worker sent no reports for a minute")
   {
     now = kStart + 60s;
   }
-  CHECK(worker.OnReport(now, Report(born, 1)) == Change::Arrived);
-  CHECK(Serves(worker, born));
-  CHECK(worker.OnReport(now + kPeriod, Report(born, 2)) == Change::None);
-  CHECK(Serves(worker, born));
+  CHECK(worker.OnReport(now, Report(newStartTime, 1)) == Change::Arrived);
+  CHECK(IsServing(worker, newStartTime));
+  CHECK(worker.OnReport(now + kPeriod, Report(newStartTime, 2)) ==
+        Change::None);
+  CHECK(IsServing(worker, newStartTime));
 }
 
-TEST_CASE("what a former start reports late changes nothing")
+TEST_CASE("late reports of a previous incarnation are ignored")
 {
-  // Reports of the former start are held up by a cut and arrive behind the
-  // first one of the new start: once, twice, out of order, seconds late. Each
-  // would unseat the start that serves, or drain it.
+  // Guards against delayed, duplicated or reordered reports that replace or
+  // drain the current incarnation.
   WorkerPresence worker{ kPeriod };
-  const WallTime born = kBorn + 50s;
-  SUBCASE("the former start was known")
+  const WallTime newStartTime = kWorkerStart + 50s;
+  SUBCASE("the previous incarnation was known")
   {
-    CHECK(worker.OnReport(kStart, Report(kBorn, 39)) == Change::Arrived);
+    CHECK(worker.OnReport(kStart, Report(kWorkerStart, 39)) == Change::Arrived);
   }
-  SUBCASE("this daemon has started since") {}
+  SUBCASE("the previous incarnation was not known") {}
   TimePoint now = kStart + 2s;
-  CHECK(worker.OnReport(now, Report(born, 1)) == Change::Arrived);
-  for (std::uint64_t beat = 2; beat < 8; ++beat) {
-    CHECK(worker.OnReport(now + 100ms, Report(kBorn, 39 + beat)) ==
+  CHECK(worker.OnReport(now, Report(newStartTime, 1)) == Change::Arrived);
+  for (std::uint64_t sequence = 2; sequence < 8; ++sequence) {
+    CHECK(worker.OnReport(now + 100ms, Report(kWorkerStart, 39 + sequence)) ==
           Change::None);
-    CHECK(worker.OnReport(now + 110ms, Report(kBorn, 40)) == Change::None);
-    CHECK(worker.OnReport(now + 120ms, Report(kBorn, 60 + beat, true)) ==
+    CHECK(worker.OnReport(now + 110ms, Report(kWorkerStart, 40)) ==
           Change::None);
-    CHECK(worker.OnLeft(now + 130ms, { "a", kBorn }) == Change::None);
+    CHECK(
+      worker.OnReport(now + 120ms, Report(kWorkerStart, 60 + sequence, true)) ==
+      Change::None);
+    CHECK(worker.OnLeft(now + 130ms, { "a", kWorkerStart }) == Change::None);
     now += kPeriod;
-    CHECK(worker.OnReport(now, Report(born, beat)) == Change::None);
-    CHECK(Serves(worker, born));
+    CHECK(worker.OnReport(now, Report(newStartTime, sequence)) == Change::None);
+    CHECK(IsServing(worker, newStartTime));
   }
 }
 
-TEST_CASE("a time of day that stepped back does not shut a start out")
+TEST_CASE("a new incarnation is accepted after the clock was set back")
 {
-  // The machine's clock was set back between the two starts: the new one seems
-  // to be the older. Its second report, while the former one has missed its
-  // own, shows which of them lives.
+  // Its start time seems to be the earlier one; its second report, while the
+  // previous incarnation missed one, shows that it is current.
   WorkerPresence worker{ kPeriod };
-  CHECK(worker.OnReport(kStart, Report(kBorn, 40)) == Change::Arrived);
-  const WallTime born = kBorn - 1h;
+  CHECK(worker.OnReport(kStart, Report(kWorkerStart, 40)) == Change::Arrived);
+  const WallTime newStartTime = kWorkerStart - 1h;
   const TimePoint first = kStart + 700ms;
-  CHECK(worker.OnReport(first, Report(born, 1)) == Change::None);
-  CHECK(Serves(worker, kBorn));
-  CHECK(worker.OnReport(first + kPeriod, Report(born, 2)) == Change::Arrived);
-  CHECK(Serves(worker, born));
-  // Reports of the former start that were held up for seconds.
-  CHECK(worker.OnReport(first + 2s, Report(kBorn, 41)) == Change::None);
-  CHECK(worker.OnReport(first + 2s, Report(kBorn, 42)) == Change::None);
-  CHECK(worker.OnReport(first + 2 * kPeriod, Report(born, 3)) == Change::None);
-  CHECK(Serves(worker, born));
+  CHECK(worker.OnReport(first, Report(newStartTime, 1)) == Change::None);
+  CHECK(IsServing(worker, kWorkerStart));
+  CHECK(worker.OnReport(first + kPeriod, Report(newStartTime, 2)) ==
+        Change::Arrived);
+  CHECK(IsServing(worker, newStartTime));
+  // Delayed reports of the previous incarnation.
+  CHECK(worker.OnReport(first + 2s, Report(kWorkerStart, 41)) == Change::None);
+  CHECK(worker.OnReport(first + 2s, Report(kWorkerStart, 42)) == Change::None);
+  CHECK(worker.OnReport(first + 2 * kPeriod, Report(newStartTime, 3)) ==
+        Change::None);
+  CHECK(IsServing(worker, newStartTime));
 }
 
-TEST_CASE("a start that was unseated wrongly comes back")
+TEST_CASE("a wrongly replaced incarnation is restored")
 {
-  // A report with a later time of start is another machine's mistake, or the
-  // clock was wrong for a moment. The start that lives goes on reporting.
+  // Guards against a single wrong report with a later start time that replaces
+  // the running incarnation for good.
   WorkerPresence worker{ kPeriod };
-  CHECK(worker.OnReport(kStart, Report(kBorn, 1)) == Change::Arrived);
-  CHECK(worker.OnReport(kStart + 100ms, Report(kBorn + 9h, 1)) ==
+  CHECK(worker.OnReport(kStart, Report(kWorkerStart, 1)) == Change::Arrived);
+  CHECK(worker.OnReport(kStart + 100ms, Report(kWorkerStart + 9h, 1)) ==
         Change::Arrived);
-  CHECK(worker.OnReport(kStart + 1 * kPeriod, Report(kBorn, 2)) ==
+  CHECK(worker.OnReport(kStart + 1 * kPeriod, Report(kWorkerStart, 2)) ==
         Change::None);
-  CHECK(worker.OnReport(kStart + 2 * kPeriod, Report(kBorn, 3)) ==
+  CHECK(worker.OnReport(kStart + 2 * kPeriod, Report(kWorkerStart, 3)) ==
         Change::Arrived);
-  CHECK(Serves(worker, kBorn));
+  CHECK(IsServing(worker, kWorkerStart));
 }
 
-TEST_CASE("a worker that was asked for its id becomes the start it tells")
+TEST_CASE("a probed worker takes the start time of its first report")
 {
   WorkerPresence worker{ kPeriod };
-  WorkerReport asked = Report(kBorn, 0);
-  asked.m_start.m_born.reset();
-  CHECK(worker.OnProbed(kStart, asked) == Change::Arrived);
-  CHECK(worker.OnReport(kStart + 1s, Report(kBorn, 7)) == Change::Updated);
-  CHECK(Serves(worker, kBorn));
+  WorkerReport probed = Report(kWorkerStart, 0);
+  probed.m_start.m_born.reset();
+  CHECK(worker.OnProbed(kStart, probed) == Change::Arrived);
+  CHECK(worker.OnReport(kStart + 1s, Report(kWorkerStart, 7)) ==
+        Change::Updated);
+  CHECK(IsServing(worker, kWorkerStart));
 }
 
 TEST_CASE(
-  "where workers tell their time of start, a report without is no one's")
+  "a report without a start time is ignored if the worker's start time is "
+  "known")
 {
   WorkerPresence worker{ kPeriod };
-  CHECK(worker.OnReport(kStart, Report(kBorn, 1)) == Change::Arrived);
-  WorkerReport other = Report(kBorn, 2, true);
-  other.m_start.m_born.reset();
-  CHECK(worker.OnReport(kStart + 1s, other) == Change::None);
-  CHECK(Serves(worker, kBorn));
+  CHECK(worker.OnReport(kStart, Report(kWorkerStart, 1)) == Change::Arrived);
+  WorkerReport untimed = Report(kWorkerStart, 2, true);
+  untimed.m_start.m_born.reset();
+  CHECK(worker.OnReport(kStart + 1s, untimed) == Change::None);
+  CHECK(IsServing(worker, kWorkerStart));
 }
 
-TEST_CASE("a leave of a start never seen keeps its id away for a while only")
+TEST_CASE(
+  "a leave report of an unknown incarnation blocks its id for a limited time")
 {
-  // A daemon that has just started hears the farewell of a worker that it does
-  // not know yet. Half a minute later the id belongs to the next start.
+  // Guards against an id that stays blocked for the next incarnation.
   WorkerPresence worker{ kPeriod };
   CHECK(worker.OnLeft(kStart, { "a", std::nullopt }) == Change::None);
-  CHECK(worker.OnReport(kStart + 1s, Report(kBorn, 5)) == Change::None);
-  CHECK(worker.OnReport(kStart + 3s, Report(kBorn, 6)) == Change::None);
-  CHECK(worker.OnReport(kStart + 31s, Report(kBorn + 30s, 1)) ==
+  CHECK(worker.OnReport(kStart + 1s, Report(kWorkerStart, 5)) == Change::None);
+  CHECK(worker.OnReport(kStart + 3s, Report(kWorkerStart, 6)) == Change::None);
+  CHECK(worker.OnReport(kStart + 31s, Report(kWorkerStart + 30s, 1)) ==
         Change::Arrived);
 }
 
-TEST_CASE("starts are told apart in news by their id and their time of start")
+TEST_CASE("an incarnation's tag depends on its id and its start time")
 {
-  const WorkerStart start{ "a", kBorn };
-  CHECK(TagOf(start) == TagOf({ "a", kBorn }));
-  CHECK(TagOf(start) != TagOf({ "a", kBorn + 1ms }));
-  CHECK(TagOf(start) != TagOf({ "b", kBorn }));
+  const WorkerStart start{ "a", kWorkerStart };
+  CHECK(TagOf(start) == TagOf({ "a", kWorkerStart }));
+  CHECK(TagOf(start) != TagOf({ "a", kWorkerStart + 1ms }));
+  CHECK(TagOf(start) != TagOf({ "b", kWorkerStart }));
   CHECK(TagOf(start) != 0);
 }
 
-TEST_CASE("what calls showed of a former start is not held against the next")
+TEST_CASE("statistics are reset for a new incarnation")
 {
-  // A worker fails every call, is left out, crashes and starts again sound.
-  // Its callers would leave it out for half a minute, and go by times of 9 s.
+  // Guards against excluding a worker for failures before its restart.
   WorkerTable workers;
   WorkerRow row;
   row.m_slot = "w1";
@@ -190,46 +194,45 @@
   const auto index = *workers.Find("w1");
   Random random{ 1 };
   for (int i = 0; i < 50; ++i) {
-    workers.Sent(index);
-    workers.Ended("w1",
-                  kStart,
-                  WorkerTable::Verdict::Failed,
-                  LoadReport{ 60, 15, { 400ms }, 9s, 2s },
-                  random);
+    workers.RecordSent(index);
+    workers.RecordResult("w1",
+                         kStart,
+                         WorkerTable::Verdict::Failed,
+                         LoadReport{ 60, 15, { 400ms }, 9s, 2s },
+                         random);
   }
-  workers.Sent(index);
+  workers.RecordSent(index);
   REQUIRE(workers.At(index).m_ejectedUntil > kStart);
-  SUBCASE("the same start says more of itself")
+  SUBCASE("the same incarnation")
   {
     workers.Put(row);
     CHECK(workers.At(index).m_failures > 0.0);
-    CHECK(workers.At(index).m_kinds.size() == 1);
+    CHECK(workers.At(index).m_kindStats.size() == 1);
   }
-  SUBCASE("a daemon of an older release does not tell the start")
+  SUBCASE("no incarnation, as from a daemon of an older release")
   {
     row.m_start = 0;
     workers.Put(row);
     CHECK(workers.At(index).m_failures > 0.0);
   }
-  SUBCASE("another start")
+  SUBCASE("another incarnation")
   {
     row.m_start = 2;
     workers.Put(row);
     const WorkerRow& now = workers.At(index);
     CHECK(now.m_failures == 0.0);
     CHECK(now.m_ejectedUntil <= kStart);
-    CHECK(now.m_kinds.empty());
+    CHECK(now.m_kindStats.empty());
     CHECK(now.m_reportedAt == TimePoint{});
-    // Its answer is still to come.
+    // The attempt is still in flight.
     CHECK(now.m_inFlight == 1);
   }
 }
 
-TEST_CASE("times of a former start do not refuse calls at the next")
+TEST_CASE("service times of a previous incarnation do not refuse calls")
 {
-  // A worker took 900 ms a call, crashed and starts again; what it took is no
-  // reason to refuse a call with 200 ms left. What waited here was never handed
-  // to it and waits on; runs of the former start teach nothing when they end.
+  // Guards against refusals by outdated service times. Queued calls stay
+  // queued, and runs of the previous incarnation don't count when they end.
   RunTable table{ { .m_slots = 1 } };
   RunActions out;
   const WorkDemand demand{ CallClass::Critical, 0, { 200ms }, 200ms, 200ms };
