--- a/include/greengagehub/dissemination/disseminator.hpp
+++ b/include/greengagehub/dissemination/disseminator.hpp
@@ -9,27 +9,26 @@
 
 namespace greengagehub {
 
+/// \brief Parameters of version dissemination.
 struct DisseminationSettings
 {
-  /// Peers a new version is pushed to, once, by each daemon that gets it.
+  /// Number of peers to which each daemon pushes a new version.
   std::uint32_t m_fanout{ 4 };
-  /// Entries larger than this travel by pull only.
+  /// Larger entries are transferred by pull only.
   std::size_t m_maxDatagramBytes{ 1200 };
-  /// Wait before a pull, jittered: a push is usually under way already.
+  /// Delay before a pull, jittered; a push usually arrives first.
   std::chrono::milliseconds m_pullDelay{ 150 };
-  /// Longer wait before a pull from another failure domain, for one of the own
-  /// that has it: where bytes between domains are dear, a whole configuration
-  /// for each daemon is most of what a start sends across.
+  /// Additional delay before a pull from another failure domain, in which a
+  /// peer of the own domain may get the version.
   std::chrono::milliseconds m_farDelay{ 0 };
-  /// Between two pulls when the first brought nothing.
+  /// Time after which a pull without a result is given up.
   std::chrono::milliseconds m_pullTimeout{ 1000 };
 };
 
-/// \brief Versions between daemons: push on arrival, digest on each probe,
-/// pull of what is missing.
+/// \brief Distributes configuration versions between daemons: push on arrival,
+/// digest on each probe, pull of missing versions.
 ///
-/// Pure logic over what this daemon holds; entries themselves are checked and
-/// applied by ConfigHolder.
+/// Does no I/O; ConfigHolder verifies and applies the entries.
 class Disseminator
 {
 public:
@@ -39,37 +38,41 @@
   {
     return m_settings;
   }
-  /// \brief Highest version heard of.
-  [[nodiscard]] Version Heard() const noexcept { return m_heard; }
+  /// \brief Highest version reported by any peer.
+  [[nodiscard]] Version HighestKnownVersion() const noexcept
+  {
+    return m_highestKnownVersion;
+  }
 
-  /// \returns Entries to push after the holder moved on from `aBefore`.
+  /// \returns Entries to push after the holder advanced from `aBefore`.
   [[nodiscard]] std::vector<VersionEntry> ToPush(const ConfigHolder& aHolder,
                                                  Version aBefore) const;
-  /// \returns Entries that fit beside a probe to a peer that lags.
+  /// \returns Entries to add to a probe of a peer that lags behind.
   [[nodiscard]] std::vector<VersionEntry> ToRepair(const ConfigHolder& aHolder,
                                                    Version aTheirs) const;
-  /// \brief Notes that a peer runs more than this daemon does.
+  /// \brief Schedules a pull if a peer has a higher version.
   void OnDigest(TimePoint aNow,
                 const ConfigHolder& aHolder,
                 const VersionDigest& aHead,
                 const MemberPeer& aPeer);
-  /// \returns Whom to pull from now, if anyone.
+  /// \returns The peer to pull from now, if a pull is due.
   [[nodiscard]] std::optional<MemberPeer> DuePull(TimePoint aNow,
                                                   const ConfigHolder& aHolder);
-  /// \brief The pull under way has ended, with or without fruit.
+  /// \brief The pending pull has ended, with or without a result.
   void PullEnded() noexcept;
 
 private:
-  [[nodiscard]] std::vector<VersionEntry> Fitting(const ConfigHolder& aHolder,
-                                                  Version aAfter,
-                                                  std::size_t aBytes) const;
+  [[nodiscard]] std::vector<VersionEntry> EntriesThatFit(
+    const ConfigHolder& aHolder,
+    Version aAfter,
+    std::size_t aBytes) const;
 
   DisseminationSettings m_settings;
   Random m_random;
-  Version m_heard;
+  Version m_highestKnownVersion;
   std::vector<MemberPeer> m_sources;
-  /// The last one heard of in the own failure domain, asked before others.
-  std::optional<MemberPeer> m_nearSource;
+  /// Most recent source in the own failure domain; takes precedence.
+  std::optional<MemberPeer> m_ownDomainSource;
   std::optional<TimePoint> m_pullAt;
   std::optional<TimePoint> m_pullUntil;
 };
--- a/src/dissemination/disseminator.cpp
+++ b/src/dissemination/disseminator.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::size_t kMaxSources = 8;
-/// Digests, number and framing of an entry on the wire.
+/// Bytes of digests, version number and framing of an entry on the wire.
 constexpr std::size_t kEntryOverhead = 80;
-/// Room that a probe leaves beside its membership records.
-constexpr std::size_t kProbeRoom = 600;
+/// Bytes available in a probe beside its membership records.
+constexpr std::size_t kMaxRepairBytes = 600;
 
 }
 
@@ -21,19 +21,19 @@
 }
 
 std::vector<VersionEntry>
-Disseminator::Fitting(const ConfigHolder& aHolder,
-                      Version aAfter,
-                      std::size_t aBytes) const
+Disseminator::EntriesThatFit(const ConfigHolder& aHolder,
+                             Version aAfter,
+                             std::size_t aBytes) const
 {
   bool complete = false;
   std::vector<VersionEntry> entries = aHolder.EntriesAfter(aAfter, complete);
-  std::size_t room = aBytes;
+  std::size_t remaining = aBytes;
   std::size_t fitting = 0;
   for (const VersionEntry& each : entries) {
-    if (each.m_patch.size() + kEntryOverhead > room) {
+    if (each.m_patch.size() + kEntryOverhead > remaining) {
       break;
     }
-    room -= each.m_patch.size() + kEntryOverhead;
+    remaining -= each.m_patch.size() + kEntryOverhead;
     ++fitting;
   }
   entries.resize(fitting);
@@ -43,14 +43,14 @@
 std::vector<VersionEntry>
 Disseminator::ToPush(const ConfigHolder& aHolder, Version aBefore) const
 {
-  return Fitting(
+  return EntriesThatFit(
     aHolder, aBefore, m_settings.m_maxDatagramBytes - kEntryOverhead);
 }
 
 std::vector<VersionEntry>
 Disseminator::ToRepair(const ConfigHolder& aHolder, Version aTheirs) const
 {
-  return Fitting(aHolder, aTheirs, kProbeRoom);
+  return EntriesThatFit(aHolder, aTheirs, kMaxRepairBytes);
 }
 
 void
@@ -59,21 +59,22 @@
                        const VersionDigest& aHead,
                        const MemberPeer& aPeer)
 {
-  m_heard = std::max(m_heard, aHead.m_version);
+  m_highestKnownVersion = std::max(m_highestKnownVersion, aHead.m_version);
   if (aHead.m_version <= aHolder.GetVersion()) {
     return;
   }
   if (!aPeer.m_isFar) {
-    m_nearSource = aPeer;
+    m_ownDomainSource = aPeer;
   }
   if (m_sources.size() < kMaxSources) {
     m_sources.push_back(aPeer);
   } else {
     m_sources[Below(m_random, kMaxSources)] = aPeer;
   }
-  const auto far =
+  const auto domainDelay =
     aPeer.m_isFar ? m_settings.m_farDelay : std::chrono::milliseconds{ 0 };
-  const TimePoint at = aNow + Jittered(m_random, m_settings.m_pullDelay) + far;
+  const TimePoint at =
+    aNow + Jittered(m_random, m_settings.m_pullDelay) + domainDelay;
   m_pullAt = m_pullAt ? std::min(*m_pullAt, at) : at;
 }
 
@@ -83,9 +84,9 @@
   if (m_pullUntil && aNow >= *m_pullUntil) {
     PullEnded();
   }
-  if (m_heard <= aHolder.GetVersion()) {
+  if (m_highestKnownVersion <= aHolder.GetVersion()) {
     m_sources.clear();
-    m_nearSource.reset();
+    m_ownDomainSource.reset();
     m_pullAt.reset();
     return std::nullopt;
   }
@@ -93,15 +94,15 @@
   if (!due || m_sources.empty()) {
     return std::nullopt;
   }
-  if (m_nearSource) {
-    const MemberPeer source = *m_nearSource;
-    m_nearSource.reset();
+  if (m_ownDomainSource) {
+    const MemberPeer source = *m_ownDomainSource;
+    m_ownDomainSource.reset();
     m_pullUntil = aNow + m_settings.m_pullTimeout;
     return source;
   }
-  const std::size_t chosen = Below(m_random, m_sources.size());
-  const MemberPeer source = m_sources[chosen];
-  m_sources.erase(m_sources.begin() + static_cast<std::ptrdiff_t>(chosen));
+  const std::size_t drawn = Below(m_random, m_sources.size());
+  const MemberPeer source = m_sources[drawn];
+  m_sources.erase(m_sources.begin() + static_cast<std::ptrdiff_t>(drawn));
   m_pullUntil = aNow + m_settings.m_pullTimeout;
   return source;
 }
--- a/tests/dissemination/disseminator.cpp
+++ b/tests/dissemination/disseminator.cpp
@@ -31,7 +31,7 @@
 
 }
 
-TEST_CASE("new versions are pushed, as many as fit a datagram")
+TEST_CASE("new versions that fit into a datagram are pushed")
 {
   ConfigHolder holder;
   Advance(holder, 3);
@@ -42,7 +42,7 @@
   CHECK(disseminator.ToPush(large, Version{ 0 }).empty());
 }
 
-TEST_CASE("a peer that lags is sent the next versions in order")
+TEST_CASE("a lagging peer receives the next versions in order")
 {
   ConfigHolder holder;
   Advance(holder, 40);
@@ -52,9 +52,9 @@
   CHECK(repair.front().m_version.m_number == 11);
 }
 
-TEST_CASE("a pull waits a moment, for the push that is under way")
+TEST_CASE("a pull is delayed in favour of a pending push")
 {
-  // Pulling at once would send every version twice.
+  // An immediate pull would transfer every version twice.
   ConfigHolder holder;
   Disseminator disseminator{ {}, 1 };
   disseminator.OnDigest(kStart, holder, { Version{ 1 }, {} }, kPeer);
@@ -62,7 +62,7 @@
   CHECK(disseminator.DuePull(kStart + 200ms, holder));
 }
 
-TEST_CASE("a pull that brings nothing is tried again from another peer")
+TEST_CASE("a pull without a result is retried from another peer")
 {
   ConfigHolder holder;
   Disseminator disseminator{ {}, 1 };
@@ -74,7 +74,7 @@
   CHECK(disseminator.DuePull(kStart + 2s, holder));
 }
 
-TEST_CASE("nothing is pulled once the version has come by push")
+TEST_CASE("a version that arrived by push is not pulled")
 {
   ConfigHolder holder;
   Disseminator disseminator{ {}, 1 };
@@ -83,23 +83,23 @@
   CHECK_FALSE(disseminator.DuePull(kStart + 1s, holder));
 }
 
-TEST_CASE("where a peer nearby will have it, none beyond the domain is asked")
+TEST_CASE("a peer of the own domain is preferred over other domains")
 {
-  // Fifty daemons hear of a new configuration from whoever probes them. Two in
-  // three of those are in other domains, and each pull brings all of it across.
+  // Otherwise each daemon transfers the configuration from another domain.
   ConfigHolder holder;
   Disseminator disseminator{ { .m_farDelay = 400ms }, 1 };
-  const MemberPeer near{ { "127.0.0.2", 1, 2, 3 }, false };
+  const MemberPeer ownDomainPeer{ { "127.0.0.2", 1, 2, 3 }, false };
   disseminator.OnDigest(kStart, holder, { Version{ 1 }, {} }, kPeer);
   CHECK_FALSE(disseminator.DuePull(kStart + 300ms, holder));
-  SUBCASE("one nearby has it")
+  SUBCASE("a peer of the own domain has it")
   {
-    disseminator.OnDigest(kStart + 100ms, holder, { Version{ 1 }, {} }, near);
+    disseminator.OnDigest(
+      kStart + 100ms, holder, { Version{ 1 }, {} }, ownDomainPeer);
     const auto source = disseminator.DuePull(kStart + 300ms, holder);
     REQUIRE(source);
-    CHECK(*source == near);
+    CHECK(*source == ownDomainPeer);
   }
-  SUBCASE("none does")
+  SUBCASE("no peer of the own domain has it")
   {
     CHECK(disseminator.DuePull(kStart + 600ms, holder));
   }
