--- a/include/greengagehub/membership/domain_finder.hpp
+++ b/include/greengagehub/membership/domain_finder.hpp
@@ -8,13 +8,11 @@
 
 namespace greengagehub {
 
-/// \brief How the speakers of a failure domain find the other domains: by the
-/// addresses that stand in the store for each, while they know no member of it.
+/// \brief Discovers failure domains of which no member is known, through the
+/// seed addresses in the store. Runs on the relays of a domain.
 ///
-/// Answers the load pattern of all losing power at once: each daemon joins
-/// those of its own domain, by addresses of its own domain, and nobody
-/// remembers any other. Without this the domains never meet again: a domain
-/// that has no worker of a service answered "no worker" from then on.
+/// Needed when all daemons restart at once: each joins through the seeds of its
+/// own domain, so without discovery the domains would stay separate groups.
 class DomainFinder
 {
 public:
@@ -24,29 +22,28 @@
     MemberPeer m_peer;
   };
 
-  /// \brief The store was read.
-  /// \param aSeeds addresses of other failure domains.
+  /// \brief Replaces the known seeds by those read from the store.
+  /// \param aSeeds addresses in other failure domains.
   void OnSeeds(std::vector<Seed> aSeeds) { m_seeds = std::move(aSeeds); }
 
-  /// \returns Whom to ask now: those of domains of which no member is known.
+  /// \returns Seeds to contact now, of domains with no known member; empty
+  /// between two contact intervals.
   [[nodiscard]] std::vector<MemberPeer> ToAsk(TimePoint aNow,
                                               const Membership& aMembership);
-  /// \returns Whether to read the store again; asked by speakers only.
+  /// \returns Whether the seeds are to be read from the store again; if so,
+  /// schedules the next read.
   [[nodiscard]] bool ReadIsDue(TimePoint aNow);
 
 private:
-  /// Between two reads of the addresses: while a domain is missing they may be
-  /// about to be written; later, one may have come that nobody here has heard
-  /// of.
-  static constexpr std::chrono::milliseconds kFirstRead{ 1000 };
-  static constexpr std::chrono::milliseconds kLastRead{ 30'000 };
+  /// Bounds of the interval between two reads of the seeds.
+  static constexpr std::chrono::milliseconds kMinReadInterval{ 1000 };
+  static constexpr std::chrono::milliseconds kMaxReadInterval{ 30'000 };
 
   std::vector<Seed> m_seeds;
-  TimePoint m_nextAsk{};
+  TimePoint m_nextContact{};
   TimePoint m_nextRead{};
-  /// Until the next read; grows while they bring nothing, as where there is one
-  /// domain only.
-  std::chrono::milliseconds m_readAfter{ kFirstRead };
+  /// Doubles with each read, reset while a domain is missing.
+  std::chrono::milliseconds m_readInterval{ kMinReadInterval };
 };
 
 }
--- a/include/greengagehub/membership/gossip_message.hpp
+++ b/include/greengagehub/membership/gossip_message.hpp
@@ -13,14 +13,14 @@
 
 namespace greengagehub {
 
-/// \brief The version a daemon runs, as told on every probe.
+/// \brief Configuration version that a daemon runs, sent with every probe.
 struct VersionDigest
 {
   Version m_version;
   Digest m_chain;
 };
 
-/// \brief One datagram between daemons.
+/// \brief Payload of one gossip datagram between daemons.
 struct GossipMessage
 {
   enum class Kind : std::uint8_t
@@ -29,7 +29,7 @@
     Ack,
     /// Asks the receiver to probe m_target for the sender.
     PingRequest,
-    /// Carries entries only.
+    /// Carries updates without requesting an answer.
     Push,
     /// Carries m_quotaQuery or m_quotaReport only.
     Quota,
@@ -42,10 +42,11 @@
   VersionDigest m_head{};
   std::vector<MemberRecord> m_updates{};
   std::vector<VersionEntry> m_entries{};
-  /// Highest version that the receiver's slot was ever seen to run.
+  /// Highest version observed at the receiver's slot; the receiver must not run
+  /// an older one.
   Version m_floor{};
   bool m_watching{ false };
-  /// MemberDigests::Summary() of what the sender knows, itself included.
+  /// MemberDigests::Summary() of the sender's view, itself included.
   std::uint64_t m_members{ 0 };
   QuarantineNews m_quarantine{};
   /// Quarantine::Summary() at the sender.
@@ -53,13 +54,14 @@
   std::vector<RolloutRecord> m_rollouts{};
   /// RolloutTable::Summary() at the sender.
   std::uint64_t m_rolloutsDigest{ 0 };
-  /// Of the sender's worker, to who leads its service's roll-out.
+  /// Run counts of the sender's worker, for the leader of its service's
+  /// roll-out.
   std::optional<WorkerCounts> m_counts{};
   std::optional<QuotaQuery> m_quotaQuery{};
   std::optional<QuotaReport> m_quotaReport{};
 };
 
-/// \brief A message and where it goes.
+/// \brief An outgoing message and its destination.
 struct GossipSend
 {
   MemberPeer m_to;
--- a/include/greengagehub/membership/member.hpp
+++ b/include/greengagehub/membership/member.hpp
@@ -8,20 +8,21 @@
 
 namespace greengagehub {
 
-/// \brief What is believed of a member. At the same incarnation a later state
-/// in this list overrides an earlier one.
+/// \brief State of a member. At the same incarnation a later enumerator
+/// overrides an earlier one.
 enum class MemberState : std::uint8_t
 {
   Alive,
-  /// Announced by itself: finishes its calls, takes no new ones.
+  /// Draining, as announced by the member: finishes its calls, accepts no new
+  /// ones.
   Leaving,
   Suspect,
   Dead,
-  /// Said goodbye.
+  /// Shut down after announcing it.
   Left,
 };
 
-/// \brief Where a daemon is reached; IP numbers and ports.
+/// \brief Numeric IP address and ports of a daemon.
 struct MemberAddress
 {
   std::string m_host;
@@ -32,8 +33,8 @@
   [[nodiscard]] bool operator==(const MemberAddress&) const = default;
 };
 
-/// \brief Where to send something, and whether that crosses to another failure
-/// domain, which is dear.
+/// \brief Destination of a message, and whether it is in another failure
+/// domain, where traffic is expensive.
 struct MemberPeer
 {
   MemberAddress m_address;
@@ -42,57 +43,58 @@
   [[nodiscard]] bool operator==(const MemberPeer&) const = default;
 };
 
-/// \brief What a daemon says of the backend server beside it.
+/// \brief Properties of the backend server that a daemon announces.
 struct WorkerFigures
 {
-  /// Calls that it runs at once.
+  /// Number of concurrent calls.
   std::uint32_t m_slots{ 0 };
-  /// As MemberRecord::m_workerStart.
+  /// Same as MemberRecord::m_workerStart.
   std::uint32_t m_start{ 0 };
-  /// Of its software; empty: not told.
+  /// Version of the backend server's software; empty if unknown.
   std::string m_version{};
 };
 
-/// \brief What one daemon says of itself and others pass on.
+/// \brief What a daemon publishes about itself; peers forward it.
 struct MemberRecord
 {
-  /// Name of the slot beside the backend server; stays over restarts.
+  /// Name of the daemon's slot; stable across restarts.
   std::string m_slot;
-  /// Wall milliseconds at start times 65,536, plus one for each refutation:
-  /// a restart beats everything said about the process before.
+  /// Start time in milliseconds since the epoch, shifted left by 16 bits, plus
+  /// one for each refutation; a restart overrides all earlier records.
   std::uint64_t m_incarnation{ 0 };
   MemberState m_state{ MemberState::Alive };
   std::string m_service;
   std::string m_domain;
   std::string m_region;
   MemberAddress m_address;
-  /// Calls the worker runs at once, as its settings say.
+  /// Number of concurrent calls configured for the worker.
   std::uint32_t m_slots{ 0 };
-  /// A short name of the backend server's present start; 0: not told, as by an
-  /// older release. What was seen of another start says nothing of this one.
+  /// Identifies the incarnation of the backend server; 0 if unknown.
+  /// Statistics of one incarnation don't apply to another.
   std::uint32_t m_workerStart{ 0 };
-  /// Version of the backend server's software; empty: not told.
+  /// Version of the backend server's software, empty if unknown.
   std::string m_workerVersion{};
-  /// Rate of its own link; the fastest of a domain read the store.
+  /// Rate of the daemon's network link in Mbit/s; members are ranked by it.
   std::uint32_t m_linkMbps{ 0 };
 };
 
-/// \returns Whether calls may be sent there: known and neither leaving nor
-/// gone. A suspect still takes calls; what they meet says more than a probe.
+/// \returns Whether calls may be sent to a member in this state. A suspect
+/// still takes calls: their outcome is better evidence than a lost probe.
 [[nodiscard]] constexpr bool
 TakesCalls(MemberState aState) noexcept
 {
   return aState == MemberState::Alive || aState == MemberState::Suspect;
 }
 
-/// \returns Whether a member is believed to run.
+/// \returns Whether a member in this state is treated as running.
 [[nodiscard]] constexpr bool
 IsPresent(MemberState aState) noexcept
 {
   return aState < MemberState::Dead;
 }
 
-/// \returns The process part of an incarnation, the same over refutations.
+/// \returns The part of an incarnation that identifies the process and doesn't
+/// change with refutations.
 [[nodiscard]] constexpr std::uint64_t
 ProcessOf(std::uint64_t aIncarnation) noexcept
 {
--- a/include/greengagehub/membership/member_sync.hpp
+++ b/include/greengagehub/membership/member_sync.hpp
@@ -8,77 +8,77 @@
 
 namespace greengagehub {
 
-/// \brief When this daemon compares its members with a peer's: news that was
-/// lost on the way (a full packet, the limit on passing on) leaves views that
-/// differ for good.
+/// \brief Schedules anti-entropy exchanges of the member table with peers,
+/// which repair differences left by lost updates.
 ///
-/// Answers the load pattern of all starting together, when each knows nobody:
-/// often while comparing brings much, then ever more seldom, since a plain
-/// day's news travels on the probes. Beyond the failure domain only who speaks
-/// for it compares, or who knows nobody yet.
+/// The interval doubles from exchange to exchange and is reset by one that
+/// brings many changes, as when all daemons start together. Only relays and
+/// daemons that haven't joined yet exchange with another failure domain.
 class MemberSync
 {
 public:
   MemberSync(TimePoint aStart, std::uint64_t aSeed)
     : m_random(aSeed)
-    , m_nextFar(aStart + Jittered(m_random, kFirstFar))
+    , m_nextCrossDomain(aStart + Jittered(m_random, kFirstCrossDomainDelay))
   {
   }
 
-  /// \brief What a peer's message showed.
+  /// \brief Comparison with the sender of a message.
   struct Peer
   {
-    /// Its view is another one.
+    /// The digest of its member table differs.
     bool m_differs{ false };
     bool m_isFar{ false };
   };
 
   [[nodiscard]] bool HasJoined() const noexcept { return m_joined; }
-  /// \brief This daemon's view is as good as a peer's.
+  /// \brief Records that this daemon's view matches a peer's.
   void Joined() noexcept { m_joined = true; }
 
-  /// \returns Whether to compare with this peer now; then it is under way.
-  [[nodiscard]] bool Begins(TimePoint aNow, Peer aPeer, bool aSpeaks)
+  /// \returns Whether to exchange members with this peer now; if so, schedules
+  /// the next exchange.
+  [[nodiscard]] bool Begins(TimePoint aNow, Peer aPeer, bool aIsDomainRelay)
   {
-    const bool mayCross = !m_joined || aSpeaks;
+    const bool mayCross = !m_joined || aIsDomainRelay;
     if (!aPeer.m_differs || aNow < m_next ||
-        (aPeer.m_isFar && (!mayCross || aNow < m_nextFar))) {
+        (aPeer.m_isFar && (!mayCross || aNow < m_nextCrossDomain))) {
       return false;
     }
     if (aPeer.m_isFar) {
-      m_nextFar = aNow + Jittered(m_random, kFar);
+      m_nextCrossDomain = aNow + Jittered(m_random, kCrossDomainInterval);
     }
-    m_next = aNow + Jittered(m_random, m_every);
-    m_every = std::min(2 * m_every, kLast);
+    m_next = aNow + Jittered(m_random, m_interval);
+    m_interval = std::min(2 * m_interval, kMaxInterval);
     return true;
   }
 
-  /// \brief Nothing came back: another peer may be asked at once.
+  /// \brief The exchange failed; another peer may be tried at once.
   void Failed() noexcept { m_next = TimePoint{}; }
-  /// \param aNews members whose record was new or changed.
-  void Ended(std::size_t aNews) noexcept
+  /// \brief The exchange succeeded.
+  /// \param aChanges number of records that were new or changed.
+  void Ended(std::size_t aChanges) noexcept
   {
-    if (aNews >= kMuchNews) {
-      m_every = kFirst;
+    if (aChanges >= kManyChanges) {
+      m_interval = kMinInterval;
     }
   }
 
 private:
-  /// Between two comparisons: at first and after much news, and at last.
-  static constexpr std::chrono::milliseconds kFirst{ 200 };
-  static constexpr std::chrono::milliseconds kLast{ 30'000 };
-  /// Between two comparisons with peers of other domains, from some 0.75 s
-  /// after the start on: each brings all that is new there across, and one
-  /// daemon of a domain that has it is enough for the others.
-  static constexpr std::chrono::milliseconds kFar{ 3000 };
-  static constexpr std::chrono::milliseconds kFirstFar{ 750 };
-  /// News in one comparison after which the next one comes soon.
-  static constexpr std::size_t kMuchNews = 8;
+  /// Bounds of the interval between two exchanges.
+  static constexpr std::chrono::milliseconds kMinInterval{ 200 };
+  static constexpr std::chrono::milliseconds kMaxInterval{ 30'000 };
+  /// Interval between exchanges with other failure domains, and the delay of
+  /// the first one. Changes spread within the domain from one daemon that has
+  /// them.
+  static constexpr std::chrono::milliseconds kCrossDomainInterval{ 3000 };
+  static constexpr std::chrono::milliseconds kFirstCrossDomainDelay{ 750 };
+  /// Changes in one exchange that reset the interval.
+  static constexpr std::size_t kManyChanges = 8;
 
   Random m_random;
   TimePoint m_next{};
-  TimePoint m_nextFar;
-  std::chrono::milliseconds m_every{ kFirst };
+  TimePoint m_nextCrossDomain;
+  std::chrono::milliseconds m_interval{ kMinInterval };
   bool m_joined{ false };
 };
 
--- a/include/greengagehub/membership/member_table.hpp
+++ b/include/greengagehub/membership/member_table.hpp
@@ -11,28 +11,28 @@
 
 namespace greengagehub {
 
-/// \brief One member as this daemon knows it.
+/// \brief Local view of one member.
 struct MemberRow
 {
   MemberRecord m_record;
-  /// Hash of the slot, by which members of a domain are ranked.
+  /// RankKey() of the slot.
   std::uint64_t m_rankKey{ 0 };
-  /// Highest version its slot was ever seen to run, over its restarts.
+  /// Highest version observed at its slot, across restarts.
   Version m_floor{};
-  /// Version that its present process was last seen to run.
+  /// Highest version observed at its current process.
   Version m_version{};
-  /// When a suspicion becomes a death.
+  /// When a suspect is declared dead.
   TimePoint m_suspectUntil{};
-  /// Since when it is dead or has left.
+  /// When it became dead or left.
   TimePoint m_goneSince{};
-  /// How often its record was passed on since it last changed, within the
-  /// failure domain and beyond it, and whether it still is.
+  /// Number of times the record was sent since its last change, and whether it
+  /// is still queued: within the failure domain, and to other domains.
   std::array<std::uint16_t, 2> m_transmits{};
   std::array<bool, 2> m_pending{};
   bool m_watching{ false };
 };
 
-/// \brief Something that others act on: routing, dissemination, logs.
+/// \brief Change of a member, for routing, dissemination and logs.
 struct MemberEvent
 {
   enum class Kind : std::uint8_t
@@ -45,8 +45,8 @@
   MemberRecord m_record;
 };
 
-/// \brief Digests of the members present, in buckets by slot. Two daemons that
-/// compare them need to exchange only the buckets that differ.
+/// \brief Digests of the present members, in buckets by hash of the slot. Two
+/// daemons exchange only the buckets whose digests differ.
 struct MemberDigests
 {
   static constexpr std::size_t kBuckets = 256;
@@ -55,16 +55,16 @@
 
   [[nodiscard]] bool operator==(const MemberDigests&) const noexcept = default;
 
-  /// \brief Adds a member; order does not matter.
+  /// \brief Adds a member; the result doesn't depend on the order.
   void Add(const MemberRecord& aRecord);
   void Remove(const MemberRecord& aRecord);
-  /// \returns One value over all buckets, small enough for every probe.
+  /// \returns A digest over all buckets, sent with every probe.
   [[nodiscard]] std::uint64_t Summary() const noexcept;
   /// \param aRankKey RankKey() of the member's slot.
   [[nodiscard]] static std::size_t BucketOf(std::uint64_t aRankKey) noexcept;
 };
 
-/// \brief All known members but oneself, by slot.
+/// \brief All known members except this one, by slot.
 class MemberTable
 {
 public:
@@ -101,8 +101,8 @@
     }
   };
 
-  void CountIn(const MemberRecord& aRecord);
-  void CountOut(const MemberRecord& aRecord);
+  void AddToTotals(const MemberRecord& aRecord);
+  void RemoveFromTotals(const MemberRecord& aRecord);
 
   Table<MemberRow> m_rows;
   std::unordered_map<std::string, Index, Hash, std::equal_to<>> m_bySlot;
@@ -114,7 +114,7 @@
 [[nodiscard]] std::uint64_t
 RankKey(std::string_view aSlot);
 
-/// \returns Whether what is offered overrides what is known.
+/// \returns Whether a received record replaces the known one.
 [[nodiscard]] bool
 Overrides(const MemberRecord& aOffered, const MemberRecord& aKnown) noexcept;
 
--- a/include/greengagehub/membership/membership.hpp
+++ b/include/greengagehub/membership/membership.hpp
@@ -12,54 +12,50 @@
 
 namespace greengagehub {
 
-/// \brief Times and sizes of failure detection.
+/// \brief Parameters of failure detection and gossip.
 struct MembershipSettings
 {
-  /// One member is probed each period.
+  /// Probe period.
   std::chrono::milliseconds m_period{ 1000 };
-  /// How long a direct probe may take before others are asked to probe.
+  /// Timeout of a direct probe, after which indirect probes are requested.
   std::chrono::milliseconds m_ackTimeout{ 300 };
-  /// Members asked to probe for us.
+  /// Number of members asked for an indirect probe.
   std::uint32_t m_indirect{ 3 };
-  /// A suspicion lasts this many periods times log10 of the fleet's size.
+  /// Suspicion timeout in periods, multiplied by log10 of the number of
+  /// members.
   std::uint32_t m_suspicionFactor{ 4 };
-  /// A change is passed on this many times log2 of the fleet's size by each
-  /// that hears it. All but one in e^6 of 58 hear it so, and the comparison of
-  /// members heals the rest; three times as often, probes were full for 80 s
-  /// after a start and made up most of the bytes between domains on a quiet
-  /// day.
+  /// Number of times each member sends an update, multiplied by log2 of the
+  /// number of members. MemberSync delivers the updates that gossip misses.
   std::uint32_t m_transmitFactor{ 1 };
-  /// Records passed on in one datagram.
+  /// Maximum number of updates in one datagram.
   std::uint32_t m_maxUpdates{ 6 };
-  /// Lost members are tried again once in this many periods.
+  /// Interval in periods between probes of lost members, dead or left.
   std::uint32_t m_lostEvery{ 5 };
-  /// How long a lost member is remembered and tried.
+  /// How long a lost member is kept and probed.
   std::chrono::milliseconds m_forgetAfter{ std::chrono::hours{ 24 } };
 };
 
-/// \brief What a step asks the daemon to do.
+/// \brief Messages to send and changes to report.
 struct MembershipActions
 {
   std::vector<GossipSend> m_sends;
   std::vector<MemberEvent> m_events;
 };
 
-/// \brief Who is there: probes, suspicion, refutation, leaving, rejoining.
+/// \brief SWIM group membership with failure detection and gossip.
 ///
-/// Each period one member of the own failure domain is probed (in a shuffled
-/// round, so that each is probed once a round) and passes on the news; no
-/// answer, then through others; no answer, then it
-/// is suspected, and dead after a time that grows with the log of the fleet,
-/// unless it refutes with a higher incarnation. Cost for each daemon does not
-/// grow with the fleet.
+/// Each period one member of the own failure domain is probed, in shuffled
+/// rounds. Without an ack it is probed indirectly, then suspected, and declared
+/// dead after a timeout that grows with the log of the number of members,
+/// unless it refutes the suspicion with a higher incarnation. The load of each
+/// daemon doesn't depend on the number of members.
 ///
-/// Between failure domains, where bytes are dear, only the speakers of each
-/// probe, and what they pass on is their own domain's news. What crosses grows
-/// with the number of domains and not with that of the daemons: with a probe of
-/// any member each second, 295 daemons in five domains sent 240 probes a second
-/// across; ten speakers send ten. After Das, Gupta and Motivala, "SWIM" (DSN
-/// 2002), with a local health score after Dadgar et al., "Lifeguard" (DSN
-/// 2018).
+/// Only the relays of a failure domain probe other domains. Updates sent there
+/// concern the own domain or a suspicion raised by this daemon, so that traffic
+/// between domains grows with the number of domains and not of members.
+///
+/// Das, Gupta, Motivala: "SWIM" (DSN 2002); local health score: Dadgar et al.,
+/// "Lifeguard" (DSN 2018).
 class Membership
 {
 public:
@@ -72,65 +68,68 @@
   {
     return m_members;
   }
-  /// \returns Up to `aCount` different present members, chosen at random.
+  /// \returns Up to `aCount` distinct present members, drawn at random.
   [[nodiscard]] std::vector<MemberPeer> Sample(std::size_t aCount);
-  /// \returns The same, all of the own failure domain.
+  /// \returns Same, only from the own failure domain.
   [[nodiscard]] std::vector<MemberPeer> SampleNear(std::size_t aCount);
-  /// \returns The same, of the own failure domain as far as it has so many.
+  /// \returns Same, from other domains only if the own has too few; those may
+  /// be repeated.
   [[nodiscard]] std::vector<MemberPeer> SampleNearFirst(std::size_t aCount);
-  /// \returns One present member of each other failure domain, at random.
+  /// \returns One present member of each other failure domain, drawn at random.
   [[nodiscard]] std::vector<MemberPeer> SampleEachDomain();
-  /// \returns Failure domains of which a member is present, the own included.
+  /// \returns Failure domains with a present member, the own included.
   [[nodiscard]] std::set<std::string, std::less<>> DomainsPresent() const;
-  /// \returns Whether this member speaks for its failure domain: it probes
-  /// beyond it, compares members with others and pushes versions to them. The
-  /// first kSpeakers by RankInDomain() do, so that a speaker that is suspected
-  /// is followed by the next one within a period.
-  [[nodiscard]] bool SpeaksForDomain() const noexcept { return m_speaks; }
-  /// Two, as one may be lost with news on its way.
-  static constexpr std::size_t kSpeakers = 2;
-  /// \returns Place of this daemon among the present ones of its failure
-  /// domain, by a hash of the slot; who watches the store follows from it.
+  /// \returns Whether this member is a relay of its failure domain, which
+  /// exchanges probes, members and versions with other domains. The first
+  /// kRelaysPerDomain by RankInDomain() are; a suspected relay is replaced
+  /// within a period.
+  [[nodiscard]] bool SpeaksForDomain() const noexcept
+  {
+    return m_isDomainRelay;
+  }
+  /// Two, so that updates survive the loss of one.
+  static constexpr std::size_t kRelaysPerDomain = 2;
+  /// \returns Rank of this daemon among the live members of its failure domain,
+  /// by link rate and then by hash of the slot.
   [[nodiscard]] std::size_t RankInDomain() const;
-  /// \returns Whether it is the first of all domains by the same order.
+  /// \returns Whether it is the first of the live members of all domains in the
+  /// same order.
   [[nodiscard]] bool IsFirstOfAll() const;
-  /// \returns Where to reach that one; nothing if it is this member.
+  /// \returns The first member in that order; nothing if it is this one.
   [[nodiscard]] std::optional<MemberPeer> FirstOfAll() const;
-  /// \returns Where to reach the member, seen from here.
+  /// \returns The destination for messages to the member.
   [[nodiscard]] MemberPeer PeerOf(const MemberRecord& aRecord) const;
   [[nodiscard]] Version FloorOf(std::string_view aSlot) const;
   /// \returns Digests of all present members, this one included.
   [[nodiscard]] MemberDigests Digests() const;
-  /// \returns Records of the buckets in which the other's digests differ, from
-  /// a bucket at random on, at most about kMaxSyncRecords of them: after the
-  /// loss of a failure domain every bucket differs, and whole tables exchanged
-  /// by everyone would take far more than the budget of bytes. One that knows
-  /// nobody gets all.
+  /// \returns Records of the buckets whose digests differ, starting at a random
+  /// bucket. About kMaxSyncRecords at most, since after the loss of a failure
+  /// domain all buckets differ; a joining daemon gets all records.
   [[nodiscard]] std::vector<MemberRecord> RecordsFor(
     const MemberDigests& aTheirs);
   static constexpr std::size_t kMaxSyncRecords = 512;
 
-  /// \brief Probes an address of which only that is known, to join.
+  /// \brief Probes an address, to join through it.
   [[nodiscard]] MembershipActions Contact(const MemberPeer& aPeer);
   [[nodiscard]] MembershipActions OnTick(TimePoint aNow);
   [[nodiscard]] MembershipActions OnMessage(TimePoint aNow,
                                             const MemberAddress& aFrom,
                                             const GossipMessage& aMessage);
-  /// \brief Takes in records from a peer's whole table.
+  /// \brief Applies records from a peer's table; they are not gossiped further.
   [[nodiscard]] MembershipActions OnRecords(
     TimePoint aNow,
     const std::vector<MemberRecord>& aRecords);
-  /// \brief Announces Leaving or Left to many at once.
+  /// \brief Sets the own state and sends it to several members at once.
   [[nodiscard]] MembershipActions Announce(MemberState aState);
-  /// \brief As above, with what the worker can do now; the record gets a
-  /// higher incarnation, so that it overrides every earlier one.
+  /// \brief Same, with new properties of the worker; increments the incarnation
+  /// to override all earlier records.
   [[nodiscard]] MembershipActions Announce(MemberState aState,
                                            WorkerFigures aWorker);
-  /// \brief Highest version seen in force at a slot.
-  void NoteVersion(std::string_view aSlot, Version aVersion);
+  /// \brief Records that a version was observed at a slot.
+  void RecordVersion(std::string_view aSlot, Version aVersion);
 
 private:
-  /// A probe under way.
+  /// A pending probe.
   struct Probe
   {
     MemberTable::Index m_target{ 0 };
@@ -141,40 +140,42 @@
     bool m_active{ false };
     bool m_indirect{ false };
   };
-  /// A probe made on behalf of another member.
-  struct Relay
+  /// A pending probe on behalf of another member.
+  struct IndirectProbe
   {
     std::uint64_t m_sequence{ 0 };
-    std::uint64_t m_theirs{ 0 };
+    std::uint64_t m_originSequence{ 0 };
     MemberPeer m_origin;
     std::string m_target;
     TimePoint m_expires;
   };
 
-  /// News that is passed on in the own failure domain, or beyond it.
-  enum class Reach : std::uint8_t
+  /// Whether a probe or an update goes to the own or another failure domain.
+  enum class DomainScope : std::uint8_t
   {
-    Near,
-    Far,
+    OwnDomain,
+    OtherDomain,
   };
-  static constexpr std::size_t kReaches = 2;
+  static constexpr std::size_t kDomainScopes = 2;
 
-  [[nodiscard]] GossipMessage Make(GossipMessage::Kind aKind, Reach aReach);
-  [[nodiscard]] std::vector<MemberRecord> TakeUpdates(Reach aReach);
-  [[nodiscard]] Reach ReachOf(const MemberRecord& aRecord) const;
-  [[nodiscard]] static Reach ReachOf(const MemberPeer& aPeer);
+  [[nodiscard]] GossipMessage Make(GossipMessage::Kind aKind,
+                                   DomainScope aScope);
+  [[nodiscard]] std::vector<MemberRecord> TakeUpdates(DomainScope aScope);
+  [[nodiscard]] DomainScope ScopeOf(const MemberRecord& aRecord) const;
+  [[nodiscard]] static DomainScope ScopeOf(const MemberPeer& aPeer);
   [[nodiscard]] std::uint32_t TransmitLimit() const;
   [[nodiscard]] Duration SuspicionTime() const;
   void SendTo(MembershipActions& aOut,
               const MemberPeer& aTo,
               GossipMessage aMessage);
-  void Adopt(TimePoint aNow,
-             MembershipActions& aOut,
-             const MemberRecord& aRecord,
-             bool aPassOn);
-  void AdoptSelf(const MemberRecord& aRecord);
-  void MarkPending(MemberTable::Index aIndex, Reach aReach);
-  /// \brief To be told near, and far if it is this domain's own.
+  void ApplyRecord(TimePoint aNow,
+                   MembershipActions& aOut,
+                   const MemberRecord& aRecord,
+                   bool aEnqueue);
+  void ApplyRecordOfSelf(const MemberRecord& aRecord);
+  void MarkPending(MemberTable::Index aIndex, DomainScope aScope);
+  /// \brief Queues the record for the own domain and, if it is a member of the
+  /// own domain, for other domains.
   void MarkPending(MemberTable::Index aIndex);
   void Suspect(TimePoint aNow,
                MembershipActions& aOut,
@@ -182,9 +183,9 @@
   void ExpireSuspects(TimePoint aNow, MembershipActions& aOut);
   void ForgetLost(TimePoint aNow);
   void ContinueProbe(TimePoint aNow, MembershipActions& aOut, Probe& aProbe);
-  /// \brief Begins a period.
+  /// \brief Starts a probe period.
   void StartProbes(TimePoint aNow, MembershipActions& aOut);
-  void StartProbe(TimePoint aNow, MembershipActions& aOut, Reach aReach);
+  void StartProbe(TimePoint aNow, MembershipActions& aOut, DomainScope aScope);
   void ProbeLost(MembershipActions& aOut);
   void OnPing(MembershipActions& aOut,
               const MemberAddress& aFrom,
@@ -194,7 +195,8 @@
                      MembershipActions& aOut,
                      const GossipMessage& aMessage);
   void OnProcessResumed(TimePoint aNow);
-  [[nodiscard]] std::optional<MemberTable::Index> NextTarget(Reach aReach);
+  [[nodiscard]] std::optional<MemberTable::Index> NextTarget(
+    DomainScope aScope);
   [[nodiscard]] std::vector<MemberTable::Index>& RoundOf(
     const MemberRecord& aRecord);
 
@@ -202,20 +204,21 @@
   MembershipSettings m_settings;
   Random m_random;
   MemberTable m_members;
-  /// Whom to probe next, and whose records to pass on, near and far.
-  std::array<std::vector<MemberTable::Index>, kReaches> m_rounds;
-  std::array<std::vector<MemberTable::Index>, kReaches> m_pending;
+  /// Remaining targets of the probe round and queued updates, by scope.
+  std::array<std::vector<MemberTable::Index>, kDomainScopes> m_rounds;
+  std::array<std::vector<MemberTable::Index>, kDomainScopes> m_pending;
   std::vector<MemberTable::Index> m_suspects;
-  std::vector<MemberTable::Index> m_lost;
-  std::vector<Relay> m_relays;
-  std::array<Probe, kReaches> m_probes;
-  bool m_speaks{ false };
+  std::vector<MemberTable::Index> m_lostMembers;
+  std::vector<IndirectProbe> m_indirectProbes;
+  std::array<Probe, kDomainScopes> m_probes;
+  bool m_isDomainRelay{ false };
   TimePoint m_nextProbe{};
   TimePoint m_lastTick{};
   std::uint64_t m_sequence{ 0 };
   std::uint32_t m_periods{ 0 };
-  /// Own probes that failed lately: a slow process suspects later.
-  std::uint32_t m_slowness{ 0 };
+  /// Recently failed probes less acked ones; extends the timeouts, since the
+  /// process itself may be slow.
+  std::uint32_t m_localHealthScore{ 0 };
 };
 
 }
--- a/include/greengagehub/membership/membership_all.hpp
+++ b/include/greengagehub/membership/membership_all.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Everything of the membership library.
+/// \brief Includes all headers of the membership library.
 
 #include "greengagehub/membership/domain_finder.hpp"
 #include "greengagehub/membership/gossip_message.hpp"
--- a/include/greengagehub/membership/seed_keeper.hpp
+++ b/include/greengagehub/membership/seed_keeper.hpp
@@ -10,34 +10,32 @@
 
 namespace greengagehub {
 
-/// \brief Keeps the addresses of a few daemons in the store, for daemons that
-/// start and know nobody.
+/// \brief Publishes this daemon's address in the store as a seed, through which
+/// starting daemons join.
 ///
-/// The first two of each failure domain write theirs, without a lease: a key
-/// that lapses with its holder is missing just when all start again, and each
-/// then takes seconds to find another. An address that is out of date costs its
-/// reader one lost datagram.
+/// The first daemons of each failure domain by rank publish theirs. The keys
+/// have no lease, so that seeds are available after all daemons have stopped;
+/// a stale address costs its reader one lost datagram.
 class SeedKeeper
 {
 public:
-  /// Places of a failure domain.
-  static constexpr std::size_t kPlaces = 2;
+  /// Number of seeds of a failure domain.
+  static constexpr std::size_t kPlacesPerDomain = 2;
 
   SeedKeeper(MemberRecord aSelf, std::uint64_t aSeed);
 
-  /// \param aRank place among the present members of the own domain; a daemon
-  /// that knows nobody yet has none.
-  /// \returns The next call to the store, or nothing. One at a time.
+  /// \param aRank RankInDomain(); nothing before this daemon has joined.
+  /// \returns The next request to the store, if any; at most one is pending.
   [[nodiscard]] std::optional<StoreRequest> OnTick(
     TimePoint aNow,
     std::optional<std::size_t> aRank);
-  /// \brief The places were read.
-  /// \param aOthers whether any address but the own stands there.
-  void OnSeeds(TimePoint aNow, bool aOthers);
-  /// \brief The store came back from an older copy, in which the own address
-  /// may be missing: written again at the next tick.
+  /// \brief The seeds were read from the store.
+  /// \param aHasOthers whether they contain the address of another daemon.
+  void OnSeeds(TimePoint aNow, bool aHasOthers);
+  /// \brief The store was restored from a backup; the address is written again
+  /// at the next tick.
   void OnStoreRestored() noexcept;
-  /// \brief The store answered what OnTick asked for.
+  /// \brief The store answered the request returned by OnTick().
   void OnReply(TimePoint aNow, const StoreReply& aReply);
 
 private:
@@ -46,13 +44,13 @@
   MemberRecord m_self;
   Random m_random;
   std::size_t m_place{ 0 };
-  /// Of the own place, as far as known.
+  /// Last known revision of the seed key.
   Revision m_revision{ 0 };
   bool m_written{ false };
-  bool m_busy{ false };
+  bool m_requestPending{ false };
   TimePoint m_next{};
-  /// Since when the store was seen to hold no other's address.
-  std::optional<TimePoint> m_noneSince{};
+  /// When to write the first seed if the store holds no other address.
+  std::optional<TimePoint> m_firstWriteAt{};
 };
 
 }
--- a/include/greengagehub/membership/watch_role.hpp
+++ b/include/greengagehub/membership/watch_role.hpp
@@ -11,25 +11,26 @@
 
 namespace greengagehub {
 
-/// \brief How many daemons of a failure domain watch the store, and how they
-/// hold their place.
+/// \brief Number of daemons of a failure domain that watch the store, and the
+/// times of their leases.
 struct WatchRoleSettings
 {
   std::uint32_t m_watchers{ 2 };
   std::chrono::milliseconds m_leaseTime{ std::chrono::seconds{ 6 } };
-  /// Between tries to take a place, jittered; grows while the store is away.
+  /// Initial interval between attempts to acquire a place, jittered; doubles
+  /// with each failure.
   std::chrono::milliseconds m_retry{ std::chrono::seconds{ 2 } };
-  /// Also the time between looks at places that are all taken, which bounds
-  /// how long a lost watcher is missed.
+  /// Upper bound of the interval; also used while all places are taken, which
+  /// bounds the time until a lost watcher is replaced.
   std::chrono::milliseconds m_maxRetry{ std::chrono::seconds{ 5 } };
 };
 
-/// \brief Holds one of a domain's few seed keys under a lease, and with it the
-/// right to watch the store.
+/// \brief Acquires and renews a lease on one of the seed keys of a failure
+/// domain; its holder watches the store.
 ///
-/// No safety rests on the lease: a holder that was paused and still believes
-/// in it reads the log once more than needed, that is all. The keys bound how
-/// many watch at once, and give joining daemons addresses to start from.
+/// The lease only limits the number of watchers: a daemon that resumes with an
+/// expired lease causes one superfluous read and no inconsistency. Joining
+/// daemons use the addresses in the keys.
 class WatchRole
 {
 public:
@@ -39,17 +40,16 @@
 
   [[nodiscard]] bool Holds(TimePoint aNow) const noexcept
   {
-    return m_held && aNow < m_expires;
+    return m_isHeld && aNow < m_expires;
   }
 
-  /// \brief All places of the domain were seen taken: leave the store alone
-  /// for a while.
+  /// \brief Delays the next attempt, since all places of the domain are taken.
   void NoteAllTaken(TimePoint aNow);
-  /// \returns Whether the next tick needs this daemon's rank, which costs a
-  /// pass over all members.
+  /// \returns Whether the next OnTick() uses the rank, which takes a pass over
+  /// all members to compute.
   [[nodiscard]] bool NeedsRank(TimePoint aNow) const noexcept;
-  /// \param aRank place among the present members of the own domain.
-  /// \returns The next call to the store, or nothing. One at a time.
+  /// \param aRank Membership::RankInDomain().
+  /// \returns The next request to the store, if any; at most one is pending.
   [[nodiscard]] std::optional<StoreRequest> OnTick(TimePoint aNow,
                                                    std::size_t aRank);
   [[nodiscard]] std::optional<StoreRequest> OnReply(TimePoint aNow,
@@ -59,18 +59,18 @@
   enum class State : std::uint8_t
   {
     Idle,
-    /// Reads which places are taken: a read is cheaper than writes that
-    /// conflict.
-    Looking,
-    Granting,
-    Writing,
-    Keeping,
+    /// Reads the taken places first, to avoid conflicting writes.
+    ListingPlaces,
+    RequestingLease,
+    WritingSeed,
+    RenewingLease,
   };
 
   void BackOff(TimePoint aNow);
   [[nodiscard]] StoreRequest WriteSeed();
-  [[nodiscard]] std::optional<StoreRequest> OnPlaces(TimePoint aNow,
-                                                     const StoreReply& aReply);
+  [[nodiscard]] std::optional<StoreRequest> OnPlacesListed(
+    TimePoint aNow,
+    const StoreReply& aReply);
 
   WatchRoleSettings m_settings;
   MemberRecord m_self;
@@ -79,23 +79,23 @@
   std::uint64_t m_lease{ 0 };
   std::uint32_t m_place{ 0 };
   std::uint32_t m_placesTried{ 0 };
-  bool m_held{ false };
-  TimePoint m_asked{};
+  bool m_isHeld{ false };
+  TimePoint m_requestedAt{};
   TimePoint m_expires{};
   TimePoint m_nextTry{};
   std::chrono::milliseconds m_backoff;
 };
 
-/// \returns The value of a seed key: the address to join by.
+/// \returns The value of a seed key: an address as JSON.
 [[nodiscard]] std::string
 SeedToJson(const MemberAddress& aAddress);
-/// \returns The address, or nothing for a value that makes no sense.
-/// \returns The failure domain of a seed's key; empty for another key.
+/// \returns The failure domain of a seed key; empty for any other key.
 [[nodiscard]] std::string
 DomainOfSeed(std::string_view aKey);
+/// \returns The address, or nothing if the value is malformed.
 [[nodiscard]] std::optional<MemberAddress>
 ParseSeed(std::string_view aText);
-/// \returns What the keys of all places of a domain begin with.
+/// \returns The common prefix of the seed keys of a failure domain.
 [[nodiscard]] std::string
 SeedPrefix(std::string_view aDomain);
 [[nodiscard]] std::string
--- a/src/membership/domain_finder.cpp
+++ b/src/membership/domain_finder.cpp
@@ -6,30 +6,29 @@
 
 namespace {
 
-/// An answer comes within milliseconds, and callers whose domain has no worker
-/// of a service wait for it.
-constexpr std::chrono::milliseconds kAskEvery{ 200 };
+/// Short, because calls may wait for a worker in an undiscovered domain.
+constexpr std::chrono::milliseconds kContactInterval{ 200 };
 
 }
 
 std::vector<MemberPeer>
 DomainFinder::ToAsk(TimePoint aNow, const Membership& aMembership)
 {
-  std::vector<MemberPeer> asked;
-  if (aNow < m_nextAsk) {
-    return asked;
+  std::vector<MemberPeer> peers;
+  if (aNow < m_nextContact) {
+    return peers;
   }
-  m_nextAsk = aNow + kAskEvery;
-  const auto known = aMembership.DomainsPresent();
+  m_nextContact = aNow + kContactInterval;
+  const auto knownDomains = aMembership.DomainsPresent();
   for (const Seed& each : m_seeds) {
-    if (!known.contains(each.m_domain)) {
-      asked.push_back(each.m_peer);
+    if (!knownDomains.contains(each.m_domain)) {
+      peers.push_back(each.m_peer);
     }
   }
-  if (!asked.empty()) {
-    m_readAfter = kFirstRead;
+  if (!peers.empty()) {
+    m_readInterval = kMinReadInterval;
   }
-  return asked;
+  return peers;
 }
 
 bool
@@ -38,8 +37,8 @@
   if (aNow < m_nextRead) {
     return false;
   }
-  m_nextRead = aNow + m_readAfter;
-  m_readAfter = std::min(2 * m_readAfter, kLastRead);
+  m_nextRead = aNow + m_readInterval;
+  m_readInterval = std::min(2 * m_readInterval, kMaxReadInterval);
   return true;
 }
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -19,7 +19,7 @@
 MemberTable::Index
 MemberTable::Insert(MemberRecord aRecord)
 {
-  CountIn(aRecord);
+  AddToTotals(aRecord);
   const std::string slot = aRecord.m_slot;
   MemberRow row;
   row.m_rankKey = RankKey(slot);
@@ -30,7 +30,7 @@
 }
 
 void
-MemberTable::CountIn(const MemberRecord& aRecord)
+MemberTable::AddToTotals(const MemberRecord& aRecord)
 {
   if (IsPresent(aRecord.m_state)) {
     ++m_present;
@@ -39,7 +39,7 @@
 }
 
 void
-MemberTable::CountOut(const MemberRecord& aRecord)
+MemberTable::RemoveFromTotals(const MemberRecord& aRecord)
 {
   if (IsPresent(aRecord.m_state)) {
     --m_present;
@@ -51,17 +51,17 @@
 MemberTable::SetState(Index aIndex, MemberState aState)
 {
   MemberRecord& record = m_rows.At(aIndex).m_record;
-  CountOut(record);
+  RemoveFromTotals(record);
   record.m_state = aState;
-  CountIn(record);
+  AddToTotals(record);
 }
 
 void
 MemberTable::Replace(Index aIndex, MemberRecord aRecord)
 {
   MemberRow& row = m_rows.At(aIndex);
-  CountOut(row.m_record);
-  CountIn(aRecord);
+  RemoveFromTotals(row.m_record);
+  AddToTotals(aRecord);
   if (ProcessOf(row.m_record.m_incarnation) !=
       ProcessOf(aRecord.m_incarnation)) {
     row.m_version = Version{};
@@ -73,7 +73,7 @@
 MemberTable::Erase(Index aIndex)
 {
   const MemberRecord& record = m_rows.At(aIndex).m_record;
-  CountOut(record);
+  RemoveFromTotals(record);
   m_bySlot.erase(record.m_slot);
   m_rows.Erase(aIndex);
 }
@@ -83,10 +83,9 @@
 
 namespace {
 
-/// State counts only as "present": suspicions come and go too fast to be worth
-/// a synchronisation.
+/// Excludes the state: short-lived suspicions must not trigger exchanges.
 std::uint64_t
-ElementOf(const MemberRecord& aRecord)
+DigestElement(const MemberRecord& aRecord)
 {
   return RankKey(fmt::format("{}/{}", aRecord.m_slot, aRecord.m_incarnation));
 }
@@ -102,13 +101,13 @@
 void
 MemberDigests::Add(const MemberRecord& aRecord)
 {
-  m_sums[BucketOf(RankKey(aRecord.m_slot))] += ElementOf(aRecord);
+  m_sums[BucketOf(RankKey(aRecord.m_slot))] += DigestElement(aRecord);
 }
 
 void
 MemberDigests::Remove(const MemberRecord& aRecord)
 {
-  m_sums[BucketOf(RankKey(aRecord.m_slot))] -= ElementOf(aRecord);
+  m_sums[BucketOf(RankKey(aRecord.m_slot))] -= DigestElement(aRecord);
 }
 
 std::uint64_t
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -10,7 +10,7 @@
 
 using Kind = GossipMessage::Kind;
 
-constexpr std::size_t kMaxRelays = 256;
+constexpr std::size_t kMaxIndirectProbes = 256;
 
 }
 
@@ -26,49 +26,50 @@
 std::uint32_t
 Membership::TransmitLimit() const
 {
-  const auto fleet = static_cast<std::uint64_t>(m_members.Present() + 2);
+  const auto size = static_cast<std::uint64_t>(m_members.Present() + 2);
   return m_settings.m_transmitFactor *
-         static_cast<std::uint32_t>(std::bit_width(fleet));
+         static_cast<std::uint32_t>(std::bit_width(size));
 }
 
 Duration
 Membership::SuspicionTime() const
 {
-  const double fleet = static_cast<double>(m_members.Present()) + 1.0;
-  const double scale = std::max(1.0, std::log10(fleet));
+  const double size = static_cast<double>(m_members.Present()) + 1.0;
+  const double scale = std::max(1.0, std::log10(size));
   const double periods = scale * m_settings.m_suspicionFactor *
-                         (1.0 + 0.25 * static_cast<double>(m_slowness));
+                         (1.0 + 0.25 * static_cast<double>(m_localHealthScore));
   return std::chrono::duration_cast<Duration>(m_settings.m_period * periods);
 }
 
 // ---------------------------------------------------------------------------
 // Messages
 
-Membership::Reach
-Membership::ReachOf(const MemberRecord& aRecord) const
+Membership::DomainScope
+Membership::ScopeOf(const MemberRecord& aRecord) const
 {
-  return aRecord.m_domain == m_self.m_domain ? Reach::Near : Reach::Far;
+  return aRecord.m_domain == m_self.m_domain ? DomainScope::OwnDomain
+                                             : DomainScope::OtherDomain;
 }
 
-Membership::Reach
-Membership::ReachOf(const MemberPeer& aPeer)
+Membership::DomainScope
+Membership::ScopeOf(const MemberPeer& aPeer)
 {
-  return aPeer.m_isFar ? Reach::Far : Reach::Near;
+  return aPeer.m_isFar ? DomainScope::OtherDomain : DomainScope::OwnDomain;
 }
 
 std::vector<MemberTable::Index>&
 Membership::RoundOf(const MemberRecord& aRecord)
 {
-  return m_rounds[static_cast<std::size_t>(ReachOf(aRecord))];
+  return m_rounds[static_cast<std::size_t>(ScopeOf(aRecord))];
 }
 
 GossipMessage
-Membership::Make(Kind aKind, Reach aReach)
+Membership::Make(Kind aKind, DomainScope aScope)
 {
   GossipMessage message;
   message.m_kind = aKind;
   message.m_sender = m_self;
-  message.m_updates = TakeUpdates(aReach);
+  message.m_updates = TakeUpdates(aScope);
   message.m_members = Digests().Summary();
   return message;
 }
@@ -82,18 +83,18 @@
 }
 
 std::vector<MemberRecord>
-Membership::TakeUpdates(Reach aReach)
+Membership::TakeUpdates(DomainScope aScope)
 {
   const std::uint32_t limit = TransmitLimit();
-  const auto reach = static_cast<std::size_t>(aReach);
-  auto& pending = m_pending[reach];
+  const auto scope = static_cast<std::size_t>(aScope);
+  auto& pending = m_pending[scope];
   std::erase_if(pending, [&](MemberTable::Index aIndex) {
     if (!m_members.Has(aIndex)) {
       return true;
     }
     MemberRow& row = m_members.At(aIndex);
-    if (row.m_transmits[reach] >= limit) {
-      row.m_pending[reach] = false;
+    if (row.m_transmits[scope] >= limit) {
+      row.m_pending[scope] = false;
       return true;
     }
     return false;
@@ -104,47 +105,47 @@
                     pending.begin() + static_cast<std::ptrdiff_t>(count),
                     pending.end(),
                     [&](MemberTable::Index aLeft, MemberTable::Index aRight) {
-                      return m_members.At(aLeft).m_transmits[reach] <
-                             m_members.At(aRight).m_transmits[reach];
+                      return m_members.At(aLeft).m_transmits[scope] <
+                             m_members.At(aRight).m_transmits[scope];
                     });
   std::vector<MemberRecord> updates;
   for (std::size_t i = 0; i < count; ++i) {
     MemberRow& row = m_members.At(pending[i]);
-    ++row.m_transmits[reach];
+    ++row.m_transmits[scope];
     updates.push_back(row.m_record);
   }
   return updates;
 }
 
 void
-Membership::MarkPending(MemberTable::Index aIndex, Reach aReach)
+Membership::MarkPending(MemberTable::Index aIndex, DomainScope aScope)
 {
-  const auto reach = static_cast<std::size_t>(aReach);
+  const auto scope = static_cast<std::size_t>(aScope);
   MemberRow& row = m_members.At(aIndex);
-  row.m_transmits[reach] = 0;
-  if (!row.m_pending[reach]) {
-    row.m_pending[reach] = true;
-    m_pending[reach].push_back(aIndex);
+  row.m_transmits[scope] = 0;
+  if (!row.m_pending[scope]) {
+    row.m_pending[scope] = true;
+    m_pending[scope].push_back(aIndex);
   }
 }
 
 void
 Membership::MarkPending(MemberTable::Index aIndex)
 {
-  MarkPending(aIndex, Reach::Near);
-  if (ReachOf(m_members.At(aIndex).m_record) == Reach::Near) {
-    MarkPending(aIndex, Reach::Far);
+  MarkPending(aIndex, DomainScope::OwnDomain);
+  if (ScopeOf(m_members.At(aIndex).m_record) == DomainScope::OwnDomain) {
+    MarkPending(aIndex, DomainScope::OtherDomain);
   }
 }
 
 // ---------------------------------------------------------------------------
-// What others say
+// Received records and messages
 
 void
-Membership::AdoptSelf(const MemberRecord& aRecord)
+Membership::ApplyRecordOfSelf(const MemberRecord& aRecord)
 {
-  // Someone believes that this process is gone, or remembers an incarnation
-  // from before a restart with a clock set back: beat it.
+  // A peer treats this process as suspect or lost, or has a record from before
+  // a restart with the clock set back: refute it.
   const bool contradicts = aRecord.m_incarnation > m_self.m_incarnation ||
                            (aRecord.m_incarnation == m_self.m_incarnation &&
                             aRecord.m_state > MemberState::Leaving);
@@ -154,19 +155,19 @@
 }
 
 void
-Membership::Adopt(TimePoint aNow,
-                  MembershipActions& aOut,
-                  const MemberRecord& aRecord,
-                  bool aPassOn)
+Membership::ApplyRecord(TimePoint aNow,
+                        MembershipActions& aOut,
+                        const MemberRecord& aRecord,
+                        bool aEnqueue)
 {
   if (aRecord.m_slot == m_self.m_slot) {
-    AdoptSelf(aRecord);
+    ApplyRecordOfSelf(aRecord);
     return;
   }
   const auto known = m_members.Find(aRecord.m_slot);
   if (!known) {
     const auto index = m_members.Insert(aRecord);
-    if (aPassOn) {
+    if (aEnqueue) {
       MarkPending(index);
     }
     if (IsPresent(aRecord.m_state)) {
@@ -174,7 +175,7 @@
       aOut.m_events.push_back({ MemberEvent::Kind::Joined, aRecord });
     } else {
       m_members.At(index).m_goneSince = aNow;
-      m_lost.push_back(index);
+      m_lostMembers.push_back(index);
     }
     if (aRecord.m_state == MemberState::Suspect) {
       m_members.At(index).m_suspectUntil = aNow + SuspicionTime();
@@ -188,7 +189,7 @@
   }
   const bool wasPresent = IsPresent(row.m_record.m_state);
   m_members.Replace(*known, aRecord);
-  if (aPassOn) {
+  if (aEnqueue) {
     MarkPending(*known);
   }
   if (aRecord.m_state == MemberState::Suspect) {
@@ -197,7 +198,7 @@
   }
   if (!IsPresent(aRecord.m_state)) {
     row.m_goneSince = aNow;
-    m_lost.push_back(*known);
+    m_lostMembers.push_back(*known);
     if (wasPresent) {
       aOut.m_events.push_back({ MemberEvent::Kind::Gone, aRecord });
     }
@@ -215,10 +216,9 @@
 Membership::OnRecords(TimePoint aNow, const std::vector<MemberRecord>& aRecords)
 {
   MembershipActions out;
-  // From a peer's whole table: others have it too. Passing it all on would
-  // bury the news among thousands of records that are none.
+  // The records are not new to the group; queueing them would delay updates.
   for (const MemberRecord& each : aRecords) {
-    Adopt(aNow, out, each, false);
+    ApplyRecord(aNow, out, each, false);
   }
   return out;
 }
@@ -229,14 +229,14 @@
                       const GossipMessage& aMessage)
 {
   MembershipActions out;
-  Adopt(aNow, out, aMessage.m_sender, true);
+  ApplyRecord(aNow, out, aMessage.m_sender, true);
   for (const MemberRecord& each : aMessage.m_updates) {
-    Adopt(aNow, out, each, true);
+    ApplyRecord(aNow, out, each, true);
   }
   if (const auto index = m_members.Find(aMessage.m_sender.m_slot)) {
     m_members.At(*index).m_watching = aMessage.m_watching;
   }
-  NoteVersion(aMessage.m_sender.m_slot, aMessage.m_head.m_version);
+  RecordVersion(aMessage.m_sender.m_slot, aMessage.m_head.m_version);
   switch (aMessage.m_kind) {
     case Kind::Ping:
       OnPing(out, aFrom, aMessage);
@@ -259,16 +259,17 @@
                    const MemberAddress& aFrom,
                    const GossipMessage& aMessage)
 {
-  GossipMessage ack = Make(Kind::Ack, ReachOf(aMessage.m_sender));
+  GossipMessage ack = Make(Kind::Ack, ScopeOf(aMessage.m_sender));
   ack.m_sequence = aMessage.m_sequence;
   ack.m_floor = FloorOf(aMessage.m_sender.m_slot);
-  // A sender that is believed gone must hear so, to refute it.
+  // A sender that is treated as lost receives its record, to refute it.
   const auto known = m_members.Find(aMessage.m_sender.m_slot);
   if (known && !IsPresent(m_members.At(*known).m_record.m_state)) {
     ack.m_updates.push_back(m_members.At(*known).m_record);
   }
-  const bool isFar = ReachOf(aMessage.m_sender) == Reach::Far;
-  SendTo(aOut, { aFrom, isFar }, std::move(ack));
+  const bool crossesDomains =
+    ScopeOf(aMessage.m_sender) == DomainScope::OtherDomain;
+  SendTo(aOut, { aFrom, crossesDomains }, std::move(ack));
 }
 
 void
@@ -277,22 +278,24 @@
   for (Probe& each : m_probes) {
     if (each.m_active && aMessage.m_sequence == each.m_sequence) {
       each.m_active = false;
-      m_slowness = m_slowness > 0 ? m_slowness - 1 : 0;
+      m_localHealthScore = m_localHealthScore > 0 ? m_localHealthScore - 1 : 0;
       return;
     }
   }
-  const auto relay =
-    std::find_if(m_relays.begin(), m_relays.end(), [&](const Relay& aRelay) {
-      return aRelay.m_sequence == aMessage.m_sequence;
-    });
-  if (relay == m_relays.end()) {
+  const auto forwarded =
+    std::find_if(m_indirectProbes.begin(),
+                 m_indirectProbes.end(),
+                 [&](const IndirectProbe& aProbe) {
+                   return aProbe.m_sequence == aMessage.m_sequence;
+                 });
+  if (forwarded == m_indirectProbes.end()) {
     return;
   }
-  GossipMessage ack = Make(Kind::Ack, ReachOf(relay->m_origin));
-  ack.m_sequence = relay->m_theirs;
-  ack.m_target = relay->m_target;
-  SendTo(aOut, relay->m_origin, std::move(ack));
-  m_relays.erase(relay);
+  GossipMessage ack = Make(Kind::Ack, ScopeOf(forwarded->m_origin));
+  ack.m_sequence = forwarded->m_originSequence;
+  ack.m_target = forwarded->m_target;
+  SendTo(aOut, forwarded->m_origin, std::move(ack));
+  m_indirectProbes.erase(forwarded);
 }
 
 void
@@ -301,22 +304,22 @@
                           const GossipMessage& aMessage)
 {
   const auto target = m_members.Find(aMessage.m_target);
-  if (!target || m_relays.size() >= kMaxRelays) {
+  if (!target || m_indirectProbes.size() >= kMaxIndirectProbes) {
     return;
   }
   const MemberPeer peer = PeerOf(m_members.At(*target).m_record);
-  GossipMessage ping = Make(Kind::Ping, ReachOf(peer));
+  GossipMessage ping = Make(Kind::Ping, ScopeOf(peer));
   ping.m_sequence = ++m_sequence;
-  m_relays.push_back(Relay{ ping.m_sequence,
-                            aMessage.m_sequence,
-                            PeerOf(aMessage.m_sender),
-                            aMessage.m_target,
-                            aNow + 2 * m_settings.m_period });
+  m_indirectProbes.push_back(IndirectProbe{ ping.m_sequence,
+                                            aMessage.m_sequence,
+                                            PeerOf(aMessage.m_sender),
+                                            aMessage.m_target,
+                                            aNow + 2 * m_settings.m_period });
   SendTo(aOut, peer, std::move(ping));
 }
 
 void
-Membership::NoteVersion(std::string_view aSlot, Version aVersion)
+Membership::RecordVersion(std::string_view aSlot, Version aVersion)
 {
   if (const auto index = m_members.Find(aSlot)) {
     MemberRow& row = m_members.At(*index);
--- a/src/membership/membership_time.cpp
+++ b/src/membership/membership_time.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// What a membership does as time passes: probes, suspicions, lost members.
+// Periodic work of Membership: probes, suspicions, lost members.
 
 namespace greengagehub {
 
@@ -10,11 +10,11 @@
 
 using Kind = GossipMessage::Kind;
 
-constexpr std::uint32_t kMaxSlowness = 8;
-/// A tick that comes later than this many periods means that the process was
-/// paused, not that everyone else fell silent.
+constexpr std::uint32_t kMaxLocalHealthScore = 8;
+/// A longer gap between two ticks means that the process was paused.
 constexpr int kPausePeriods = 3;
-constexpr std::uint32_t kFirstPeriods = 5;
+/// Periods after the start in which the rank is computed on every tick.
+constexpr std::uint32_t kWarmUpPeriods = 5;
 
 }
 
@@ -22,7 +22,7 @@
 Membership::Contact(const MemberPeer& aPeer)
 {
   MembershipActions out;
-  GossipMessage ping = Make(Kind::Ping, ReachOf(aPeer));
+  GossipMessage ping = Make(Kind::Ping, ScopeOf(aPeer));
   ping.m_sequence = ++m_sequence;
   SendTo(out, aPeer, std::move(ping));
   return out;
@@ -37,15 +37,16 @@
     OnProcessResumed(aNow);
   }
   m_lastTick = aNow;
-  std::erase_if(
-    m_relays, [aNow](const Relay& aRelay) { return aRelay.m_expires <= aNow; });
+  std::erase_if(m_indirectProbes, [aNow](const IndirectProbe& aProbe) {
+    return aProbe.m_expires <= aNow;
+  });
   ExpireSuspects(aNow, out);
   for (Probe& each : m_probes) {
     ContinueProbe(aNow, out, each);
   }
-  // In its first seconds a member hears of those before it at any moment.
-  if (aNow >= m_nextProbe || m_periods < kFirstPeriods) {
-    m_speaks = RankInDomain() < kSpeakers;
+  // After the start, members ahead in rank may become known at any time.
+  if (aNow >= m_nextProbe || m_periods < kWarmUpPeriods) {
+    m_isDomainRelay = RankInDomain() < kRelaysPerDomain;
   }
   if (aNow >= m_nextProbe) {
     StartProbes(aNow, out);
@@ -56,8 +57,8 @@
 void
 Membership::OnProcessResumed(TimePoint aNow)
 {
-  // This process slept; the silence was its own. Suspicions start again, and
-  // the probes that were under way say nothing about their targets.
+  // Acks may have been missed during the pause: drop the pending probes and
+  // restart the suspicion timeouts.
   for (Probe& each : m_probes) {
     each.m_active = false;
   }
@@ -77,13 +78,13 @@
   if (row.m_record.m_state >= MemberState::Suspect) {
     return;
   }
-  // One that announced that it is leaving and then falls silent is just gone.
+  // A draining member that stops answering has exited: no suspicion timeout.
   const bool leaving = row.m_record.m_state == MemberState::Leaving;
   m_members.SetState(aIndex, MemberState::Suspect);
   row.m_suspectUntil = leaving ? aNow : aNow + SuspicionTime();
   m_suspects.push_back(aIndex);
   MarkPending(aIndex);
-  MarkPending(aIndex, Reach::Far);
+  MarkPending(aIndex, DomainScope::OtherDomain);
   aOut.m_events.push_back({ MemberEvent::Kind::Changed, row.m_record });
 }
 
@@ -103,7 +104,7 @@
     }
     m_members.SetState(aIndex, MemberState::Dead);
     row.m_goneSince = aNow;
-    m_lost.push_back(aIndex);
+    m_lostMembers.push_back(aIndex);
     MarkPending(aIndex);
     aOut.m_events.push_back({ MemberEvent::Kind::Gone, row.m_record });
     return true;
@@ -113,7 +114,7 @@
 void
 Membership::ForgetLost(TimePoint aNow)
 {
-  std::erase_if(m_lost, [&](MemberTable::Index aIndex) {
+  std::erase_if(m_lostMembers, [&](MemberTable::Index aIndex) {
     if (!m_members.Has(aIndex) ||
         IsPresent(m_members.At(aIndex).m_record.m_state)) {
       return true;
@@ -136,20 +137,21 @@
   }
   if (aNow >= aProbe.m_ends) {
     aProbe.m_active = false;
-    m_slowness = std::min(m_slowness + 1, kMaxSlowness);
+    m_localHealthScore = std::min(m_localHealthScore + 1, kMaxLocalHealthScore);
     const auto index = m_members.Find(aProbe.m_slot);
     if (index) {
       Suspect(aNow, aOut, *index);
     }
     return;
   }
-  const Duration patience = m_settings.m_ackTimeout * (1 + m_slowness / 4);
-  if (aProbe.m_indirect || aNow - aProbe.m_sent < patience) {
+  const Duration timeout =
+    m_settings.m_ackTimeout * (1 + m_localHealthScore / 4);
+  if (aProbe.m_indirect || aNow - aProbe.m_sent < timeout) {
     return;
   }
   aProbe.m_indirect = true;
   for (const MemberPeer& each : SampleNearFirst(m_settings.m_indirect)) {
-    GossipMessage request = Make(Kind::PingRequest, ReachOf(each));
+    GossipMessage request = Make(Kind::PingRequest, ScopeOf(each));
     request.m_sequence = aProbe.m_sequence;
     request.m_target = aProbe.m_slot;
     SendTo(aOut, each, std::move(request));
@@ -157,9 +159,9 @@
 }
 
 std::optional<MemberTable::Index>
-Membership::NextTarget(Reach aReach)
+Membership::NextTarget(DomainScope aScope)
 {
-  auto& round = m_rounds[static_cast<std::size_t>(aReach)];
+  auto& round = m_rounds[static_cast<std::size_t>(aScope)];
   while (!round.empty()) {
     const auto index = round.back();
     round.pop_back();
@@ -170,7 +172,7 @@
   }
   m_members.Rows().Each([&](MemberTable::Index aIndex, const MemberRow& aRow) {
     const MemberRecord& record = aRow.m_record;
-    if (IsPresent(record.m_state) && ReachOf(record) == aReach) {
+    if (IsPresent(record.m_state) && ScopeOf(record) == aScope) {
       round.push_back(aIndex);
     }
   });
@@ -192,24 +194,26 @@
     ForgetLost(aNow);
     ProbeLost(aOut);
   }
-  StartProbe(aNow, aOut, Reach::Near);
-  if (m_speaks) {
-    StartProbe(aNow, aOut, Reach::Far);
+  StartProbe(aNow, aOut, DomainScope::OwnDomain);
+  if (m_isDomainRelay) {
+    StartProbe(aNow, aOut, DomainScope::OtherDomain);
   }
 }
 
 void
-Membership::StartProbe(TimePoint aNow, MembershipActions& aOut, Reach aReach)
+Membership::StartProbe(TimePoint aNow,
+                       MembershipActions& aOut,
+                       DomainScope aScope)
 {
-  Probe& probe = m_probes[static_cast<std::size_t>(aReach)];
-  const auto target = probe.m_active ? std::nullopt : NextTarget(aReach);
+  Probe& probe = m_probes[static_cast<std::size_t>(aScope)];
+  const auto target = probe.m_active ? std::nullopt : NextTarget(aScope);
   if (!target) {
     return;
   }
   const MemberRecord& record = m_members.At(*target).m_record;
-  GossipMessage ping = Make(Kind::Ping, aReach);
+  GossipMessage ping = Make(Kind::Ping, aScope);
   ping.m_sequence = ++m_sequence;
-  // A suspect is told, so that it can refute in its answer.
+  // A suspect receives its record, so that its ack refutes the suspicion.
   if (record.m_state == MemberState::Suspect) {
     ping.m_updates.push_back(record);
   }
@@ -217,7 +221,7 @@
                  record.m_slot,
                  ping.m_sequence,
                  aNow,
-                 aNow + m_settings.m_period * (1 + m_slowness / 4),
+                 aNow + m_settings.m_period * (1 + m_localHealthScore / 4),
                  true,
                  false };
   SendTo(aOut, PeerOf(record), std::move(ping));
@@ -226,22 +230,22 @@
 void
 Membership::ProbeLost(MembershipActions& aOut)
 {
-  // Lost members are tried for as long as they are remembered, so that two
-  // sides of a partition, or a rack restarted while the store is away, find
-  // each other again with no help from outside.
-  if (m_lost.empty()) {
+  // Rejoins the sides of a network partition, and members that restart while
+  // the store is unavailable.
+  if (m_lostMembers.empty()) {
     return;
   }
-  const auto index = m_lost[Below(m_random, m_lost.size())];
+  const auto index = m_lostMembers[Below(m_random, m_lostMembers.size())];
   if (!m_members.Has(index)) {
     return;
   }
   const MemberRecord& record = m_members.At(index).m_record;
-  const bool mayProbe = m_speaks || ReachOf(record) == Reach::Near;
+  const bool mayProbe =
+    m_isDomainRelay || ScopeOf(record) == DomainScope::OwnDomain;
   if (IsPresent(record.m_state) || !mayProbe) {
     return;
   }
-  GossipMessage ping = Make(Kind::Ping, ReachOf(record));
+  GossipMessage ping = Make(Kind::Ping, ScopeOf(record));
   ping.m_sequence = ++m_sequence;
   ping.m_updates.push_back(record);
   SendTo(aOut, PeerOf(record), std::move(ping));
@@ -262,15 +266,15 @@
 {
   MembershipActions out;
   m_self.m_state = aState;
-  // Callers beyond the domain hear it on their links, from the daemon's own
-  // refusals, and from the speakers.
+  // Callers in other domains learn of it from rejected calls on their links and
+  // from the relays.
   const std::size_t count = std::max<std::size_t>(8, TransmitLimit());
-  auto many = SampleNear(count);
-  if (many.empty()) {
-    many = Sample(count);
+  auto targets = SampleNear(count);
+  if (targets.empty()) {
+    targets = Sample(count);
   }
-  for (const MemberPeer& each : many) {
-    GossipMessage message = Make(Kind::Push, ReachOf(each));
+  for (const MemberPeer& each : targets) {
+    GossipMessage message = Make(Kind::Push, ScopeOf(each));
     SendTo(out, each, std::move(message));
   }
   return out;
--- a/src/membership/membership_views.cpp
+++ b/src/membership/membership_views.cpp
@@ -3,21 +3,21 @@
 #include <algorithm>
 #include <map>
 
-// What a membership tells of its members: samples, ranks, digests, records.
+// Queries of Membership: samples, ranks, digests, records.
 
 namespace greengagehub {
 
 namespace {
 
-/// Fast links first, as those daemons can tell the others soonest.
+/// Orders by link rate, so that relays have the fastest links, then by hash.
 bool
-GoesBefore(const MemberRow& aRow,
-           const MemberRecord& aSelf,
-           std::uint64_t aOwnKey)
+RanksBefore(const MemberRow& aRow,
+            const MemberRecord& aSelf,
+            std::uint64_t aSelfKey)
 {
   const std::uint32_t theirs = aRow.m_record.m_linkMbps;
   return theirs != aSelf.m_linkMbps ? theirs > aSelf.m_linkMbps
-                                    : aRow.m_rankKey < aOwnKey;
+                                    : aRow.m_rankKey < aSelfKey;
 }
 
 }
@@ -40,12 +40,11 @@
 std::vector<MemberPeer>
 Membership::Sample(std::size_t aCount)
 {
-  std::vector<MemberPeer> chosen;
+  std::vector<MemberPeer> sampled;
   const auto capacity = m_members.Capacity();
   const std::size_t wanted = std::min(aCount, m_members.Present());
   std::vector<MemberTable::Index> taken;
-  // Rows of the gone are few beside the present ones, so that a bounded
-  // number of draws nearly always suffices.
+  // Most rows are present members, so a bounded number of draws suffices.
   std::size_t draws = 16 * (wanted + 1);
   while (taken.size() < wanted && draws-- > 0) {
     const auto index =
@@ -55,22 +54,22 @@
       std::find(taken.begin(), taken.end(), index) == taken.end();
     if (usable) {
       taken.push_back(index);
-      chosen.push_back(PeerOf(m_members.At(index).m_record));
+      sampled.push_back(PeerOf(m_members.At(index).m_record));
     }
   }
-  return chosen;
+  return sampled;
 }
 
 std::vector<MemberPeer>
 Membership::SampleNearFirst(std::size_t aCount)
 {
-  std::vector<MemberPeer> chosen = SampleNear(aCount);
-  if (chosen.size() < aCount) {
-    // Too few nearby to matter whether one of them is drawn twice.
-    const auto more = Sample(aCount - chosen.size());
-    chosen.insert(chosen.end(), more.begin(), more.end());
+  std::vector<MemberPeer> sampled = SampleNear(aCount);
+  if (sampled.size() < aCount) {
+    // May repeat members of the own domain.
+    const auto more = Sample(aCount - sampled.size());
+    sampled.insert(sampled.end(), more.begin(), more.end());
   }
-  return chosen;
+  return sampled;
 }
 
 std::vector<MemberPeer>
@@ -84,7 +83,8 @@
   std::map<std::string_view, Drawn> drawn;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
     const MemberRecord& record = aRow.m_record;
-    if (!IsPresent(record.m_state) || ReachOf(record) == Reach::Near) {
+    if (!IsPresent(record.m_state) ||
+        ScopeOf(record) == DomainScope::OwnDomain) {
       return;
     }
     Drawn& domain = drawn[record.m_domain];
@@ -92,12 +92,12 @@
       domain.m_record = &record;
     }
   });
-  std::vector<MemberPeer> chosen;
-  chosen.reserve(drawn.size());
+  std::vector<MemberPeer> sampled;
+  sampled.reserve(drawn.size());
   for (const auto& [domain, each] : drawn) {
-    chosen.push_back(PeerOf(*each.m_record));
+    sampled.push_back(PeerOf(*each.m_record));
   }
-  return chosen;
+  return sampled;
 }
 
 std::set<std::string, std::less<>>
@@ -121,7 +121,7 @@
     const MemberRecord& record = aRow.m_record;
     const bool counts = record.m_state == MemberState::Alive &&
                         record.m_domain == m_self.m_domain;
-    if (counts && GoesBefore(aRow, m_self, own)) {
+    if (counts && RanksBefore(aRow, m_self, own)) {
       ++rank;
     }
   });
@@ -135,7 +135,7 @@
   bool isFirst = true;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
     const bool counts = aRow.m_record.m_state == MemberState::Alive;
-    isFirst = isFirst && !(counts && GoesBefore(aRow, m_self, own));
+    isFirst = isFirst && !(counts && RanksBefore(aRow, m_self, own));
   });
   return isFirst;
 }
@@ -147,13 +147,13 @@
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
     const bool counts = aRow.m_record.m_state == MemberState::Alive;
     const bool goesBefore =
-      first == nullptr || GoesBefore(aRow, first->m_record, first->m_rankKey);
+      first == nullptr || RanksBefore(aRow, first->m_record, first->m_rankKey);
     if (counts && goesBefore) {
       first = &aRow;
     }
   });
   const bool isSelf =
-    first == nullptr || !GoesBefore(*first, m_self, RankKey(m_self.m_slot));
+    first == nullptr || !RanksBefore(*first, m_self, RankKey(m_self.m_slot));
   return isSelf ? std::nullopt : std::optional{ PeerOf(first->m_record) };
 }
 
@@ -197,12 +197,12 @@
   for (const std::uint64_t each : aTheirs.m_sums) {
     known += each != 0 ? 1 : 0;
   }
-  // A joiner knows itself and at most the few that it has heard.
-  const bool joins = known <= MemberDigests::kBuckets / 8;
+  // A joining daemon knows itself and few others.
+  const bool isJoining = known <= MemberDigests::kBuckets / 8;
   std::vector<MemberRecord> records;
   const std::size_t first = Below(m_random, buckets.size());
   for (std::size_t i = 0; i < buckets.size(); ++i) {
-    if (!joins && records.size() >= kMaxSyncRecords) {
+    if (!isJoining && records.size() >= kMaxSyncRecords) {
       break;
     }
     for (const MemberRecord* each : buckets[(first + i) % buckets.size()]) {
--- a/src/membership/seed_keeper.cpp
+++ b/src/membership/seed_keeper.cpp
@@ -11,24 +11,22 @@
 
 using Status = StoreReply::Status;
 
-/// Between two tries while the store is away.
-constexpr auto kRetry = std::chrono::milliseconds{ 1000 };
-/// Between two looks at whether the own address still stands.
-constexpr auto kVerify = std::chrono::milliseconds{ 60'000 };
-/// A daemon that finds no address waits up to this long before it writes its
-/// own: where all start for the first time, one of them is enough.
-constexpr auto kFirstAfter = std::chrono::milliseconds{ 800 };
+/// Interval between attempts while the store is unavailable.
+constexpr auto kRetryInterval = std::chrono::milliseconds{ 1000 };
+/// Interval between checks that the published address is unchanged.
+constexpr auto kVerifyInterval = std::chrono::milliseconds{ 60'000 };
+/// Upper bound of the random delay before a daemon that finds no seed publishes
+/// its own address.
+constexpr auto kMaxFirstWriteDelay = std::chrono::milliseconds{ 800 };
 
-/// \returns How long this daemon waits. By the cube root of an even draw few of
-/// many are early, and the others see their address before their own time
-/// comes: of 60 the first writes after some 0.2 s, and three more within the
-/// next 0.1 s; of three the first after half a second.
+/// The cube root of a uniform value favours long delays: few of many daemons
+/// write early, and the rest read their seeds before their own delay ends.
 std::chrono::milliseconds
-WaitBeforeFirst(Random& aRandom)
+FirstWriteDelay(Random& aRandom)
 {
-  std::uniform_real_distribution<double> even{ 0.0, 1.0 };
+  std::uniform_real_distribution<double> uniform{ 0.0, 1.0 };
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-    kFirstAfter * std::cbrt(even(aRandom)));
+    kMaxFirstWriteDelay * std::cbrt(uniform(aRandom)));
 }
 
 }
@@ -42,7 +40,7 @@
 StoreRequest
 SeedKeeper::Write()
 {
-  m_busy = true;
+  m_requestPending = true;
   return MakePut(SeedKey(m_self.m_domain, static_cast<std::uint32_t>(m_place)),
                  SeedToJson(m_self.m_address),
                  m_revision);
@@ -51,18 +49,18 @@
 std::optional<StoreRequest>
 SeedKeeper::OnTick(TimePoint aNow, std::optional<std::size_t> aRank)
 {
-  if (m_busy || aNow < m_next) {
+  if (m_requestPending || aNow < m_next) {
     return std::nullopt;
   }
   if (!aRank) {
-    const bool first = m_noneSince && aNow >= *m_noneSince && !m_written;
-    if (!first) {
+    const bool isDue = m_firstWriteAt && aNow >= *m_firstWriteAt && !m_written;
+    if (!isDue) {
       return std::nullopt;
     }
     m_place = 0;
     return Write();
   }
-  if (*aRank >= kPlaces) {
+  if (*aRank >= kPlacesPerDomain) {
     m_written = false;
     return std::nullopt;
   }
@@ -74,18 +72,18 @@
   if (!m_written) {
     return Write();
   }
-  m_busy = true;
+  m_requestPending = true;
   return MakeCheck(
     SeedKey(m_self.m_domain, static_cast<std::uint32_t>(m_place)), m_revision);
 }
 
 void
-SeedKeeper::OnSeeds(TimePoint aNow, bool aOthers)
+SeedKeeper::OnSeeds(TimePoint aNow, bool aHasOthers)
 {
-  if (aOthers) {
-    m_noneSince.reset();
-  } else if (!m_noneSince) {
-    m_noneSince = aNow + WaitBeforeFirst(m_random);
+  if (aHasOthers) {
+    m_firstWriteAt.reset();
+  } else if (!m_firstWriteAt) {
+    m_firstWriteAt = aNow + FirstWriteDelay(m_random);
   }
 }
 
@@ -100,24 +98,25 @@
 void
 SeedKeeper::OnReply(TimePoint aNow, const StoreReply& aReply)
 {
-  m_busy = false;
+  m_requestPending = false;
   if (aReply.m_status == Status::Conflict) {
     m_revision = aReply.m_revision;
     m_written = aReply.m_value == SeedToJson(m_self.m_address);
-    // Another's address is written over by the next try, if the place is still
-    // this daemon's then.
-    m_next = aNow + Jittered(m_random, m_written ? kVerify : kRetry);
+    // The next attempt overwrites the address of another daemon if this one
+    // still has the rank.
+    m_next =
+      aNow + Jittered(m_random, m_written ? kVerifyInterval : kRetryInterval);
     return;
   }
   if (aReply.m_status != Status::Ok) {
-    m_next = aNow + Jittered(m_random, kRetry);
+    m_next = aNow + Jittered(m_random, kRetryInterval);
     return;
   }
   if (!m_written) {
     m_revision = aReply.m_revision;
     m_written = true;
   }
-  m_next = aNow + Jittered(m_random, kVerify);
+  m_next = aNow + Jittered(m_random, kVerifyInterval);
 }
 
 }
--- a/src/membership/watch_role.cpp
+++ b/src/membership/watch_role.cpp
@@ -14,11 +14,11 @@
 using Status = StoreReply::Status;
 
 constexpr int kRenewalsPerLease = 3;
-/// Daemons that look for a free place, for each place: when a holder of a low
-/// rank dies, the next one is looking already, long before the death is told.
-constexpr std::size_t kCandidates = 2;
+/// Daemons that compete for each place. More than one, so that a lost watcher
+/// is replaced before its death is detected.
+constexpr std::size_t kCandidatesPerPlace = 2;
 
-/// \returns Whether it is an IP number; names are never looked up.
+/// \returns Whether it is an IP address; host names are not resolved.
 bool
 IsNumeric(const std::string& aHost)
 {
@@ -43,7 +43,7 @@
 WatchRole::BackOff(TimePoint aNow)
 {
   m_state = State::Idle;
-  m_held = false;
+  m_isHeld = false;
   m_nextTry = aNow + Jittered(m_random, m_backoff);
   m_backoff = std::min(2 * m_backoff, m_settings.m_maxRetry);
 }
@@ -54,14 +54,14 @@
   StoreRequest request =
     MakePut(SeedKey(m_self.m_domain, m_place), SeedToJson(m_self.m_address), 0);
   request.m_lease = m_lease;
-  m_state = State::Writing;
+  m_state = State::WritingSeed;
   return request;
 }
 
 void
 WatchRole::NoteAllTaken(TimePoint aNow)
 {
-  if (m_state == State::Idle && !m_held) {
+  if (m_state == State::Idle && !m_isHeld) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_maxRetry);
   }
 }
@@ -79,29 +79,29 @@
   if (m_nextTry == TimePoint{}) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_retry);
   }
-  if (m_held && aNow >= m_expires) {
-    // Paused or cut off for longer than the lease: presume that it lapsed.
-    m_held = false;
+  if (m_isHeld && aNow >= m_expires) {
+    // The process was paused or disconnected for longer than the lease.
+    m_isHeld = false;
   }
   if (m_state != State::Idle || aNow < m_nextTry) {
     return std::nullopt;
   }
-  if (m_held) {
-    m_state = State::Keeping;
-    m_asked = aNow;
+  if (m_isHeld) {
+    m_state = State::RenewingLease;
+    m_requestedAt = aNow;
     return StoreRequest{ .m_kind = StoreRequest::Kind::LeaseKeep,
                          .m_lease = m_lease };
   }
-  if (aRank >= kCandidates * m_settings.m_watchers) {
+  if (aRank >= kCandidatesPerPlace * m_settings.m_watchers) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_retry);
     return std::nullopt;
   }
-  m_state = State::Looking;
+  m_state = State::ListingPlaces;
   return MakeList(SeedPrefix(m_self.m_domain));
 }
 
 std::optional<StoreRequest>
-WatchRole::OnPlaces(TimePoint aNow, const StoreReply& aReply)
+WatchRole::OnPlacesListed(TimePoint aNow, const StoreReply& aReply)
 {
   std::vector<std::uint32_t> free;
   for (std::uint32_t place = 0; place < m_settings.m_watchers; ++place) {
@@ -119,8 +119,8 @@
     NoteAllTaken(aNow);
     return std::nullopt;
   }
-  m_state = State::Granting;
-  m_asked = aNow;
+  m_state = State::RequestingLease;
+  m_requestedAt = aNow;
   m_placesTried = 0;
   m_place = free[Below(m_random, free.size())];
   return StoreRequest{ .m_kind = StoreRequest::Kind::LeaseGrant,
@@ -131,14 +131,14 @@
 WatchRole::OnReply(TimePoint aNow, const StoreReply& aReply)
 {
   const bool ok = aReply.m_status == Status::Ok;
-  if (m_state == State::Looking && ok) {
-    return OnPlaces(aNow, aReply);
+  if (m_state == State::ListingPlaces && ok) {
+    return OnPlacesListed(aNow, aReply);
   }
-  if (m_state == State::Granting && ok) {
+  if (m_state == State::RequestingLease && ok) {
     m_lease = aReply.m_lease;
     return WriteSeed();
   }
-  if (m_state == State::Writing && aReply.m_status == Status::Conflict &&
+  if (m_state == State::WritingSeed && aReply.m_status == Status::Conflict &&
       ++m_placesTried < m_settings.m_watchers) {
     m_place = (m_place + 1) % m_settings.m_watchers;
     return WriteSeed();
@@ -148,10 +148,10 @@
     return std::nullopt;
   }
   m_state = State::Idle;
-  m_held = true;
+  m_isHeld = true;
   m_backoff = m_settings.m_retry;
-  // Counted from when it was asked for: the store cannot have started later.
-  m_expires = m_asked + m_settings.m_leaseTime;
+  // Counted from the request, since the store grants the lease after it.
+  m_expires = m_requestedAt + m_settings.m_leaseTime;
   m_nextTry = aNow + m_settings.m_leaseTime / kRenewalsPerLease;
   return std::nullopt;
 }
@@ -179,9 +179,9 @@
                                port("gossip_port"),
                                port("bulk_port"),
                                port("link_port") };
-  const bool named = fields.Fault().empty() && address.m_gossipPort > 0 &&
-                     IsNumeric(address.m_host);
-  return named ? std::optional{ address } : std::nullopt;
+  const bool isValid = fields.Fault().empty() && address.m_gossipPort > 0 &&
+                       IsNumeric(address.m_host);
+  return isValid ? std::optional{ address } : std::nullopt;
 }
 
 std::string
--- a/tests/membership/domains.cpp
+++ b/tests/membership/domains.cpp
@@ -2,9 +2,8 @@
 
 #include <doctest/doctest.h>
 
-// Members of several failure domains, between which bytes are dear. What
-// crosses must not grow with the members, and news must cross all the same,
-// whoever of those that carry it is lost.
+// Traffic between failure domains must not grow with the number of members, and
+// updates must reach all domains although relays are lost.
 
 using namespace greengagehub;
 using namespace std::chrono_literals;
@@ -13,75 +12,74 @@
 namespace {
 
 constexpr int kDomains = 5;
-/// Each speaker probes once a period, and is answered.
-constexpr std::uint64_t kCrossings = 2ULL * kDomains * Membership::kSpeakers;
+/// Each relay sends one probe per period, which is answered by an ack.
+constexpr std::uint64_t kCrossingsPerSecond =
+  2ULL * kDomains * Membership::kRelaysPerDomain;
 
 }
 
-TEST_CASE("messages between domains do not grow with the members")
+TEST_CASE("traffic between domains does not grow with the number of members")
 {
-  // Each of 295 daemons probed any member each second: 240 probes a second
-  // crossed on a day on which no call needed to, 32 MB in 50 s.
   for (const std::uint16_t count : { 20, 60, 120 }) {
     CAPTURE(count);
     Group group{ count, kDomains };
     group.Run(10s);
-    const std::uint64_t before = group.FarSends();
+    const std::uint64_t before = group.CrossDomainSends();
     group.Run(20s);
-    CHECK(group.FarSends() - before <= 20 * kCrossings);
-    CHECK(group.FarSends() - before >= 10 * kCrossings);
+    CHECK(group.CrossDomainSends() - before <= 20 * kCrossingsPerSecond);
+    CHECK(group.CrossDomainSends() - before >= 10 * kCrossingsPerSecond);
     CHECK(group.At(1).Members().Present() + 1 == count);
   }
 }
 
-TEST_CASE("a leave and a death are known in all domains within seconds")
+TEST_CASE("draining and dead members are known in all domains within seconds")
 {
-  // Each domain's news crosses by its two speakers and by those that probe it.
   constexpr std::uint16_t kCount = 60;
   Group group{ kCount, kDomains };
-  group.Carry(7, group.At(7).Announce(MemberState::Leaving));
+  group.Send(7, group.At(7).Announce(MemberState::Leaving));
   group.Run(8s);
   CHECK(group.CountSeeing(7, MemberState::Leaving) == kCount - 1);
   group.Kill(13);
-  // Suspected within a period or two, and then given the time to refute.
+  // Covers the probe periods and the suspicion timeout.
   group.Run(20s);
   CHECK(group.CountSeeing(13, MemberState::Dead) == kCount - 1);
 }
 
-TEST_CASE("news crosses although both speakers of its domain have been killed")
+TEST_CASE(
+  "updates reach other domains after both relays of a domain are killed")
 {
   constexpr std::uint16_t kCount = 60;
   Group group{ kCount, kDomains };
-  std::vector<std::uint16_t> speakers;
+  std::vector<std::uint16_t> relays;
   std::uint16_t other = 0;
   for (std::uint16_t i = kDomains; i <= kCount; i += kDomains) {
     if (group.At(i).SpeaksForDomain()) {
-      speakers.push_back(i);
+      relays.push_back(i);
     } else {
       other = i;
     }
   }
-  REQUIRE(speakers.size() == Membership::kSpeakers);
-  group.Carry(other, group.At(other).Announce(MemberState::Leaving));
-  for (const std::uint16_t each : speakers) {
+  REQUIRE(relays.size() == Membership::kRelaysPerDomain);
+  group.Send(other, group.At(other).Announce(MemberState::Leaving));
+  for (const std::uint16_t each : relays) {
     group.Kill(each);
   }
   group.Run(15s);
   CHECK(group.CountSeeing(other, MemberState::Leaving) ==
-        kCount - 1 - speakers.size());
+        kCount - 1 - relays.size());
   std::size_t successors = 0;
   for (std::uint16_t i = kDomains; i <= kCount; i += kDomains) {
     const bool killed =
-      std::find(speakers.begin(), speakers.end(), i) != speakers.end();
+      std::find(relays.begin(), relays.end(), i) != relays.end();
     successors += !killed && group.At(i).SpeaksForDomain() ? 1 : 0;
   }
-  CHECK(successors == Membership::kSpeakers);
+  CHECK(successors == Membership::kRelaysPerDomain);
 }
 
-TEST_CASE("domains that were cut off from each other find each other again")
+TEST_CASE("domains rejoin after a network partition")
 {
-  // For a minute nothing crosses. Each side takes the other for dead; within a
-  // minute after the cut all see all, with nobody's help from outside.
+  // Members that are treated as dead must be found again through the addresses
+  // that their peers keep.
   constexpr std::uint16_t kCount = 30;
   Group group{ kCount, kDomains };
   group.SetCut([](std::uint16_t aFrom, std::uint16_t aTo) {
@@ -96,11 +94,10 @@
   }
 }
 
-TEST_CASE("after all lost power the domains find each other again")
+TEST_CASE("domains rejoin after all daemons restart at once")
 {
-  // Each joins those of its own domain and remembers nobody else. The domains
-  // stayed apart for good: one that had no worker of a service refused all
-  // calls for it from then on (a small deployment lost a third of its worth).
+  // Each daemon joins through its own domain. Without DomainFinder the domains
+  // stay separate, and one without a worker of a service rejects its calls.
   constexpr std::uint16_t kCount = 30;
   Group group{ kCount, kDomains };
   group.RestartAll(2);
--- a/tests/membership/group.hpp
+++ b/tests/membership/group.hpp
@@ -13,6 +13,8 @@
 
 using namespace std::chrono_literals;
 
+/// \returns The record of a member.
+/// \param aStart incarnation of its process, without refutations.
 /// \param aDomain number of its failure domain.
 inline MemberRecord
 Record(std::uint16_t aNumber, std::uint64_t aStart = 1, int aDomain = 0)
@@ -25,12 +27,12 @@
   return record;
 }
 
-/// \brief Members that exchange messages in memory, in virtual time; a filter
-/// drops what a cut would drop.
+/// \brief Members that exchange messages in memory, in virtual time. A filter
+/// simulates network partitions.
 class Group
 {
 public:
-  /// \param aDomains member n is in domain n modulo this.
+  /// \param aDomains number of domains; member n is in domain n % aDomains.
   explicit Group(std::uint16_t aCount, int aDomains = 1)
     : m_domains(aDomains)
   {
@@ -38,13 +40,13 @@
       Start(i, 1);
     }
     for (std::uint16_t i = 2; i <= aCount; ++i) {
-      Carry(i, At(i).Contact({ At(1).Self().m_address }));
+      Send(i, At(i).Contact({ At(1).Self().m_address }));
     }
     Run(20s);
   }
 
-  /// \brief All lose power and start again, and know only the first member of
-  /// their own domain; the first of each domain stands in the store for others.
+  /// \brief Restarts all members. Each knows the first member of its own domain
+  /// and, as seeds, the first members of the other domains.
   void RestartAll(std::uint64_t aStart)
   {
     const auto count = static_cast<std::uint16_t>(m_members.size());
@@ -64,7 +66,7 @@
       m_finders[i].OnSeeds(std::move(others));
       if (i > m_domains) {
         const auto first = static_cast<std::uint16_t>((i - 1) % m_domains + 1);
-        Carry(i, At(i).Contact({ At(first).Self().m_address }));
+        Send(i, At(i).Contact({ At(first).Self().m_address }));
       }
     }
   }
@@ -90,10 +92,10 @@
     m_cut = std::move(aCut);
   }
 
-  void Carry(std::uint16_t aFrom, const MembershipActions& aActions)
+  void Send(std::uint16_t aFrom, const MembershipActions& aActions)
   {
     for (const GossipSend& each : aActions.m_sends) {
-      m_farSends += each.m_to.m_isFar ? 1 : 0;
+      m_crossDomainSends += each.m_to.m_isFar ? 1 : 0;
       m_messages.push_back(
         { aFrom, each.m_to.m_address.m_gossipPort, each.m_message });
     }
@@ -106,8 +108,8 @@
       m_now += 100ms;
       for (auto& [number, member] : m_members) {
         if (!m_paused.contains(number)) {
-          Carry(number, member.OnTick(m_now));
-          Find(number, member);
+          Send(number, member.OnTick(m_now));
+          DiscoverDomains(number, member);
         }
       }
       Deliver();
@@ -123,15 +125,18 @@
                  : MemberState::Left;
   }
 
-  /// \brief A member is gone without a word.
+  /// \brief Removes a member without an announcement.
   void Kill(std::uint16_t aNumber) { m_members.erase(aNumber); }
   /// \returns Messages sent to another domain so far.
-  [[nodiscard]] std::uint64_t FarSends() const noexcept { return m_farSends; }
-  [[nodiscard]] std::uint64_t FarComparisons() const noexcept
+  [[nodiscard]] std::uint64_t CrossDomainSends() const noexcept
   {
-    return m_farComparisons;
+    return m_crossDomainSends;
   }
-  /// \returns How many members believe that `aNumber` is in this state.
+  [[nodiscard]] std::uint64_t CrossDomainComparisons() const noexcept
+  {
+    return m_crossDomainComparisons;
+  }
+  /// \returns The number of members that see `aNumber` in this state.
   [[nodiscard]] std::size_t CountSeeing(std::uint16_t aNumber,
                                         MemberState aState)
   {
@@ -150,14 +155,14 @@
     GossipMessage m_message;
   };
 
-  void Find(std::uint16_t aNumber, Membership& aMember)
+  void DiscoverDomains(std::uint16_t aNumber, Membership& aMember)
   {
     const auto finder = m_finders.find(aNumber);
     if (finder == m_finders.end() || !aMember.SpeaksForDomain()) {
       return;
     }
     for (const MemberPeer& each : finder->second.ToAsk(m_now, aMember)) {
-      Carry(aNumber, aMember.Contact(each));
+      Send(aNumber, aMember.Contact(each));
     }
   }
 
@@ -170,45 +175,47 @@
                         !m_members.contains(message.m_to) ||
                         m_paused.contains(message.m_to);
       if (!lost) {
-        Carry(message.m_to,
-              At(message.m_to)
-                .OnMessage(m_now,
-                           { "127.0.0.1", message.m_from, 0, 0 },
-                           message.m_message));
-        Compare(message);
+        Send(message.m_to,
+             At(message.m_to)
+               .OnMessage(m_now,
+                          { "127.0.0.1", message.m_from, 0, 0 },
+                          message.m_message));
+        Synchronise(message);
       }
     }
   }
 
-  /// What the receiver does where its view differs from the sender's.
-  void Compare(const Message& aMessage)
+  /// Fetches records from the sender if the receiver's view differs from it.
+  void Synchronise(const Message& aMessage)
   {
     Membership& here = At(aMessage.m_to);
     MemberSync& sync = m_syncs.at(aMessage.m_to);
-    const bool far = here.PeerOf(aMessage.m_message.m_sender).m_isFar;
+    const bool crossesDomains =
+      here.PeerOf(aMessage.m_message.m_sender).m_isFar;
     const bool differs =
       aMessage.m_message.m_members != here.Digests().Summary();
-    const bool there = m_members.contains(aMessage.m_from);
+    const bool isRunning = m_members.contains(aMessage.m_from);
     if (!differs) {
       sync.Joined();
     }
-    if (!there ||
-        !sync.Begins(m_now, { differs, far }, here.SpeaksForDomain())) {
+    if (!isRunning || !sync.Begins(m_now,
+                                   { differs, crossesDomains },
+                                   here.SpeaksForDomain())) {
       return;
     }
-    m_farComparisons += far ? 1 : 0;
+    m_crossDomainComparisons += crossesDomains ? 1 : 0;
     const auto records = At(aMessage.m_from).RecordsFor(here.Digests());
-    const MembershipActions news = here.OnRecords(m_now, records);
-    sync.Ended(news.m_events.size());
+    const MembershipActions actions = here.OnRecords(m_now, records);
+    sync.Ended(actions.m_events.size());
     if (!records.empty()) {
       sync.Joined();
     }
-    Carry(aMessage.m_to, news);
+    Send(aMessage.m_to, actions);
   }
 
   int m_domains;
-  std::uint64_t m_farSends{ 0 };
-  std::uint64_t m_farComparisons{ 0 };
+  std::uint64_t m_crossDomainSends{ 0 };
+  std::uint64_t m_crossDomainComparisons{ 0 };
   TimePoint m_now{ 1h };
   std::map<std::uint16_t, Membership> m_members;
   std::map<std::uint16_t, MemberSync> m_syncs;
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -7,7 +7,7 @@
 using test::Group;
 using test::Record;
 
-TEST_CASE("members find each other through one address")
+TEST_CASE("members discover each other through one address")
 {
   Group group{ 8 };
   for (std::uint16_t i = 1; i <= 8; ++i) {
@@ -15,7 +15,7 @@
   }
 }
 
-TEST_CASE("a member that died is found out by all")
+TEST_CASE("all members detect a dead member")
 {
   Group group{ 6 };
   group.Pause(6);
@@ -25,10 +25,9 @@
   }
 }
 
-TEST_CASE("a member that only one other cannot reach stays")
+TEST_CASE("a member that a single peer cannot reach is not declared dead")
 {
-  // The way between two members is cut, all others reach both: probes through
-  // others keep either from taking the other for dead.
+  // Indirect probes must succeed where the direct connection is cut.
   Group group{ 6 };
   group.SetCut([](std::uint16_t aFrom, std::uint16_t aTo) {
     return (aFrom == 1 && aTo == 2) || (aFrom == 2 && aTo == 1);
@@ -38,10 +37,9 @@
   CHECK(IsPresent(group.StateOf(3, 2)));
 }
 
-TEST_CASE("a paused member does not take the others for dead when it wakes")
+TEST_CASE("a resumed process does not treat its peers as dead")
 {
-  // A process stands still for half a minute. What it sees on waking is its
-  // own silence; it must not spread suspicions of everyone else.
+  // The acks it missed during the pause must not lead to suspicions.
   Group group{ 6 };
   group.Pause(1);
   group.Run(30s);
@@ -56,10 +54,9 @@
   }
 }
 
-TEST_CASE("two sides that lost each other find each other again")
+TEST_CASE("the sides of a long network partition rejoin")
 {
-  // Regions are cut off for ten minutes. Each side takes the other for dead;
-  // nothing outside helps when the way is open again.
+  // Both sides have declared each other dead and must rejoin without a seed.
   Group group{ 8 };
   group.SetCut([](std::uint16_t aFrom, std::uint16_t aTo) {
     return (aFrom <= 4) != (aTo <= 4);
@@ -74,10 +71,9 @@
   }
 }
 
-TEST_CASE("a rack restarted while nothing else helps is found by its peers")
+TEST_CASE("members that restart without seeds are found by their peers")
 {
-  // Members come back at their addresses with no memory and no store to ask.
-  // Peers still probe the addresses that they lost.
+  // The restarted members know no address; their peers must probe lost members.
   Group group{ 8 };
   for (std::uint16_t i = 5; i <= 8; ++i) {
     group.Pause(i);
@@ -92,42 +88,42 @@
   }
 }
 
-TEST_CASE("a restart with the clock set back is still believed")
+TEST_CASE("a restart with the clock set back overrides older records")
 {
   Group group{ 4 };
   group.Start(4, 0);
-  group.Carry(4, group.At(4).Contact({ group.At(1).Self().m_address }));
+  group.Send(4, group.At(4).Contact({ group.At(1).Self().m_address }));
   group.Run(60s);
   CHECK(group.StateOf(1, 4) == MemberState::Alive);
   CHECK(group.StateOf(2, 4) == MemberState::Alive);
 }
 
-TEST_CASE("a member that leaves takes no calls from its announcement on")
+TEST_CASE("a draining member takes no calls after its announcement")
 {
   Group group{ 6 };
-  group.Carry(1, group.At(1).Announce(MemberState::Leaving));
+  group.Send(1, group.At(1).Announce(MemberState::Leaving));
   group.Run(2s);
   for (std::uint16_t i = 2; i <= 6; ++i) {
     CHECK(group.StateOf(i, 1) == MemberState::Leaving);
     CHECK_FALSE(TakesCalls(group.StateOf(i, 1)));
   }
-  group.Carry(1, group.At(1).Announce(MemberState::Left));
+  group.Send(1, group.At(1).Announce(MemberState::Left));
   group.Pause(1);
   group.Run(5s);
   CHECK(group.StateOf(2, 1) == MemberState::Left);
 }
 
-TEST_CASE("what a slot ran is remembered over its restarts")
+TEST_CASE("the minimum version of a slot survives its restarts")
 {
   Group group{ 3 };
-  group.At(1).NoteVersion("m3", Version{ 7 });
+  group.At(1).RecordVersion("m3", Version{ 7 });
   group.Start(3, 2);
-  group.Carry(3, group.At(3).Contact({ group.At(1).Self().m_address }));
+  group.Send(3, group.At(3).Contact({ group.At(1).Self().m_address }));
   group.Run(5s);
   CHECK(group.At(1).FloorOf("m3") == Version{ 7 });
 }
 
-TEST_CASE("digests tell which members two views do not share")
+TEST_CASE("digests select the records that two views do not share")
 {
   Group group{ 5 };
   CHECK(group.At(1).Digests() == group.At(2).Digests());
@@ -136,11 +132,10 @@
   CHECK(group.At(1).RecordsFor(stranger.Digests()).size() >= 5);
 }
 
-TEST_CASE("two views that differ everywhere exchange a bounded part")
+TEST_CASE("an exchange between entirely different views is bounded")
 {
-  // A failure domain is lost: every bucket differs between those who know and
-  // those who do not. Whole tables from everyone to everyone would take
-  // megabytes each second; a joiner still gets all in one go.
+  // Without the bound, all daemons exchange whole tables after the loss of a
+  // failure domain. A joining daemon still gets the whole table.
   Membership one{ Record(1), {}, 1 };
   Membership other{ Record(2), {}, 2 };
   std::vector<MemberRecord> records;
--- a/tests/membership/news_spread.cpp
+++ b/tests/membership/news_spread.cpp
@@ -4,8 +4,8 @@
 
 #include <doctest/doctest.h>
 
-// How long news of a held request takes from one daemon to all others. Callers
-// send such a request again after some hundred milliseconds.
+// Quarantine updates must reach all daemons before callers retry a quarantined
+// request.
 
 using namespace greengagehub;
 using namespace std::chrono_literals;
@@ -13,27 +13,27 @@
 
 namespace {
 
-/// The way of a datagram, and how long its receiver is busy with others.
-constexpr Duration kLeastWay = 500us;
-constexpr Duration kMostWay = 5ms;
-/// One receiver in ten is out of its share of processor time, until a tenth of
-/// a second is over.
-constexpr std::uint64_t kStalledOf = 10;
-constexpr Duration kStall = 100ms;
-constexpr std::uint64_t kLostOf100 = 3;
-/// As ControlPlane::Spread has it.
+/// Bounds of the network and processing delay of a datagram.
+constexpr Duration kMinLatency = 500us;
+constexpr Duration kMaxLatency = 5ms;
+/// One receiver in ten is not scheduled for up to kMaxStall.
+constexpr std::uint64_t kStalledOneIn = 10;
+constexpr Duration kMaxStall = 100ms;
+constexpr std::uint64_t kLossPercent = 3;
+/// Fanout of ControlPlane::Spread.
 constexpr std::size_t kFanout = 4;
 
-struct Spread
+struct SpreadResult
 {
   std::size_t m_missed{ 0 };
-  Duration m_last{};
+  Duration m_lastDelivery{};
 };
 
-/// A verdict of one member of a fleet: it tells some nearby and two of each
-/// domain, and each that hears it for the first time some nearby.
-Spread
-SpreadOnce(std::uint16_t aCount, int aDomains, std::uint64_t aSeed)
+/// Simulates the gossip of one update: its origin sends it to kFanout members
+/// of its domain and two of each other domain, and each member that receives it
+/// first to kFanout members of its own domain.
+SpreadResult
+SimulateSpread(std::uint16_t aCount, int aDomains, std::uint64_t aSeed)
 {
   std::vector<MemberRecord> records;
   for (std::uint16_t i = 1; i <= aCount; ++i) {
@@ -51,16 +51,16 @@
     return aLow + Duration{ static_cast<Duration::rep>(Below(random, span)) };
   };
   std::multimap<Duration, std::uint16_t> arriving{ { 0ms, 1 } };
-  std::set<std::uint16_t> heard;
-  Spread result;
+  std::set<std::uint16_t> received;
+  SpreadResult result;
   while (!arriving.empty()) {
     const auto [now, member] = *arriving.begin();
     arriving.erase(arriving.begin());
-    const bool isOrigin = heard.empty();
-    if (!heard.insert(member).second) {
+    const bool isOrigin = received.empty();
+    if (!received.insert(member).second) {
       continue;
     }
-    result.m_last = now;
+    result.m_lastDelivery = now;
     Membership& here = members[member - 1U];
     auto targets = here.SampleNear(kFanout);
     if (isOrigin) {
@@ -70,25 +70,24 @@
       }
     }
     for (const MemberPeer& each : targets) {
-      if (Below(random, 100) < kLostOf100) {
+      if (Below(random, 100) < kLossPercent) {
         continue;
       }
-      const bool stalled = Below(random, kStalledOf) == 0;
-      arriving.emplace(now + between(kLeastWay, kMostWay) +
-                         (stalled ? between(0ms, kStall) : 0ms),
+      const bool stalled = Below(random, kStalledOneIn) == 0;
+      arriving.emplace(now + between(kMinLatency, kMaxLatency) +
+                         (stalled ? between(0ms, kMaxStall) : 0ms),
                        each.m_address.m_gossipPort);
     }
   }
-  result.m_missed = aCount - heard.size();
+  result.m_missed = aCount - received.size();
   return result;
 }
 
 }
 
-TEST_CASE("news of a held request is everywhere within half a second")
+TEST_CASE("a quarantine update reaches nearly all daemons within half a second")
 {
-  // The bound is a stability window of three seconds; what datagrams miss is
-  // told on a probe, within a second or two.
+  // Daemons that the datagrams miss receive the update with a probe.
   std::uint16_t count = 9;
   int domains = 3;
   SUBCASE("9 daemons") {}
@@ -102,23 +101,23 @@
     count = 295;
     domains = 5;
   }
-  constexpr std::uint64_t kTimes = 20;
+  constexpr std::uint64_t kRuns = 20;
   Duration longest{};
   std::size_t missed = 0;
-  std::size_t most = 0;
-  for (std::uint64_t seed = 1; seed <= kTimes; ++seed) {
-    const Spread spread = SpreadOnce(count, domains, seed);
-    longest = std::max(longest, spread.m_last);
+  std::size_t maxMissed = 0;
+  for (std::uint64_t seed = 1; seed <= kRuns; ++seed) {
+    const SpreadResult spread = SimulateSpread(count, domains, seed);
+    longest = std::max(longest, spread.m_lastDelivery);
     missed += spread.m_missed;
-    most = std::max(most, spread.m_missed);
+    maxMissed = std::max(maxMissed, spread.m_missed);
   }
   MESSAGE(
     count
-    << " daemons: the last within "
+    << " daemons: last delivery within "
     << std::chrono::duration_cast<std::chrono::milliseconds>(longest).count()
-    << " ms; missed " << missed << " of " << count * kTimes << ", most at once "
-    << most);
+    << " ms; missed " << missed << " of " << count * kRuns
+    << ", at most in one run " << maxMissed);
   CHECK(longest < 500ms);
-  // One in e^4 and those that lost datagrams would have told.
-  CHECK(missed * 20 <= count * kTimes);
+  // A fanout of 4 misses about one in e^4, and lost datagrams some more.
+  CHECK(missed * 20 <= count * kRuns);
 }
--- a/tests/membership/seed_keeper.cpp
+++ b/tests/membership/seed_keeper.cpp
@@ -14,8 +14,8 @@
 
 const TimePoint kStart{ 1h };
 
-/// One key-value store, and keepers that are asked every half second.
-struct World
+/// \brief In-memory key-value store that executes the requests under test.
+struct FakeStore
 {
   struct Key
   {
@@ -26,7 +26,7 @@
   Revision m_last{ 0 };
   int m_writes{ 0 };
 
-  StoreReply Carry(const StoreRequest& aRequest)
+  StoreReply Execute(const StoreRequest& aRequest)
   {
     const Key now = m_keys[aRequest.m_key];
     if (aRequest.m_expected != now.m_revision) {
@@ -49,7 +49,7 @@
   {
     for (TimePoint now = aFrom; now < aFrom + aFor; now += 500ms) {
       if (const auto request = aKeeper.OnTick(now, aRank)) {
-        aKeeper.OnReply(now, Carry(*request));
+        aKeeper.OnReply(now, Execute(*request));
       }
     }
   }
@@ -73,76 +73,74 @@
 
 }
 
-TEST_CASE("seeds outlive an outage of all daemons")
+TEST_CASE("seeds survive an outage of all daemons")
 {
-  // All daemons are killed at once while the store has just come back from an
-  // outage in which leases ran out. With seeds under leases nobody finds
-  // anybody for three seconds, and every call is refused for lack of a worker.
-  World world;
+  // Seeds under leases would have expired, and restarted daemons could not
+  // join.
+  FakeStore store;
   SeedKeeper first{ Self("10.0.0.1"), 1 };
-  world.Run(first, kStart, 2s, 0);
-  CHECK(world.HostAt(0) == "10.0.0.1");
-  for (const auto& [key, value] : world.m_keys) {
+  store.Run(first, kStart, 2s, 0);
+  CHECK(store.HostAt(0) == "10.0.0.1");
+  for (const auto& [key, value] : store.m_keys) {
     CHECK(value.m_revision > 0);
   }
-  // Restarted, it finds its own address and writes nothing.
+  // After a restart its own address is still there and is not written again.
   SeedKeeper again{ Self("10.0.0.1"), 2 };
-  world.Run(again, kStart + 10s, 5s, 0);
-  CHECK(world.m_writes == 1);
+  store.Run(again, kStart + 10s, 5s, 0);
+  CHECK(store.m_writes == 1);
 }
 
-TEST_CASE("the first two of a domain write, and those that follow them later")
+TEST_CASE("the first two daemons of a domain and their successors write seeds")
 {
-  World world;
+  FakeStore store;
   SeedKeeper first{ Self("10.0.0.1"), 1 };
   SeedKeeper second{ Self("10.0.0.2"), 2 };
   SeedKeeper third{ Self("10.0.0.3"), 3 };
-  world.Run(first, kStart, 3s, 0);
-  world.Run(second, kStart, 3s, 1);
-  world.Run(third, kStart, 3s, 2);
-  CHECK(world.HostAt(0) == "10.0.0.1");
-  CHECK(world.HostAt(1) == "10.0.0.2");
-  // The second is gone; the third takes its place.
-  world.Run(third, kStart + 3s, 5s, 1);
-  CHECK(world.HostAt(1) == "10.0.0.3");
-  CHECK(world.m_writes == 3);
+  store.Run(first, kStart, 3s, 0);
+  store.Run(second, kStart, 3s, 1);
+  store.Run(third, kStart, 3s, 2);
+  CHECK(store.HostAt(0) == "10.0.0.1");
+  CHECK(store.HostAt(1) == "10.0.0.2");
+  // The third takes the rank of the second.
+  store.Run(third, kStart + 3s, 5s, 1);
+  CHECK(store.HostAt(1) == "10.0.0.3");
+  CHECK(store.m_writes == 3);
 }
 
-TEST_CASE("a daemon that finds nobody writes its address, after a while")
+TEST_CASE("a daemon that finds no seed writes its address after a delay")
 {
-  World world;
+  FakeStore store;
   SeedKeeper keeper{ Self("10.0.0.1"), 1 };
-  world.Run(keeper, kStart, 2s, std::nullopt);
-  CHECK(world.m_writes == 0);
-  SUBCASE("others stand there: they are asked")
+  store.Run(keeper, kStart, 2s, std::nullopt);
+  CHECK(store.m_writes == 0);
+  SUBCASE("seeds of other daemons exist")
   {
     keeper.OnSeeds(kStart + 2s, true);
-    world.Run(keeper, kStart + 2s, 2s, std::nullopt);
-    CHECK(world.m_writes == 0);
+    store.Run(keeper, kStart + 2s, 2s, std::nullopt);
+    CHECK(store.m_writes == 0);
   }
-  SUBCASE("nobody does")
+  SUBCASE("no seed exists")
   {
     keeper.OnSeeds(kStart + 2s, false);
     CHECK_FALSE(keeper.OnTick(kStart + 2s, std::nullopt));
-    world.Run(keeper, kStart + 2500ms, 2s, std::nullopt);
-    CHECK(world.m_writes == 1);
+    store.Run(keeper, kStart + 2500ms, 2s, std::nullopt);
+    CHECK(store.m_writes == 1);
   }
 }
 
-TEST_CASE("an address that was lost from the store is written again")
+TEST_CASE("an address that is missing from the store is written again")
 {
-  World world;
+  FakeStore store;
   SeedKeeper keeper{ Self("10.0.0.1"), 1 };
-  world.Run(keeper, kStart, 2s, 0);
-  world.m_keys.clear();
-  world.Run(keeper, kStart + 2s, 62s, 0);
-  CHECK(world.HostAt(0) == "10.0.0.1");
+  store.Run(keeper, kStart, 2s, 0);
+  store.m_keys.clear();
+  store.Run(keeper, kStart + 2s, 62s, 0);
+  CHECK(store.HostAt(0) == "10.0.0.1");
 }
 
-TEST_CASE("an address of another writer names nobody")
+TEST_CASE("malformed seeds are rejected")
 {
-  // A daemon that starts asks every address it finds; garbage taken for one
-  // would count as a peer that is about to answer, and keep it waiting.
+  // A starting daemon would wait for an answer from a malformed address.
   const MemberAddress address{ "10.0.0.7", 1, 2, 3 };
   const nlohmann::json whole = nlohmann::json::parse(SeedToJson(address));
   REQUIRE(ParseSeed(whole.dump()) == address);
@@ -167,7 +165,7 @@
   }
 }
 
-TEST_CASE("damaged addresses are refused or read, and end nothing")
+TEST_CASE("corrupted seeds are parsed or rejected without a crash")
 {
   Random random{ 29 };
   const std::string whole = SeedToJson({ "10.0.0.7", 1, 2, 3 });
