--- a/include/greengagehub/workspaces/coordinator_role.hpp
+++ b/include/greengagehub/workspaces/coordinator_role.hpp
@@ -13,124 +13,136 @@
 
 namespace greengagehub {
 
-/// The key whose value names the coordinator of quotas.
+/// Store key whose value names the quota coordinator.
 inline constexpr std::string_view kCoordinatorKey = "workspaces/coordinator";
 
-/// \brief Which daemon deals out quotas: at most one at any moment.
+/// \brief Elects the daemon that grants quota tokens: at most one at a time.
 ///
-/// Whoever writes kCoordinatorKey is the coordinator. It confirms that the key
-/// is still its own every kConfirmEvery, and deals only for kConfirmedFor after
-/// the sending of the last confirmation that succeeded. A successor writes the
-/// key, after which its predecessor is confirmed no more, and waits for
-/// kConfirmedFor. Times are of one clock that goes on while the process is
-/// suspended; the clocks of two daemons are never compared.
+/// The daemon that last wrote kCoordinatorKey is the coordinator. Every
+/// kConfirmInterval it checks that the key is unchanged. Each successful check
+/// renews its lease: it grants tokens for kLeaseDuration after the check was
+/// sent. A successor overwrites the key, so that the predecessor's checks fail,
+/// and waits for kLeaseDuration before it grants tokens.
+///
+/// All times are read from one clock that also advances while the process is
+/// suspended. Clocks of different daemons are never compared.
 class CoordinatorRole
 {
 public:
-  /// \param aStarted when this process began.
+  /// \param aStarted when this process started.
   CoordinatorRole(std::string aSlot,
                   std::uint64_t aProcess,
                   TimePoint aStarted,
                   std::uint64_t aSeed);
 
-  /// What a step asks the store.
+  /// Store operation to perform next.
   enum class Step : std::uint8_t
   {
     None,
     /// Read kCoordinatorKey.
     Read,
-    /// Write it over Expected().
+    /// Write Value() to the key if it is still at revision Expected().
     Claim,
-    /// Check that it is at Expected().
+    /// Check that the key is at revision Expected().
     Confirm,
-    /// Write an empty value over Expected(), so that a successor need not wait.
+    /// Write an empty value if the key is at revision Expected(), so that a
+    /// successor need not wait.
     Release,
   };
 
-  /// \param aIsCandidate this daemon is to lead where nobody does.
-  /// \param aIsSilent no coordinator has answered lately.
+  /// \param aIsCandidate this daemon may become the coordinator.
+  /// \param aIsSilent no coordinator has answered recently.
   [[nodiscard]] Step OnTick(TimePoint aNow, bool aIsCandidate, bool aIsSilent);
   void OnRead(TimePoint aNow, const StoreReply& aReply);
   void OnClaimed(TimePoint aNow, TimePoint aSent, const StoreReply& aReply);
-  /// \param aIsOurs whether the key was at Expected().
+  /// \param aIsOurs whether the key was at revision Expected().
   void OnConfirmed(TimePoint aNow, TimePoint aSent, bool aIsOurs);
-  /// \brief A coordinator was heard under this revision of the key.
-  void OnTerm(Revision aTerm) noexcept { m_term = std::max(m_term, aTerm); }
-  /// \brief A call got no answer, or none of use.
+  /// \brief Records the term of a coordinator that sent a report. A term is the
+  /// revision of the key that the coordinator wrote.
+  void OnTerm(Revision aTerm) noexcept
+  {
+    m_newestTerm = std::max(m_newestTerm, aTerm);
+  }
+  /// \brief A store call failed or timed out.
   void OnFailed(TimePoint aNow);
-  /// \brief Gives the place up once confirmations have failed kMaxFailures
-  /// times in a row, as when the store turns this daemon away. \returns Whether
-  /// it did; its term is Expected().
+  /// \brief Stops leading after kMaxFailures consecutive failed confirmations,
+  /// for example because the store rejects this daemon.
+  /// \returns Whether this daemon stood down; its ended term is Expected().
   [[nodiscard]] bool StandDownIfFailing(TimePoint aNow);
-  /// \brief The coordinator of a term deals no more.
+  /// \brief Records that the coordinator of a term has stopped granting tokens.
   void OnStoodDown(Revision aTerm) noexcept
   {
     m_endedTerm = std::max(m_endedTerm, aTerm);
   }
-  /// \brief The store came back from an older copy; a write that it had
-  /// acknowledged may be gone.
+  /// \brief The store was restored from an older copy; acknowledged writes may
+  /// be lost and revisions may repeat.
   void OnStoreRestored(TimePoint aNow);
-  /// \brief Deals no more, from now on and for good.
+  /// \brief Stops granting tokens permanently.
   /// \returns Step::Release if the key is to be released.
   [[nodiscard]] Step Resign() noexcept;
 
-  /// \returns Whether tokens may be dealt out now.
+  /// \returns Whether this daemon may grant tokens now.
   [[nodiscard]] bool IsLeading(TimePoint aNow) const noexcept;
-  /// \returns Whether it has claimed the place just now and waits for its
-  /// predecessor's last confirmation to lapse.
+  /// \returns Whether this daemon has claimed the key and waits for its
+  /// predecessor's lease to expire.
   [[nodiscard]] bool IsSettling(TimePoint aNow) const noexcept
   {
-    return m_holdsKey && aNow < m_waitUntil;
+    return m_holdsKey && aNow < m_predecessorLeaseEnd;
   }
-  /// \returns Whether the key is this daemon's, as far as known.
+  /// \returns Whether this daemon holds the key, as far as it knows.
   [[nodiscard]] bool HoldsKey() const noexcept { return m_holdsKey; }
+  /// \returns The last known revision of the key.
   [[nodiscard]] Revision Expected() const noexcept { return m_revision; }
+  /// \returns What this process writes to the key: its slot and process id.
   [[nodiscard]] std::string Value() const;
-  /// \returns Whether leading has begun since the last call.
+  /// \returns true once for each time that this daemon starts to lead.
   [[nodiscard]] bool TakeStarted(TimePoint aNow) noexcept;
 
-  static constexpr std::chrono::milliseconds kConfirmEvery{ 400 };
-  static constexpr std::chrono::milliseconds kConfirmedFor{ 1000 };
-  /// A coordinator of which nothing was known when the key was read has so long
-  /// to make itself heard.
-  static constexpr std::chrono::milliseconds kGrace{ 600 };
-  /// Between two tries while the store is away.
-  static constexpr std::chrono::milliseconds kRetry{ 300 };
+  static constexpr std::chrono::milliseconds kConfirmInterval{ 400 };
+  static constexpr std::chrono::milliseconds kLeaseDuration{ 1000 };
+  /// Time for a coordinator that was found in the key to send a first report,
+  /// before the key is overwritten.
+  static constexpr std::chrono::milliseconds kAnnounceGrace{ 600 };
+  /// Maximum delay after a failed store call.
+  static constexpr std::chrono::milliseconds kRetryDelay{ 300 };
+  /// Consecutive failed confirmations after which this daemon stands down.
   static constexpr std::uint32_t kMaxFailures = 2;
-  /// A daemon that has lost the key to another one leaves it there so long.
-  static constexpr std::chrono::milliseconds kYield{ 3000 };
+  /// Maximum delay before a daemon that stood down, lost the key or failed to
+  /// claim it tries again.
+  static constexpr std::chrono::milliseconds kReclaimDelay{ 3000 };
 
 private:
-  void Lose(TimePoint aNow);
-  /// \returns Whether a process of this slot wrote the value.
-  [[nodiscard]] bool IsOwn(std::string_view aValue) const;
-  /// \returns Until when whoever wrote the value may still deal.
-  [[nodiscard]] TimePoint EndOfPredecessor(TimePoint aNow) const;
+  void LoseKey(TimePoint aNow);
+  /// \returns Whether a process in this slot wrote the value.
+  [[nodiscard]] bool IsFromOwnSlot(std::string_view aValue) const;
+  /// \returns Until when the writer of the replaced value may grant tokens.
+  [[nodiscard]] TimePoint PredecessorLeaseEnd(TimePoint aNow) const;
 
   std::string m_slot;
   std::uint64_t m_process;
   TimePoint m_started;
   Random m_random;
   Revision m_revision{ 0 };
-  /// Revision of the key that was written over.
-  Revision m_claimedOver{ 0 };
-  /// Of the last coordinator that was heard, or found in the key.
-  Revision m_term{ 0 };
-  /// Of a coordinator that has said that it deals no more.
+  /// Revision of the key that the last claim replaced.
+  Revision m_predecessorRevision{ 0 };
+  /// Highest term that was reported or read from the key.
+  Revision m_newestTerm{ 0 };
+  /// Highest term whose coordinator has reported that it stopped.
   Revision m_endedTerm{ 0 };
-  std::uint32_t m_failures{ 0 };
-  /// The key was read and may be claimed.
-  bool m_hasRead{ false };
+  std::uint32_t m_consecutiveFailures{ 0 };
+  /// The key has been read and may be overwritten.
+  bool m_canClaim{ false };
   bool m_holdsKey{ false };
-  bool m_isBusy{ false };
+  bool m_isCallPending{ false };
   bool m_hasResigned{ false };
-  bool m_hasStarted{ false };
-  /// No dealing before this: a predecessor may still deal.
-  TimePoint m_waitUntil{};
-  TimePoint m_confirmedAt{};
-  TimePoint m_next{};
-  /// The value that is written over.
-  std::string m_predecessor{};
+  bool m_hasReportedStart{ false };
+  /// This daemon grants no tokens earlier: its predecessor may still do so.
+  TimePoint m_predecessorLeaseEnd{};
+  /// When the last successful claim or confirmation was sent.
+  TimePoint m_leaseStart{};
+  TimePoint m_nextStepAt{};
+  /// Content of the key that a claim replaces.
+  std::string m_predecessorValue{};
 };
 
 }
--- a/include/greengagehub/workspaces/freshness.hpp
+++ b/include/greengagehub/workspaces/freshness.hpp
@@ -9,25 +9,27 @@
 
 namespace greengagehub {
 
-/// \brief A version that was certainly the newest one at a moment.
+/// \brief Proof that no version newer than m_version had been acknowledged
+/// before m_provenAt.
 struct FreshnessProof
 {
-  /// On the own clock: when the question was asked that the proof answers.
+  /// When the read was sent, on the local clock.
   TimePoint m_provenAt{};
   Version m_version{};
 };
 
-/// \brief How old the proof is that the configuration in force here is the
+/// \brief Tracks how recently the active configuration was proven to be the
 /// newest one.
 ///
-/// A linearizable read that was sent at t and shows version v proves that
-/// nothing newer had been acknowledged before t. The proof holds for this
-/// daemon once v, or a later version, is in force here. Times are of one clock
-/// that goes on while the process is suspended.
+/// A linearizable read that was sent at t and returned version v proves that no
+/// newer version had been acknowledged before t. The proof counts once v or a
+/// later version is active in this daemon. All times are read from one clock
+/// that also advances while the process is suspended.
 class Freshness
 {
 public:
-  /// \param aBound oldest proof on which keys are accepted; 0: any, or none.
+  /// \param aBound maximum age of a proof for API keys to be accepted; 0: keys
+  /// are accepted without a proof.
   explicit Freshness(std::chrono::milliseconds aBound) noexcept
     : m_bound(aBound)
   {
@@ -38,23 +40,24 @@
     return m_bound > std::chrono::milliseconds::zero();
   }
 
+  /// \brief Adds a proof; it stays pending until its version is active.
   void OnProof(FreshnessProof aProof);
-  void OnVersion(Version aInForce);
-  /// \returns Whether keys may be accepted on the newest proof.
+  void OnVersion(Version aActiveVersion);
+  /// \returns Whether the newest proof is recent enough to accept API keys.
   [[nodiscard]] bool IsFresh(TimePoint aNow) const noexcept;
-  /// \returns When the newest usable proof was asked for, if there is one.
+  /// \returns When the read of the newest applicable proof was sent, if any.
   [[nodiscard]] std::optional<TimePoint> ProvenAt() const noexcept
   {
     return m_provenAt;
   }
 
-  /// Proofs of versions that are not in force yet; in a storm of changes each
-  /// is behind the next.
+  /// Maximum number of pending proofs; the oldest is dropped first. Several are
+  /// pending while the configuration changes faster than it is activated.
   static constexpr std::size_t kMaxPending = 16;
 
 private:
   std::chrono::milliseconds m_bound;
-  Version m_inForce{};
+  Version m_activeVersion{};
   std::optional<TimePoint> m_provenAt;
   std::deque<FreshnessProof> m_pending;
 };
--- a/include/greengagehub/workspaces/quota_client.hpp
+++ b/include/greengagehub/workspaces/quota_client.hpp
@@ -14,120 +14,127 @@
 
 namespace greengagehub {
 
-/// \brief What becomes of a request that needs a token.
+/// \brief Whether a request that needs a token is admitted.
 struct QuotaDecision
 {
   enum class Kind : std::uint8_t
   {
     Admitted,
-    /// Tokens are being asked for; the request is to be tried again once a
-    /// report has come.
+    /// The next query requests tokens; retry after its report.
     Waiting,
     /// The workspace has used up its quota.
     OverQuota,
-    /// The coordinator is silent and the reserve is used up.
+    /// The coordinator does not answer and the reserve is used up.
     NoCoordinator,
   };
   Kind m_kind{ Kind::Admitted };
   std::chrono::milliseconds m_retryAfter{ 0 };
 };
 
-/// \brief A daemon's side of the quotas: spends tokens that the coordinator has
-/// granted, and asks for more.
+/// \brief Admits requests against tokens that the coordinator grants to this
+/// daemon, and queries the coordinator for more.
 ///
-/// Answers the load pattern of many workspaces of very unequal size whose
-/// callers come to all daemons: a workspace that sends several requests a
-/// second here has its tokens asked for ahead, any other asks when a request
-/// comes, which costs it one round trip. While the coordinator does not answer,
-/// requests are admitted from a reserve that it has assigned before.
+/// Tokens are prefetched for workspaces that send several requests per second
+/// to this daemon. Any other request waits one round trip for its token. While
+/// the coordinator does not answer, requests are admitted from the reserve that
+/// it assigned earlier.
 class QuotaClient
 {
 public:
-  QuotaClient(QuotaRules aRules, std::uint64_t aSeed);
+  QuotaClient(QuotaRules aTolerance, std::uint64_t aSeed);
 
-  /// \param aIsNew false for a request that has waited; GiveUp goes before.
-  /// \param aIsLate its answer would come too late to earn its full worth.
+  /// \brief Consumes a token, or part of the reserve, for one request.
+  /// \param aIsNew false for a retry of a waiting request, for which GiveUp has
+  /// been called.
+  /// \param aIsLate the response would exceed the route's target latency.
   [[nodiscard]] QuotaDecision Take(TimePoint aNow,
                                    WorkspaceId aWorkspace,
                                    bool aIsNew,
                                    bool aIsLate = false);
-  /// \brief A request that was Waiting does so no more.
+  /// \brief Ends the wait of one request whose decision was Waiting.
   void GiveUp(WorkspaceId aWorkspace);
 
-  /// \returns The next question, if one is due.
+  /// \returns The next query, if one is due.
   [[nodiscard]] std::optional<QuotaQuery> NextQuery(TimePoint aNow);
-  /// \returns When the question was asked that the report answers; nothing for
-  /// a report that comes late or twice.
+  /// \returns When the query that the report answers was sent; nothing for a
+  /// late or duplicate report.
   [[nodiscard]] std::optional<TimePoint> OnReport(TimePoint aNow,
                                                   const QuotaReport& aReport);
-  /// \brief A coordinator grants tokens from now on: questions to others need
-  /// not be waited for.
+  /// \brief A coordinator has announced that it grants tokens. Pending queries
+  /// are dropped, so that the next one need not wait for their answers.
   void OnGranting() noexcept;
-  /// \returns Whether questions have gone unanswered for kSilence.
+  /// \returns Whether no coordinator has answered for kSilenceTimeout.
   [[nodiscard]] bool IsCoordinatorSilent(TimePoint aNow) const noexcept;
 
-  /// Between two questions without demand, which renew the proof of freshness.
-  static constexpr std::chrono::milliseconds kQueryEvery{ 400 };
-  /// After this without an answer the next question may be asked. An answer
-  /// that comes later still counts, while its tokens last.
+  /// Maximum interval of queries without demand, which renew the freshness
+  /// proof.
+  static constexpr std::chrono::milliseconds kQueryInterval{ 400 };
+  /// Time without an answer after which the next query may be sent. A later
+  /// answer is still accepted until its tokens expire.
   static constexpr std::chrono::milliseconds kAnswerTime{ 100 };
-  /// After this without an answer the reserve is used.
-  static constexpr std::chrono::milliseconds kSilence{ 400 };
-  /// Demands in one question, which fits a datagram.
+  /// Time without an answer after which the reserve is used.
+  static constexpr std::chrono::milliseconds kSilenceTimeout{ 400 };
+  /// Maximum number of demands per query, so that it fits in a datagram.
   static constexpr std::size_t kMaxDemands = 40;
 
 private:
-  struct Lot
+  struct TokenBatch
   {
     std::uint32_t m_tokens{ 0 };
-    TimePoint m_expires{};
+    TimePoint m_expiresAt{};
   };
-  struct Row
+  struct WorkspaceState
   {
-    std::deque<Lot> m_lots{};
+    std::deque<TokenBatch> m_batches{};
     /// Requests that wait for a token.
     std::uint32_t m_waiting{ 0 };
+    /// Requests since the last update of m_rate.
     std::uint32_t m_arrivals{ 0 };
-    /// Requests a second, moving mean.
+    /// Requests per second, exponential moving average.
     double m_rate{ 0.0 };
-    /// Asked in vain: no more before this.
-    TimePoint m_refusedUntil{};
-    /// Less was granted than wanted: until then tokens go to those in time.
+    /// After a partial grant, no tokens are requested and requests without a
+    /// token are rejected until then.
+    TimePoint m_overQuotaUntil{};
+    /// After a partial grant, late requests are rejected until then.
     TimePoint m_scarceUntil{};
-    /// Requests that the reserve allows in a window.
+    /// Requests per quota window that may be admitted from the reserve.
     std::uint32_t m_reserve{ 0 };
+    /// Times of the admissions from the reserve within the quota window.
     std::deque<TimePoint> m_reserveUses{};
     TimePoint m_lastArrival{};
   };
 
-  struct Question
+  struct PendingQuery
   {
     std::uint64_t m_sequence{ 0 };
-    TimePoint m_asked{};
+    TimePoint m_sentAt{};
   };
 
-  [[nodiscard]] static bool TakeToken(TimePoint aNow, Row& aRow);
-  [[nodiscard]] static std::uint32_t TokensOf(TimePoint aNow, const Row& aRow);
-  [[nodiscard]] bool TakeReserve(TimePoint aNow, Row& aRow) const;
+  [[nodiscard]] static bool TakeToken(TimePoint aNow, WorkspaceState& aState);
+  [[nodiscard]] static std::uint32_t CountTokens(TimePoint aNow,
+                                                 const WorkspaceState& aState);
+  [[nodiscard]] bool TakeReserve(TimePoint aNow, WorkspaceState& aState) const;
 
-  [[nodiscard]] std::vector<QuotaDemand> Demands(TimePoint aNow);
-  [[nodiscard]] std::uint32_t Wanted(TimePoint aNow, const Row& aRow);
+  [[nodiscard]] std::vector<QuotaDemand> CollectDemands(TimePoint aNow);
+  [[nodiscard]] std::uint32_t CountWantedTokens(TimePoint aNow,
+                                                const WorkspaceState& aState);
   void UpdateRates(TimePoint aNow);
-  void Apply(TimePoint aNow, TimePoint aAsked, const QuotaGrant& aGrant);
-  /// \returns A whole number whose mean is `aReal`.
-  [[nodiscard]] std::uint32_t Rounded(double aReal);
+  void ApplyGrant(TimePoint aNow, TimePoint aSentAt, const QuotaGrant& aGrant);
+  /// \returns `aValue` rounded up or down at random, with `aValue` as mean.
+  [[nodiscard]] std::uint32_t RoundStochastically(double aValue);
 
-  QuotaRules m_rules;
+  QuotaRules m_tolerance;
   Random m_random;
-  std::unordered_map<WorkspaceId, Row> m_rows;
+  std::unordered_map<WorkspaceId, WorkspaceState> m_workspaces;
+  /// Waiting requests of all workspaces.
   std::uint32_t m_waiting{ 0 };
   std::uint64_t m_sequence{ 0 };
-  /// Questions without an answer, the newest last.
-  std::deque<Question> m_questions;
-  /// The first question since the last answer.
+  /// Unanswered queries, newest last.
+  std::deque<PendingQuery> m_pendingQueries;
+  /// When the first query since the last coordinator answer was sent.
   std::optional<TimePoint> m_unansweredSince;
-  TimePoint m_nextQuery{};
-  TimePoint m_ratesAt{};
+  TimePoint m_nextQueryAt{};
+  TimePoint m_ratesUpdatedAt{};
 };
 
 }
--- a/include/greengagehub/workspaces/quota_coordinator.hpp
+++ b/include/greengagehub/workspaces/quota_coordinator.hpp
@@ -13,22 +13,23 @@
 
 namespace greengagehub {
 
-/// \brief Deals out the quotas of all workspaces, as the one daemon of the
-/// fleet that does so.
+/// \brief Grants quota tokens to all daemons; active only in the coordinator.
 ///
-/// One token bucket for each workspace; tokens go to who asks first, the
-/// reserve in proportion to what comes to each daemon.
+/// Each workspace has one token bucket. Tokens are granted in the order of the
+/// demands; the reserve is divided in proportion to each daemon's request rate.
 class QuotaCoordinator
 {
 public:
-  explicit QuotaCoordinator(QuotaRules aRules) noexcept
-    : m_rules(aRules)
+  explicit QuotaCoordinator(QuotaRules aTolerance) noexcept
+    : m_tolerance(aTolerance)
   {
   }
 
-  /// \brief Starts anew with empty buckets: what a predecessor granted last
-  /// may still be in use.
+  /// \brief Resets all buckets to empty, because tokens that a predecessor
+  /// granted may still be in use.
   void Start(TimePoint aNow);
+  /// \param aSlot slot of the daemon that sent the demands.
+  /// \returns One grant for each demand.
   [[nodiscard]] std::vector<QuotaGrant> OnDemands(
     TimePoint aNow,
     std::string_view aSlot,
@@ -36,35 +37,40 @@
     const WorkspaceTable& aTable);
 
 private:
-  /// What comes to one daemon.
-  struct Share
+  /// A workspace's request rate at one daemon.
+  struct DaemonRate
   {
+    /// Requests per second.
     double m_rate{ 0.0 };
-    TimePoint m_heardAt{};
+    TimePoint m_reportedAt{};
   };
-  struct Pool
+  struct TokenBucket
   {
     double m_tokens{ 0.0 };
     TimePoint m_refilledAt{};
-    std::unordered_map<std::uint64_t, Share> m_shares{};
-    double m_rateOfAll{ 0.0 };
+    /// By hash of the daemon's slot.
+    std::unordered_map<std::uint64_t, DaemonRate> m_daemonRates{};
+    /// Sum of m_daemonRates.
+    double m_totalRate{ 0.0 };
   };
 
-  [[nodiscard]] Pool& PoolOf(WorkspaceId aWorkspace);
+  [[nodiscard]] TokenBucket& BucketOf(WorkspaceId aWorkspace);
   [[nodiscard]] QuotaGrant Grant(TimePoint aNow,
                                  std::uint64_t aSlot,
                                  const QuotaDemand& aDemand,
-                                 const QuotaTerms& aTerms);
-  static void Refill(TimePoint aNow, Pool& aPool, const QuotaTerms& aTerms);
-  static void Note(TimePoint aNow,
-                   std::uint64_t aSlot,
-                   const QuotaDemand& aDemand,
-                   Pool& aPool);
-  static void ForgetSilent(TimePoint aNow, Pool& aPool);
+                                 const QuotaAllocation& aAllocation);
+  static void Refill(TimePoint aNow,
+                     TokenBucket& aBucket,
+                     const QuotaAllocation& aAllocation);
+  static void RecordRate(TimePoint aNow,
+                         std::uint64_t aSlot,
+                         const QuotaDemand& aDemand,
+                         TokenBucket& aBucket);
+  static void RemoveSilentDaemons(TimePoint aNow, TokenBucket& aBucket);
 
-  QuotaRules m_rules;
-  TimePoint m_started{};
-  std::unordered_map<WorkspaceId, Pool> m_pools;
+  QuotaRules m_tolerance;
+  TimePoint m_startedAt{};
+  std::unordered_map<WorkspaceId, TokenBucket> m_buckets;
 };
 
 }
--- a/include/greengagehub/workspaces/quota_message.hpp
+++ b/include/greengagehub/workspaces/quota_message.hpp
@@ -12,59 +12,60 @@
 
 namespace greengagehub {
 
-/// \brief What a daemon asks for one workspace.
+/// \brief Tokens that a daemon requests for one workspace.
 struct QuotaDemand
 {
   WorkspaceId m_workspace{ 0 };
-  /// Tokens, one for each request.
+  /// Number of tokens; each admits one request.
   std::uint32_t m_wanted{ 0 };
-  /// Requests a second that came lately, in thousandths.
+  /// Recent request rate at the daemon, in thousandths of requests per second.
   std::uint32_t m_milliRate{ 0 };
 };
 
-/// \brief What a daemon is granted for one workspace.
+/// \brief Tokens and reserve that a daemon is granted for one workspace.
 struct QuotaGrant
 {
   WorkspaceId m_workspace{ 0 };
   std::uint32_t m_tokens{ 0 };
-  /// After a grant of less than was wanted: when to ask again.
+  /// After a partial grant: delay before the next demand; 0 otherwise.
   std::chrono::milliseconds m_retryAfter{ 0 };
-  /// Requests in thousandths that the daemon may admit in each quota window
-  /// while the coordinator is silent.
+  /// Thousandths of requests that the daemon may admit per quota window while
+  /// the coordinator does not answer.
   std::uint32_t m_milliReserve{ 0 };
 };
 
-/// \brief Asks for a proof of freshness and for tokens. The answer counts from
-/// the moment of the question.
+/// \brief Requests a freshness proof and tokens. The lifetime of both is
+/// counted from the sending of the query.
 struct QuotaQuery
 {
+  /// Matches the report to the query.
   std::uint64_t m_sequence{ 0 };
   std::vector<QuotaDemand> m_demands{};
 };
 
-/// \brief What is known of the operators' configuration in the store.
+/// \brief Last known state of the operators' configuration in the store.
 struct StoreConfig
 {
   Version m_version{};
-  /// Of the key that holds it, in m_era.
+  /// Revision of its key; comparable only within the same m_era.
   Revision m_revision{ 0 };
   std::uint64_t m_era{ 0 };
 };
 
-/// \brief The answer to a QuotaQuery.
+/// \brief Answer to a QuotaQuery, or an announcement with sequence 0.
 struct QuotaReport
 {
   std::uint64_t m_sequence{ 0 };
-  /// The slot that grants tokens, as far as the sender knows; may be empty.
+  /// Slot of the coordinator as known to the sender; empty: unknown or none.
   std::string m_coordinator{};
-  /// Of kCoordinatorKey, under which that slot is the coordinator; 0: unknown.
+  /// Revision of kCoordinatorKey that the coordinator wrote; 0: unknown.
   Revision m_term{ 0 };
-  /// Whether the sender grants tokens. A coordinator that has just claimed the
-  /// place does not yet.
+  /// Whether the sender grants tokens. A new coordinator does not until its
+  /// predecessor's lease has expired.
   bool m_isGranting{ false };
-  /// Age of the sender's proof when the question came; nothing: it has none.
+  /// Age of the sender's freshness proof when it received the query, if any.
   std::optional<std::chrono::milliseconds> m_proofAge{};
-  /// What the proof is of.
+  /// Configuration that the proof applies to.
   StoreConfig m_config{};
   std::vector<QuotaGrant> m_grants{};
 };
--- a/include/greengagehub/workspaces/quota_terms.hpp
+++ b/include/greengagehub/workspaces/quota_terms.hpp
@@ -4,37 +4,43 @@
 
 namespace greengagehub {
 
-/// \brief How closely a quota must be kept over the whole fleet.
+/// \brief How far the fleet as a whole may exceed a quota.
 struct QuotaRules
 {
-  /// In any window of this length at most
-  /// (per_second * window + burst) * (1 + overage) + slack requests run.
+  /// The allowance in any window of this length is
+  /// (per_second * window + burst) * (1 + overage) + slack requests.
   std::chrono::milliseconds m_window{ 5000 };
+  /// Permitted excess as a fraction of the quota.
   double m_overage{ 0.1 };
+  /// Permitted excess independent of the quota, in requests.
   double m_slack{ 20.0 };
 };
 
-/// How long granted tokens may be used, from the moment of the question.
-inline constexpr std::chrono::milliseconds kTokenLife{ 400 };
+/// Lifetime of granted tokens, from the sending of the query.
+inline constexpr std::chrono::milliseconds kTokenLifetime{ 400 };
 
-/// \brief How a workspace's quota is dealt out so that no window exceeds it,
-/// whichever daemons are cut off, suspended or killed.
+/// \brief Division of a workspace's allowance between tokens and a reserve, so
+/// that no window exceeds it even if daemons are partitioned, paused or killed.
 ///
-/// Tokens granted in a window and in the kTokenLife before it may run in it:
-/// at most m_depth + m_rate * (window + kTokenLife). Daemons that do not reach
-/// the coordinator admit at most m_reserve together. The sum is the allowance.
-struct QuotaTerms
+/// Tokens used in a window were granted in it or in the kTokenLifetime before:
+/// at most m_capacity + m_rate * (window + kTokenLifetime). Daemons that cannot
+/// reach the coordinator admit at most m_reserve requests per window together.
+/// The sum of both is the allowance.
+struct QuotaAllocation
 {
-  /// Tokens a second.
+  /// Refill rate of the token bucket, in tokens per second.
   double m_rate{ 0.0 };
-  /// Tokens that may be granted at once.
-  double m_depth{ 0.0 };
-  /// Requests in a window that need no token, over all daemons.
+  /// Capacity of the token bucket, in tokens.
+  double m_capacity{ 0.0 };
+  /// Requests per window without a token, over all daemons.
   double m_reserve{ 0.0 };
 };
 
-/// \param aPerSecond above 0.
-[[nodiscard]] QuotaTerms
-TermsOf(const QuotaRules& aRules, double aPerSecond, double aBurst) noexcept;
+/// \param aPerSecond requests per second, above 0.
+/// \param aBurst requests.
+[[nodiscard]] QuotaAllocation
+AllocateQuota(const QuotaRules& aTolerance,
+              double aPerSecond,
+              double aBurst) noexcept;
 
 }
--- a/include/greengagehub/workspaces/workspace_id.hpp
+++ b/include/greengagehub/workspaces/workspace_id.hpp
@@ -4,7 +4,7 @@
 
 namespace greengagehub {
 
-/// \brief Short name of a workspace in messages, from ShortHashOf its name.
+/// \brief Identifies a workspace in messages: ShortHashOf its name.
 using WorkspaceId = std::uint64_t;
 
 }
--- a/include/greengagehub/workspaces/workspace_table.hpp
+++ b/include/greengagehub/workspaces/workspace_table.hpp
@@ -10,36 +10,39 @@
 
 namespace greengagehub {
 
-/// \brief A workspace as requests are checked against it.
+/// \brief Attributes of a workspace that are needed to admit requests.
 struct WorkspaceRow
 {
   std::string m_name{};
   WorkspaceId m_id{ 0 };
+  /// Lower numbers come first.
   std::uint32_t m_priority{ 0 };
-  /// Requests a second over the whole fleet; 0: no limit.
+  /// Requests per second over the whole fleet; 0: no limit.
   double m_perSecond{ 0.0 };
+  /// Requests by which a quota window may exceed the rate.
   double m_burst{ 0.0 };
 };
 
 /// \brief Finds the workspace of an API key.
 ///
-/// Keys are looked up by their SHA-256, so that the time that a look-up takes
-/// tells nothing about a key. An update costs a pass over the workspaces, and
-/// work only for those that have changed.
+/// API keys are looked up by their SHA-256, so that the duration of a lookup
+/// reveals nothing about a key. An update compares all workspaces but rebuilds
+/// only the entries of those that changed.
 class WorkspaceTable
 {
 public:
-  /// \brief Takes over the workspaces of a content.
+  /// \brief Replaces the workspaces by those of the configuration.
   void Update(const Content& aContent);
 
   [[nodiscard]] bool IsEmpty() const noexcept { return m_rows.empty(); }
+  /// \returns Number of API keys of all workspaces.
   [[nodiscard]] std::size_t Keys() const noexcept { return m_keys.size(); }
-  /// \returns The workspace that holds the key, or nullptr; valid until the
-  /// next update.
+  /// \returns The workspace that has the key, or nullptr; valid until the next
+  /// update.
   [[nodiscard]] const WorkspaceRow* FindByKey(std::string_view aKey) const;
   [[nodiscard]] const WorkspaceRow* Find(WorkspaceId aId) const;
-  /// \returns Rank of a request among those that wait: by its workspace first,
-  /// by its route among those of equal workspaces.
+  /// \returns Rank of a request in a wait queue, lowest first: ordered by the
+  /// priority of the workspace, then by that of the route.
   [[nodiscard]] std::uint32_t RankOf(
     const WorkspaceRow& aRow,
     std::uint32_t aRoutePriority) const noexcept;
@@ -56,12 +59,12 @@
   void Add(const std::string& aName, const Workspace& aWorkspace);
   void Remove(const std::string& aName, const Workspace& aWorkspace);
 
-  /// As taken over last; shares its entities with the content.
-  EntityMap<Workspace> m_source;
+  /// Workspaces of the last update; shares its entities with the content.
+  EntityMap<Workspace> m_entities;
   std::unordered_map<WorkspaceId, WorkspaceRow> m_rows;
   std::unordered_map<Digest, WorkspaceId, DigestHash> m_keys;
-  /// Priorities of routes that are told apart.
-  std::uint32_t m_routeRanks{ 1 };
+  /// Number of ranks per workspace priority, one for each route priority.
+  std::uint32_t m_routeRankCount{ 1 };
 };
 
 }
--- a/include/greengagehub/workspaces/workspaces.hpp
+++ b/include/greengagehub/workspaces/workspaces.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Workspaces: keys, proofs of freshness, quotas over the fleet.
+/// \brief Workspaces: API keys, freshness proofs and fleet-wide quotas.
 
 #include "greengagehub/workspaces/coordinator_role.hpp"
 #include "greengagehub/workspaces/freshness.hpp"
--- a/src/workspaces/coordinator_role.cpp
+++ b/src/workspaces/coordinator_role.cpp
@@ -25,60 +25,63 @@
 CoordinatorRole::Step
 CoordinatorRole::OnTick(TimePoint aNow, bool aIsCandidate, bool aIsSilent)
 {
-  if (m_isBusy || m_hasResigned || aNow < m_next) {
+  if (m_isCallPending || m_hasResigned || aNow < m_nextStepAt) {
     return Step::None;
   }
   if (m_holdsKey) {
-    m_isBusy = true;
-    m_next = aNow + kConfirmEvery;
+    m_isCallPending = true;
+    m_nextStepAt = aNow + kConfirmInterval;
     return Step::Confirm;
   }
   if (!aIsCandidate || !aIsSilent) {
-    m_hasRead = false;
+    m_canClaim = false;
     return Step::None;
   }
-  m_isBusy = true;
-  return m_hasRead ? Step::Claim : Step::Read;
+  m_isCallPending = true;
+  return m_canClaim ? Step::Claim : Step::Read;
 }
 
 void
 CoordinatorRole::OnRead(TimePoint aNow, const StoreReply& aReply)
 {
-  m_isBusy = false;
-  const bool isThere = aReply.m_status == StoreReply::Status::Ok;
-  if (!isThere && aReply.m_status != StoreReply::Status::NotFound) {
+  m_isCallPending = false;
+  const bool exists = aReply.m_status == StoreReply::Status::Ok;
+  if (!exists && aReply.m_status != StoreReply::Status::NotFound) {
     OnFailed(aNow);
     return;
   }
-  m_revision = isThere ? aReply.m_revision : 0;
-  // A key that is missing may have been lost with a restored store.
-  m_predecessor = isThere ? aReply.m_value : "unknown";
-  const bool isUnheard = isThere && !m_predecessor.empty() &&
-                         !IsOwn(m_predecessor) && m_revision > m_term &&
-                         m_revision != m_endedTerm;
-  m_term = std::max(m_term, m_revision);
-  m_hasRead = !isUnheard;
-  m_next = isUnheard ? aNow + kGrace : aNow;
+  m_revision = exists ? aReply.m_revision : 0;
+  // A restored store may have lost the key of a coordinator that still leads.
+  m_predecessorValue = exists ? aReply.m_value : "unknown";
+  const bool isUnknownCoordinator = exists && !m_predecessorValue.empty() &&
+                                    !IsFromOwnSlot(m_predecessorValue) &&
+                                    m_revision > m_newestTerm &&
+                                    m_revision != m_endedTerm;
+  m_newestTerm = std::max(m_newestTerm, m_revision);
+  m_canClaim = !isUnknownCoordinator;
+  m_nextStepAt = isUnknownCoordinator ? aNow + kAnnounceGrace : aNow;
 }
 
 bool
-CoordinatorRole::IsOwn(std::string_view aValue) const
+CoordinatorRole::IsFromOwnSlot(std::string_view aValue) const
 {
   return aValue.starts_with(m_slot + " ");
 }
 
 TimePoint
-CoordinatorRole::EndOfPredecessor(TimePoint aNow) const
+CoordinatorRole::PredecessorLeaseEnd(TimePoint aNow) const
 {
-  const bool hasEnded = m_predecessor.empty() ||
-                        (m_claimedOver != 0 && m_claimedOver == m_endedTerm);
+  const bool hasEnded =
+    m_predecessorValue.empty() ||
+    (m_predecessorRevision != 0 && m_predecessorRevision == m_endedTerm);
   if (hasEnded) {
     return aNow;
   }
-  const bool isFormerSelf = IsOwn(m_predecessor) && m_predecessor != Value();
-  // A former process of this slot had written the key before this one began.
-  return isFormerSelf ? std::max(aNow, m_started + kConfirmedFor)
-                      : aNow + kConfirmedFor;
+  const bool isFormerProcess =
+    IsFromOwnSlot(m_predecessorValue) && m_predecessorValue != Value();
+  // An earlier process in this slot wrote the key before this process started.
+  return isFormerProcess ? std::max(aNow, m_started + kLeaseDuration)
+                         : aNow + kLeaseDuration;
 }
 
 void
@@ -86,96 +89,97 @@
                            TimePoint aSent,
                            const StoreReply& aReply)
 {
-  m_isBusy = false;
-  m_hasRead = false;
+  m_isCallPending = false;
+  m_canClaim = false;
   if (aReply.m_status == StoreReply::Status::Ok) {
-    m_claimedOver = m_revision;
+    m_predecessorRevision = m_revision;
     m_revision = aReply.m_revision;
-    m_failures = 0;
+    m_consecutiveFailures = 0;
     m_holdsKey = true;
-    m_hasStarted = false;
-    m_confirmedAt = aSent;
-    m_waitUntil = EndOfPredecessor(aNow);
-    m_next = aNow + kConfirmEvery;
+    m_hasReportedStart = false;
+    m_leaseStart = aSent;
+    m_predecessorLeaseEnd = PredecessorLeaseEnd(aNow);
+    m_nextStepAt = aNow + kConfirmInterval;
     return;
   }
   const bool isTaken = aReply.m_status == StoreReply::Status::Conflict;
-  m_next = aNow + Jittered(m_random, isTaken ? kYield : kRetry);
+  m_nextStepAt =
+    aNow + Jittered(m_random, isTaken ? kReclaimDelay : kRetryDelay);
 }
 
 void
 CoordinatorRole::OnConfirmed(TimePoint aNow, TimePoint aSent, bool aIsOurs)
 {
-  m_isBusy = false;
+  m_isCallPending = false;
   if (!aIsOurs) {
-    Lose(aNow);
+    LoseKey(aNow);
     return;
   }
-  m_failures = 0;
-  m_confirmedAt = aSent;
+  m_consecutiveFailures = 0;
+  m_leaseStart = aSent;
 }
 
 bool
 CoordinatorRole::StandDownIfFailing(TimePoint aNow)
 {
-  if (!m_holdsKey || m_failures < kMaxFailures) {
+  if (!m_holdsKey || m_consecutiveFailures < kMaxFailures) {
     return false;
   }
-  Lose(aNow);
+  LoseKey(aNow);
   return true;
 }
 
 void
 CoordinatorRole::OnFailed(TimePoint aNow)
 {
-  m_isBusy = false;
-  m_failures += m_holdsKey ? 1 : 0;
-  m_next = aNow + Jittered(m_random, kRetry);
+  m_isCallPending = false;
+  m_consecutiveFailures += m_holdsKey ? 1 : 0;
+  m_nextStepAt = aNow + Jittered(m_random, kRetryDelay);
 }
 
 void
-CoordinatorRole::Lose(TimePoint aNow)
+CoordinatorRole::LoseKey(TimePoint aNow)
 {
   m_holdsKey = false;
-  m_hasRead = false;
-  m_next = aNow + Jittered(m_random, kYield);
+  m_canClaim = false;
+  m_nextStepAt = aNow + Jittered(m_random, kReclaimDelay);
 }
 
 void
 CoordinatorRole::OnStoreRestored(TimePoint aNow)
 {
-  m_isBusy = false;
-  m_hasRead = false;
+  m_isCallPending = false;
+  m_canClaim = false;
   m_holdsKey = false;
-  // Revisions are given out again.
-  m_term = 0;
+  // A restored store may assign the same revisions again.
+  m_newestTerm = 0;
   m_endedTerm = 0;
-  m_next = aNow + Jittered(m_random, kRetry);
+  m_nextStepAt = aNow + Jittered(m_random, kRetryDelay);
 }
 
 CoordinatorRole::Step
 CoordinatorRole::Resign() noexcept
 {
-  const bool releases = m_holdsKey;
+  const bool heldKey = m_holdsKey;
   m_holdsKey = false;
   m_hasResigned = true;
-  return releases ? Step::Release : Step::None;
+  return heldKey ? Step::Release : Step::None;
 }
 
 bool
 CoordinatorRole::IsLeading(TimePoint aNow) const noexcept
 {
-  return m_holdsKey && aNow >= m_waitUntil &&
-         aNow - m_confirmedAt < kConfirmedFor;
+  return m_holdsKey && aNow >= m_predecessorLeaseEnd &&
+         aNow - m_leaseStart < kLeaseDuration;
 }
 
 bool
 CoordinatorRole::TakeStarted(TimePoint aNow) noexcept
 {
-  if (m_hasStarted || !IsLeading(aNow)) {
+  if (m_hasReportedStart || !IsLeading(aNow)) {
     return false;
   }
-  m_hasStarted = true;
+  m_hasReportedStart = true;
   return true;
 }
 
--- a/src/workspaces/freshness.cpp
+++ b/src/workspaces/freshness.cpp
@@ -7,7 +7,7 @@
 void
 Freshness::OnProof(FreshnessProof aProof)
 {
-  if (aProof.m_version <= m_inForce) {
+  if (aProof.m_version <= m_activeVersion) {
     m_provenAt =
       std::max(m_provenAt.value_or(aProof.m_provenAt), aProof.m_provenAt);
     return;
@@ -19,9 +19,9 @@
 }
 
 void
-Freshness::OnVersion(Version aInForce)
+Freshness::OnVersion(Version aActiveVersion)
 {
-  m_inForce = std::max(m_inForce, aInForce);
+  m_activeVersion = std::max(m_activeVersion, aActiveVersion);
   std::deque<FreshnessProof> pending;
   pending.swap(m_pending);
   for (const FreshnessProof& each : pending) {
--- a/src/workspaces/quota_client.cpp
+++ b/src/workspaces/quota_client.cpp
@@ -8,70 +8,71 @@
 
 namespace {
 
-/// Tokens are asked for ahead for what comes within this time, within which the
-/// next question is answered.
-constexpr std::chrono::duration<double> kAhead{ 0.3 };
-/// Fewer expected requests are asked for one by one.
-constexpr double kLeastAhead = 2.0;
-/// Weight of one interval in the moving mean of a rate.
-constexpr double kRateWeight = 0.3;
+/// Tokens are prefetched for the requests expected in this period, which covers
+/// the time until the next query is answered.
+constexpr std::chrono::duration<double> kPrefetchPeriod{ 0.3 };
+/// Below this number of expected requests, nothing is prefetched.
+constexpr double kMinPrefetchTokens = 2.0;
+/// Weight of the newest interval in the moving average of a rate.
+constexpr double kRateSmoothing = 0.3;
 /// Shortest interval over which a rate is measured.
-constexpr std::chrono::milliseconds kRateInterval{ 300 };
-/// A workspace without requests for this long is forgotten.
-constexpr std::chrono::seconds kForgetAfter{ 30 };
-constexpr std::chrono::milliseconds kLeastRetryAfter{ 50 };
-/// Tokens of a workspace that was refused some count as scarce for so long.
-constexpr std::chrono::milliseconds kScarceFor{ 1500 };
-/// What a caller is told whose request is late and has no token: others of its
-/// workspace are in time.
-constexpr std::chrono::milliseconds kLateRetry{ 1500 };
-/// What a caller over its quota is told to wait at least.
-constexpr std::chrono::milliseconds kOverQuotaRetry{ 500 };
-constexpr double kMilli = 1000.0;
+constexpr std::chrono::milliseconds kMinRateInterval{ 300 };
+/// State of a workspace without requests is removed after this time.
+constexpr std::chrono::seconds kIdleExpiry{ 30 };
+/// Shortest time without demands after a partial grant.
+constexpr std::chrono::milliseconds kMinOverQuotaTime{ 50 };
+/// Time after a partial grant during which late requests are rejected.
+constexpr std::chrono::milliseconds kScarcityTime{ 1500 };
+/// Retry delay reported for late requests while tokens are scarce.
+constexpr std::chrono::milliseconds kLateRetryAfter{ 1500 };
+/// Retry delay reported for requests that were rejected for lack of a token.
+constexpr std::chrono::milliseconds kOverQuotaRetryAfter{ 500 };
+constexpr double kMilliPerUnit = 1000.0;
 
 }
 
-QuotaClient::QuotaClient(QuotaRules aRules, std::uint64_t aSeed)
-  : m_rules(aRules)
+QuotaClient::QuotaClient(QuotaRules aTolerance, std::uint64_t aSeed)
+  : m_tolerance(aTolerance)
   , m_random(aSeed)
 {
 }
 
 bool
-QuotaClient::TakeToken(TimePoint aNow, Row& aRow)
+QuotaClient::TakeToken(TimePoint aNow, WorkspaceState& aState)
 {
-  while (!aRow.m_lots.empty() && (aRow.m_lots.front().m_tokens == 0 ||
-                                  aRow.m_lots.front().m_expires <= aNow)) {
-    aRow.m_lots.pop_front();
+  while (!aState.m_batches.empty() &&
+         (aState.m_batches.front().m_tokens == 0 ||
+          aState.m_batches.front().m_expiresAt <= aNow)) {
+    aState.m_batches.pop_front();
   }
-  if (aRow.m_lots.empty()) {
+  if (aState.m_batches.empty()) {
     return false;
   }
-  --aRow.m_lots.front().m_tokens;
+  --aState.m_batches.front().m_tokens;
   return true;
 }
 
 std::uint32_t
-QuotaClient::TokensOf(TimePoint aNow, const Row& aRow)
+QuotaClient::CountTokens(TimePoint aNow, const WorkspaceState& aState)
 {
   std::uint32_t tokens = 0;
-  for (const Lot& each : aRow.m_lots) {
-    tokens += each.m_expires > aNow ? each.m_tokens : 0;
+  for (const TokenBatch& each : aState.m_batches) {
+    tokens += each.m_expiresAt > aNow ? each.m_tokens : 0;
   }
   return tokens;
 }
 
 bool
-QuotaClient::TakeReserve(TimePoint aNow, Row& aRow) const
+QuotaClient::TakeReserve(TimePoint aNow, WorkspaceState& aState) const
 {
-  while (!aRow.m_reserveUses.empty() &&
-         aNow - aRow.m_reserveUses.front() >= m_rules.m_window) {
-    aRow.m_reserveUses.pop_front();
+  while (!aState.m_reserveUses.empty() &&
+         aNow - aState.m_reserveUses.front() >= m_tolerance.m_window) {
+    aState.m_reserveUses.pop_front();
   }
-  if (aRow.m_reserveUses.size() >= aRow.m_reserve) {
+  if (aState.m_reserveUses.size() >= aState.m_reserve) {
     return false;
   }
-  aRow.m_reserveUses.push_back(aNow);
+  aState.m_reserveUses.push_back(aNow);
   return true;
 }
 
@@ -82,24 +83,24 @@
                   bool aIsLate)
 {
   using Kind = QuotaDecision::Kind;
-  Row& row = m_rows[aWorkspace];
-  row.m_lastArrival = aNow;
-  row.m_arrivals += aIsNew ? 1 : 0;
-  if (aIsLate && aNow < row.m_scarceUntil) {
-    return { Kind::OverQuota, kLateRetry };
+  WorkspaceState& state = m_workspaces[aWorkspace];
+  state.m_lastArrival = aNow;
+  state.m_arrivals += aIsNew ? 1 : 0;
+  if (aIsLate && aNow < state.m_scarceUntil) {
+    return { Kind::OverQuota, kLateRetryAfter };
   }
-  if (TakeToken(aNow, row)) {
+  if (TakeToken(aNow, state)) {
     return {};
   }
-  if (aNow < row.m_refusedUntil) {
-    return { Kind::OverQuota, kOverQuotaRetry };
+  if (aNow < state.m_overQuotaUntil) {
+    return { Kind::OverQuota, kOverQuotaRetryAfter };
   }
   if (IsCoordinatorSilent(aNow)) {
-    return TakeReserve(aNow, row)
+    return TakeReserve(aNow, state)
              ? QuotaDecision{}
-             : QuotaDecision{ Kind::NoCoordinator, kOverQuotaRetry };
+             : QuotaDecision{ Kind::NoCoordinator, kOverQuotaRetryAfter };
   }
-  ++row.m_waiting;
+  ++state.m_waiting;
   ++m_waiting;
   return { Kind::Waiting };
 }
@@ -107,9 +108,9 @@
 void
 QuotaClient::GiveUp(WorkspaceId aWorkspace)
 {
-  const auto found = m_rows.find(aWorkspace);
-  if (found != m_rows.end() && found->second.m_waiting > 0) {
-    --found->second.m_waiting;
+  const auto entry = m_workspaces.find(aWorkspace);
+  if (entry != m_workspaces.end() && entry->second.m_waiting > 0) {
+    --entry->second.m_waiting;
     --m_waiting;
   }
 }
@@ -117,43 +118,44 @@
 bool
 QuotaClient::IsCoordinatorSilent(TimePoint aNow) const noexcept
 {
-  return m_unansweredSince && aNow - *m_unansweredSince >= kSilence;
+  return m_unansweredSince && aNow - *m_unansweredSince >= kSilenceTimeout;
 }
 
 // ---------------------------------------------------------------------------
-// Questions
+// Queries
 
 std::uint32_t
-QuotaClient::Rounded(double aReal)
+QuotaClient::RoundStochastically(double aValue)
 {
-  std::uniform_real_distribution<double> even{ 0.0, 1.0 };
-  return static_cast<std::uint32_t>(std::max(0.0, aReal) + even(m_random));
+  std::uniform_real_distribution<double> uniform{ 0.0, 1.0 };
+  return static_cast<std::uint32_t>(std::max(0.0, aValue) + uniform(m_random));
 }
 
 std::uint32_t
-QuotaClient::Wanted(TimePoint aNow, const Row& aRow)
+QuotaClient::CountWantedTokens(TimePoint aNow, const WorkspaceState& aState)
 {
-  if (aNow < aRow.m_refusedUntil) {
+  if (aNow < aState.m_overQuotaUntil) {
     return 0;
   }
-  const double expected = aRow.m_rate * kAhead.count();
-  const double missing = expected - static_cast<double>(TokensOf(aNow, aRow));
-  // Tokens that lie unused at many daemons are missing where requests come.
-  const bool asksAhead = expected >= kLeastAhead && missing > 0.0;
-  return aRow.m_waiting + (asksAhead ? Rounded(missing) : 0);
+  const double expected = aState.m_rate * kPrefetchPeriod.count();
+  const double missing =
+    expected - static_cast<double>(CountTokens(aNow, aState));
+  // Prefetching small amounts would leave tokens unused at many daemons.
+  const bool prefetches = expected >= kMinPrefetchTokens && missing > 0.0;
+  return aState.m_waiting + (prefetches ? RoundStochastically(missing) : 0);
 }
 
 std::vector<QuotaDemand>
-QuotaClient::Demands(TimePoint aNow)
+QuotaClient::CollectDemands(TimePoint aNow)
 {
   std::vector<QuotaDemand> demands;
-  for (auto& [id, row] : m_rows) {
-    const std::uint32_t wanted = Wanted(aNow, row);
+  for (auto& [id, state] : m_workspaces) {
+    const std::uint32_t wanted = CountWantedTokens(aNow, state);
     if (wanted > 0) {
-      demands.push_back(
-        { id,
-          wanted,
-          static_cast<std::uint32_t>(std::lround(row.m_rate * kMilli)) });
+      demands.push_back({ id,
+                          wanted,
+                          static_cast<std::uint32_t>(
+                            std::lround(state.m_rate * kMilliPerUnit)) });
     }
   }
   if (demands.size() > kMaxDemands) {
@@ -164,8 +166,8 @@
       middle,
       demands.end(),
       [this](const QuotaDemand& aLeft, const QuotaDemand& aRight) {
-        return m_rows[aLeft.m_workspace].m_waiting >
-               m_rows[aRight.m_workspace].m_waiting;
+        return m_workspaces[aLeft.m_workspace].m_waiting >
+               m_workspaces[aRight.m_workspace].m_waiting;
       });
     demands.erase(middle, demands.end());
   }
@@ -175,40 +177,41 @@
 void
 QuotaClient::UpdateRates(TimePoint aNow)
 {
-  const std::chrono::duration<double> interval = aNow - m_ratesAt;
-  if (aNow - m_ratesAt < kRateInterval) {
+  const std::chrono::duration<double> interval = aNow - m_ratesUpdatedAt;
+  if (aNow - m_ratesUpdatedAt < kMinRateInterval) {
     return;
   }
-  m_ratesAt = aNow;
-  for (auto each = m_rows.begin(); each != m_rows.end();) {
-    Row& row = each->second;
-    row.m_rate +=
-      kRateWeight * (row.m_arrivals / interval.count() - row.m_rate);
-    row.m_arrivals = 0;
+  m_ratesUpdatedAt = aNow;
+  for (auto each = m_workspaces.begin(); each != m_workspaces.end();) {
+    WorkspaceState& state = each->second;
+    state.m_rate +=
+      kRateSmoothing * (state.m_arrivals / interval.count() - state.m_rate);
+    state.m_arrivals = 0;
     const bool isIdle =
-      row.m_waiting == 0 && aNow - row.m_lastArrival > kForgetAfter;
-    each = isIdle ? m_rows.erase(each) : std::next(each);
+      state.m_waiting == 0 && aNow - state.m_lastArrival > kIdleExpiry;
+    each = isIdle ? m_workspaces.erase(each) : std::next(each);
   }
 }
 
 std::optional<QuotaQuery>
 QuotaClient::NextQuery(TimePoint aNow)
 {
-  while (!m_questions.empty() &&
-         aNow - m_questions.front().m_asked >= kTokenLife) {
-    m_questions.pop_front();
+  while (!m_pendingQueries.empty() &&
+         aNow - m_pendingQueries.front().m_sentAt >= kTokenLifetime) {
+    m_pendingQueries.pop_front();
   }
-  const bool isAsking =
-    !m_questions.empty() && aNow - m_questions.back().m_asked < kAnswerTime;
-  const bool isDue = m_waiting > 0 || aNow >= m_nextQuery;
-  if (isAsking || !isDue) {
+  const bool isQueryPending =
+    !m_pendingQueries.empty() &&
+    aNow - m_pendingQueries.back().m_sentAt < kAnswerTime;
+  const bool isDue = m_waiting > 0 || aNow >= m_nextQueryAt;
+  if (isQueryPending || !isDue) {
     return std::nullopt;
   }
   UpdateRates(aNow);
-  m_nextQuery = aNow + Jittered(m_random, kQueryEvery);
-  m_questions.push_back({ ++m_sequence, aNow });
+  m_nextQueryAt = aNow + Jittered(m_random, kQueryInterval);
+  m_pendingQueries.push_back({ ++m_sequence, aNow });
   m_unansweredSince = m_unansweredSince.value_or(aNow);
-  return QuotaQuery{ m_sequence, Demands(aNow) };
+  return QuotaQuery{ m_sequence, CollectDemands(aNow) };
 }
 
 // ---------------------------------------------------------------------------
@@ -217,46 +220,51 @@
 std::optional<TimePoint>
 QuotaClient::OnReport(TimePoint aNow, const QuotaReport& aReport)
 {
-  const auto question = std::find_if(
-    m_questions.begin(), m_questions.end(), [&](const Question& aEach) {
-      return aEach.m_sequence == aReport.m_sequence;
-    });
-  if (question == m_questions.end()) {
+  const auto query =
+    std::find_if(m_pendingQueries.begin(),
+                 m_pendingQueries.end(),
+                 [&](const PendingQuery& aEach) {
+                   return aEach.m_sequence == aReport.m_sequence;
+                 });
+  if (query == m_pendingQueries.end()) {
     return std::nullopt;
   }
-  const TimePoint asked = question->m_asked;
-  m_questions.erase(question);
+  const TimePoint sentAt = query->m_sentAt;
+  m_pendingQueries.erase(query);
   if (aReport.m_isGranting) {
     m_unansweredSince.reset();
   }
   for (const QuotaGrant& each : aReport.m_grants) {
-    Apply(aNow, asked, each);
+    ApplyGrant(aNow, sentAt, each);
   }
-  return asked;
+  return sentAt;
 }
 
 void
 QuotaClient::OnGranting() noexcept
 {
-  m_questions.clear();
+  m_pendingQueries.clear();
   m_unansweredSince.reset();
 }
 
 void
-QuotaClient::Apply(TimePoint aNow, TimePoint aAsked, const QuotaGrant& aGrant)
+QuotaClient::ApplyGrant(TimePoint aNow,
+                        TimePoint aSentAt,
+                        const QuotaGrant& aGrant)
 {
-  const auto found = m_rows.find(aGrant.m_workspace);
-  if (found == m_rows.end()) {
+  const auto entry = m_workspaces.find(aGrant.m_workspace);
+  if (entry == m_workspaces.end()) {
     return;
   }
-  Row& row = found->second;
+  WorkspaceState& state = entry->second;
   if (aGrant.m_tokens > 0) {
-    row.m_lots.push_back({ aGrant.m_tokens, aAsked + kTokenLife });
+    state.m_batches.push_back({ aGrant.m_tokens, aSentAt + kTokenLifetime });
   }
-  row.m_reserve = Rounded(aGrant.m_milliReserve / kMilli);
+  state.m_reserve = RoundStochastically(aGrant.m_milliReserve / kMilliPerUnit);
   if (aGrant.m_retryAfter.count() > 0) {
-    row.m_refusedUntil = aNow + std::max(aGrant.m_retryAfter, kLeastRetryAfter);
-    row.m_scarceUntil = aNow + kScarceFor;
+    state.m_overQuotaUntil =
+      aNow + std::max(aGrant.m_retryAfter, kMinOverQuotaTime);
+    state.m_scarceUntil = aNow + kScarcityTime;
   }
 }
 
--- a/src/workspaces/quota_coordinator.cpp
+++ b/src/workspaces/quota_coordinator.cpp
@@ -9,96 +9,100 @@
 
 namespace {
 
-/// A daemon that has not asked for this long has no part in the reserve.
-constexpr std::chrono::seconds kShareLife{ 10 };
-/// Pause of a daemon that was granted less than it wanted.
-constexpr std::chrono::milliseconds kLeastRetry{ 100 };
-constexpr std::chrono::milliseconds kMostRetry{ 500 };
-/// Rate that stands for a daemon whose first request has just come.
-constexpr double kLeastRate = 0.02;
-constexpr double kMilli = 1000.0;
+/// A daemon without demands for this long gets no share of the reserve.
+constexpr std::chrono::seconds kRateLifetime{ 10 };
+/// Bounds of the delay before the next demand after a partial grant.
+constexpr std::chrono::milliseconds kMinRetryAfter{ 100 };
+constexpr std::chrono::milliseconds kMaxRetryAfter{ 500 };
+/// Lower bound of a rate in requests per second, for daemons that have just
+/// received their first request.
+constexpr double kMinRate = 0.02;
+constexpr double kMilliPerUnit = 1000.0;
 
 }
 
 void
 QuotaCoordinator::Start(TimePoint aNow)
 {
-  m_pools.clear();
-  m_started = aNow;
+  m_buckets.clear();
+  m_startedAt = aNow;
 }
 
-QuotaCoordinator::Pool&
-QuotaCoordinator::PoolOf(WorkspaceId aWorkspace)
+QuotaCoordinator::TokenBucket&
+QuotaCoordinator::BucketOf(WorkspaceId aWorkspace)
 {
-  const auto [found, isNew] = m_pools.try_emplace(aWorkspace);
+  const auto [found, isNew] = m_buckets.try_emplace(aWorkspace);
   if (isNew) {
-    found->second.m_refilledAt = m_started;
+    found->second.m_refilledAt = m_startedAt;
   }
   return found->second;
 }
 
 void
-QuotaCoordinator::Refill(TimePoint aNow, Pool& aPool, const QuotaTerms& aTerms)
+QuotaCoordinator::Refill(TimePoint aNow,
+                         TokenBucket& aBucket,
+                         const QuotaAllocation& aAllocation)
 {
-  const std::chrono::duration<double> since = aNow - aPool.m_refilledAt;
-  aPool.m_refilledAt = aNow;
-  aPool.m_tokens =
-    std::min(aTerms.m_depth,
-             aPool.m_tokens + aTerms.m_rate * std::max(0.0, since.count()));
+  const std::chrono::duration<double> elapsed = aNow - aBucket.m_refilledAt;
+  aBucket.m_refilledAt = aNow;
+  aBucket.m_tokens = std::min(
+    aAllocation.m_capacity,
+    aBucket.m_tokens + aAllocation.m_rate * std::max(0.0, elapsed.count()));
 }
 
 void
-QuotaCoordinator::ForgetSilent(TimePoint aNow, Pool& aPool)
+QuotaCoordinator::RemoveSilentDaemons(TimePoint aNow, TokenBucket& aBucket)
 {
-  std::erase_if(aPool.m_shares, [&](const auto& aEach) {
-    const bool isSilent = aNow - aEach.second.m_heardAt > kShareLife;
-    aPool.m_rateOfAll -= isSilent ? aEach.second.m_rate : 0.0;
+  std::erase_if(aBucket.m_daemonRates, [&](const auto& aEach) {
+    const bool isSilent = aNow - aEach.second.m_reportedAt > kRateLifetime;
+    aBucket.m_totalRate -= isSilent ? aEach.second.m_rate : 0.0;
     return isSilent;
   });
 }
 
 void
-QuotaCoordinator::Note(TimePoint aNow,
-                       std::uint64_t aSlot,
-                       const QuotaDemand& aDemand,
-                       Pool& aPool)
+QuotaCoordinator::RecordRate(TimePoint aNow,
+                             std::uint64_t aSlot,
+                             const QuotaDemand& aDemand,
+                             TokenBucket& aBucket)
 {
-  const auto [found, isNew] = aPool.m_shares.try_emplace(aSlot);
+  const auto [found, isNew] = aBucket.m_daemonRates.try_emplace(aSlot);
   if (isNew) {
-    // The number of shares is bounded by that of daemons lately heard.
-    ForgetSilent(aNow, aPool);
+    // Bounds the number of entries by that of recently active daemons.
+    RemoveSilentDaemons(aNow, aBucket);
   }
-  Share& share = aPool.m_shares[aSlot];
-  const double rate = std::max(kLeastRate, aDemand.m_milliRate / kMilli);
-  aPool.m_rateOfAll += rate - share.m_rate;
-  share = { rate, aNow };
+  DaemonRate& daemonRate = aBucket.m_daemonRates[aSlot];
+  const double rate = std::max(kMinRate, aDemand.m_milliRate / kMilliPerUnit);
+  aBucket.m_totalRate += rate - daemonRate.m_rate;
+  daemonRate = { rate, aNow };
 }
 
 QuotaGrant
 QuotaCoordinator::Grant(TimePoint aNow,
                         std::uint64_t aSlot,
                         const QuotaDemand& aDemand,
-                        const QuotaTerms& aTerms)
+                        const QuotaAllocation& aAllocation)
 {
-  Pool& pool = PoolOf(aDemand.m_workspace);
-  Refill(aNow, pool, aTerms);
-  Note(aNow, aSlot, aDemand, pool);
-  const double whole = std::floor(std::max(0.0, pool.m_tokens));
+  TokenBucket& bucket = BucketOf(aDemand.m_workspace);
+  Refill(aNow, bucket, aAllocation);
+  RecordRate(aNow, aSlot, aDemand, bucket);
+  const double available = std::floor(std::max(0.0, bucket.m_tokens));
   const double wanted = aDemand.m_wanted;
-  const double granted = std::min(wanted, whole);
-  pool.m_tokens -= granted;
+  const double granted = std::min(wanted, available);
+  bucket.m_tokens -= granted;
   QuotaGrant grant{ .m_workspace = aDemand.m_workspace,
                     .m_tokens = static_cast<std::uint32_t>(granted) };
   if (granted < wanted) {
     const auto refill = std::chrono::milliseconds{ std::lround(
-      kMilli * (wanted - granted) / std::max(aTerms.m_rate, kLeastRate)) };
-    grant.m_retryAfter =
-      std::clamp<std::chrono::milliseconds>(refill, kLeastRetry, kMostRetry);
+      kMilliPerUnit * (wanted - granted) /
+      std::max(aAllocation.m_rate, kMinRate)) };
+    grant.m_retryAfter = std::clamp<std::chrono::milliseconds>(
+      refill, kMinRetryAfter, kMaxRetryAfter);
   }
-  const double share =
-    pool.m_shares[aSlot].m_rate / std::max(pool.m_rateOfAll, kLeastRate);
-  grant.m_milliReserve = static_cast<std::uint32_t>(kMilli * aTerms.m_reserve *
-                                                    std::min(1.0, share));
+  const double reserveShare =
+    bucket.m_daemonRates[aSlot].m_rate / std::max(bucket.m_totalRate, kMinRate);
+  grant.m_milliReserve = static_cast<std::uint32_t>(
+    kMilliPerUnit * aAllocation.m_reserve * std::min(1.0, reserveShare));
   return grant;
 }
 
@@ -111,15 +115,19 @@
   const std::uint64_t slot = ShortHashOf(aSlot);
   std::vector<QuotaGrant> grants;
   for (const QuotaDemand& each : aDemands) {
-    const WorkspaceRow* row = aTable.Find(each.m_workspace);
-    if (row == nullptr || row->m_perSecond <= 0.0) {
-      // Without a limit here, or not yet: as much as is wanted.
-      grants.push_back({ .m_workspace = each.m_workspace,
-                         .m_tokens = row != nullptr ? each.m_wanted : 0 });
+    const WorkspaceRow* workspace = aTable.Find(each.m_workspace);
+    if (workspace == nullptr || workspace->m_perSecond <= 0.0) {
+      // Without a limit, all are granted; an unknown workspace gets none.
+      grants.push_back(
+        { .m_workspace = each.m_workspace,
+          .m_tokens = workspace != nullptr ? each.m_wanted : 0 });
       continue;
     }
     grants.push_back(Grant(
-      aNow, slot, each, TermsOf(m_rules, row->m_perSecond, row->m_burst)));
+      aNow,
+      slot,
+      each,
+      AllocateQuota(m_tolerance, workspace->m_perSecond, workspace->m_burst)));
   }
   return grants;
 }
--- a/src/workspaces/quota_terms.cpp
+++ b/src/workspaces/quota_terms.cpp
@@ -6,30 +6,35 @@
 
 namespace {
 
-/// Part of the allowance that is kept for depth and reserve where the rate
-/// alone would use it up, as with a quota without a burst.
-constexpr double kLeastRoom = 0.1;
-/// Part of the burst that is dealt out evenly over each window: a workspace
-/// that sends evenly is within its quota up to its rate and a window's share of
-/// the burst.
-constexpr double kEvenBurst = 0.5;
-/// Of what the rate leaves, the part that may be granted at once.
-constexpr double kDepthShare = 0.25;
+/// Minimum part of the allowance kept for capacity and reserve; the rate alone
+/// could use up a quota without a burst.
+constexpr double kMinHeadroom = 0.1;
+/// Part of the burst that is spread over a window and added to the rate,
+/// because a constant load may use the rate and the burst in each window.
+constexpr double kSustainedBurstPart = 0.5;
+/// Part of the headroom that becomes bucket capacity; the rest is reserve.
+constexpr double kCapacityPart = 0.25;
 
 }
 
-QuotaTerms
-TermsOf(const QuotaRules& aRules, double aPerSecond, double aBurst) noexcept
+QuotaAllocation
+AllocateQuota(const QuotaRules& aTolerance,
+              double aPerSecond,
+              double aBurst) noexcept
 {
-  const double window = std::chrono::duration<double>(aRules.m_window).count();
+  const double window =
+    std::chrono::duration<double>(aTolerance.m_window).count();
   const double span =
-    window + std::chrono::duration<double>(kTokenLife).count();
+    window + std::chrono::duration<double>(kTokenLifetime).count();
   const double allowance =
-    (aPerSecond * window + aBurst) * (1.0 + aRules.m_overage) + aRules.m_slack;
-  const double even = aPerSecond + kEvenBurst * aBurst / window;
-  const double rate = std::min(even, (1.0 - kLeastRoom) * allowance / span);
-  const double room = allowance - rate * span;
-  return { rate, kDepthShare * room, (1.0 - kDepthShare) * room };
+    (aPerSecond * window + aBurst) * (1.0 + aTolerance.m_overage) +
+    aTolerance.m_slack;
+  const double sustainedRate =
+    aPerSecond + kSustainedBurstPart * aBurst / window;
+  const double rate =
+    std::min(sustainedRate, (1.0 - kMinHeadroom) * allowance / span);
+  const double headroom = allowance - rate * span;
+  return { rate, kCapacityPart * headroom, (1.0 - kCapacityPart) * headroom };
 }
 
 }
--- a/src/workspaces/workspace_table.cpp
+++ b/src/workspaces/workspace_table.cpp
@@ -7,29 +7,30 @@
 void
 WorkspaceTable::Update(const Content& aContent)
 {
-  m_routeRanks = 1;
+  m_routeRankCount = 1;
   for (const auto& [name, route] : aContent.Routes()) {
-    m_routeRanks = std::max(m_routeRanks, route->m_value.m_priority + 1);
+    m_routeRankCount =
+      std::max(m_routeRankCount, route->m_value.m_priority + 1);
   }
   const EntityMap<Workspace>& target = aContent.Workspaces();
-  if (target == m_source) {
+  if (target == m_entities) {
     return;
   }
-  // All removals before the first addition: a key may have moved from one
-  // workspace to another.
-  for (const auto& [name, workspace] : m_source) {
+  // Removals come first, because a key may have moved from one workspace to
+  // another.
+  for (const auto& [name, workspace] : m_entities) {
     const auto found = target.find(name);
     if (found == target.end() || found->second != workspace) {
       Remove(name, workspace->m_value);
     }
   }
   for (const auto& [name, workspace] : target) {
-    const auto found = m_source.find(name);
-    if (found == m_source.end() || found->second != workspace) {
+    const auto found = m_entities.find(name);
+    if (found == m_entities.end() || found->second != workspace) {
       Add(name, workspace->m_value);
     }
   }
-  m_source = target;
+  m_entities = target;
 }
 
 void
@@ -73,8 +74,8 @@
 WorkspaceTable::RankOf(const WorkspaceRow& aRow,
                        std::uint32_t aRoutePriority) const noexcept
 {
-  return aRow.m_priority * m_routeRanks +
-         std::min(aRoutePriority, m_routeRanks - 1);
+  return aRow.m_priority * m_routeRankCount +
+         std::min(aRoutePriority, m_routeRankCount - 1);
 }
 
 }
--- a/tests/workspaces/coordinator_role.cpp
+++ b/tests/workspaces/coordinator_role.cpp
@@ -15,8 +15,8 @@
 
 constexpr TimePoint kStart{ 1000s };
 
-/// The one key, as a linearizable store holds it.
-struct Key
+/// One key of a linearizable store.
+struct StoredKey
 {
   std::string m_value;
   Revision m_revision{ 0 };
@@ -39,9 +39,9 @@
   }
 };
 
-/// Carries out a step whose answer comes at once.
+/// Performs a step with an immediate reply.
 void
-Carry(TimePoint aNow, Step aStep, CoordinatorRole& aRole, Key& aKey)
+Execute(TimePoint aNow, Step aStep, CoordinatorRole& aRole, StoredKey& aKey)
 {
   switch (aStep) {
     case Step::Read:
@@ -61,66 +61,69 @@
   }
 }
 
-/// Runs one daemon alone from aFrom to aTo.
+/// Runs a single daemon from aFrom to aTo.
 void
-Run(TimePoint aFrom, TimePoint aTo, CoordinatorRole& aRole, Key& aKey)
+RunAlone(TimePoint aFrom,
+         TimePoint aTo,
+         CoordinatorRole& aRole,
+         StoredKey& aKey)
 {
   for (TimePoint now = aFrom; now <= aTo; now += 50ms) {
-    Carry(now, aRole.OnTick(now, true, !aRole.HoldsKey()), aRole, aKey);
+    Execute(now, aRole.OnTick(now, true, !aRole.HoldsKey()), aRole, aKey);
   }
 }
 
 }
 
-TEST_CASE("a coordinator that stands still deals no more when it goes on")
+TEST_CASE("a paused coordinator grants no tokens after it resumes")
 {
-  Key key;
+  StoredKey key;
   CoordinatorRole role{ "a", 1, kStart, 7 };
-  Run(kStart, kStart + 3s, role, key);
+  RunAlone(kStart, kStart + 3s, role, key);
   REQUIRE(role.IsLeading(kStart + 3s));
   CHECK_FALSE(role.IsLeading(kStart + 6s));
 }
 
-TEST_CASE("a successor deals only after its predecessor's last confirmation "
-          "has lapsed")
+TEST_CASE("a successor grants tokens only after its predecessor's lease "
+          "has expired")
 {
-  Key key;
+  StoredKey key;
   CoordinatorRole first{ "a", 1, kStart, 7 };
-  Run(kStart, kStart + 3s, first, key);
+  RunAlone(kStart, kStart + 3s, first, key);
   CoordinatorRole second{ "b", 2, kStart, 8 };
   TimePoint now = kStart + 3s;
   for (; !second.HoldsKey(); now += 50ms) {
-    Carry(now, second.OnTick(now, true, true), second, key);
+    Execute(now, second.OnTick(now, true, true), second, key);
   }
   const TimePoint claimed = now;
-  // The first one's next confirmation fails; its last one still counts.
+  // The lease is valid although the next confirmation would fail.
   CHECK(first.IsLeading(claimed));
   for (; !second.IsLeading(now); now += 50ms) {
     REQUIRE(now < claimed + 2s);
-    Carry(now, second.OnTick(now, true, false), second, key);
+    Execute(now, second.OnTick(now, true, false), second, key);
   }
   CHECK_FALSE(first.IsLeading(now));
 }
 
-TEST_CASE("a successor of one that has resigned need not wait")
+TEST_CASE("the successor of a coordinator that resigned need not wait")
 {
-  Key key;
+  StoredKey key;
   CoordinatorRole first{ "a", 1, kStart, 7 };
-  Run(kStart, kStart + 3s, first, key);
-  Carry(kStart + 3s, first.Resign(), first, key);
+  RunAlone(kStart, kStart + 3s, first, key);
+  Execute(kStart + 3s, first.Resign(), first, key);
   CHECK_FALSE(first.IsLeading(kStart + 3s));
   CoordinatorRole second{ "b", 2, kStart, 8 };
-  Run(kStart + 3s, kStart + 3100ms, second, key);
+  RunAlone(kStart + 3s, kStart + 3100ms, second, key);
   CHECK(second.IsLeading(kStart + 3100ms));
 }
 
 TEST_CASE(
-  "a coordinator that the store turns away stands down, and who hears of "
-  "it need not wait")
+  "a coordinator that the store rejects stands down, and a successor that "
+  "received its report need not wait")
 {
-  Key key;
+  StoredKey key;
   CoordinatorRole first{ "a", 1, kStart, 7 };
-  Run(kStart, kStart + 3s, first, key);
+  RunAlone(kStart, kStart + 3s, first, key);
   TimePoint now = kStart + 3s;
   while (!first.StandDownIfFailing(now)) {
     REQUIRE(now < kStart + 5s);
@@ -132,81 +135,84 @@
   CHECK_FALSE(first.IsLeading(now));
   CoordinatorRole second{ "b", 2, kStart, 8 };
   second.OnStoodDown(first.Expected());
-  Run(now, now + 100ms, second, key);
+  RunAlone(now, now + 100ms, second, key);
   CHECK(second.IsLeading(now + 100ms));
 }
 
-TEST_CASE("a claim whose answer was lost and that takes effect later still "
-          "waits for the predecessor")
+TEST_CASE("a daemon whose claim succeeded without a reply still waits for its "
+          "predecessor's lease to expire")
 {
-  Key key;
+  StoredKey key;
   CoordinatorRole first{ "a", 1, kStart, 7 };
-  Run(kStart, kStart + 3s, first, key);
+  RunAlone(kStart, kStart + 3s, first, key);
   CoordinatorRole second{ "b", 2, kStart, 8 };
   second.OnTerm(first.Expected());
   const TimePoint now = kStart + 3s;
-  Carry(now, second.OnTick(now, true, true), second, key);
+  Execute(now, second.OnTick(now, true, true), second, key);
   REQUIRE(second.OnTick(now, true, true) == Step::Claim);
   static_cast<void>(key.Write(second.Expected(), second.Value()));
   second.OnClaimed(now, now, { .m_status = Status::Unknown });
-  Run(now + 50ms, now + 900ms, second, key);
+  RunAlone(now + 50ms, now + 900ms, second, key);
   REQUIRE(second.HoldsKey());
   CHECK_FALSE(second.IsLeading(now + 900ms));
 }
 
-TEST_CASE("a candidate leaves a coordinator that it has not heard yet time to "
-          "make itself heard")
+TEST_CASE("a candidate gives a coordinator that it finds in the key time to "
+          "send a report")
 {
-  Key key;
+  StoredKey key;
   CoordinatorRole first{ "a", 1, kStart, 7 };
-  Run(kStart, kStart + 3s, first, key);
+  RunAlone(kStart, kStart + 3s, first, key);
   CoordinatorRole second{ "b", 2, kStart, 8 };
-  Run(kStart + 3s, kStart + 3500ms, second, key);
+  RunAlone(kStart + 3s, kStart + 3500ms, second, key);
   CHECK_FALSE(second.HoldsKey());
-  Run(kStart + 3600ms, kStart + 4s, second, key);
+  RunAlone(kStart + 3600ms, kStart + 4s, second, key);
   CHECK(second.HoldsKey());
 }
 
-TEST_CASE("a store that comes back from an older copy ends the leading")
+TEST_CASE("restoring the store from an older copy ends the coordinator's lease")
 {
-  Key key;
+  StoredKey key;
   CoordinatorRole role{ "a", 1, kStart, 7 };
-  Run(kStart, kStart + 3s, role, key);
+  RunAlone(kStart, kStart + 3s, role, key);
   role.OnStoreRestored(kStart + 3s);
   CHECK_FALSE(role.IsLeading(kStart + 3s));
   key = {};
-  Run(kStart + 3s, kStart + 6s, role, key);
+  RunAlone(kStart + 3s, kStart + 6s, role, key);
   CHECK(role.IsLeading(kStart + 6s));
 }
 
 namespace {
 
-/// Two daemons and the calls that they have under way.
-struct World
+/// Two daemons and their pending store calls.
+struct State
 {
-  Key m_key;
+  StoredKey m_key;
   std::vector<CoordinatorRole> m_roles;
-  std::vector<std::optional<std::pair<Step, StoreReply>>> m_answers;
-  std::vector<TimePoint> m_sent;
+  std::vector<std::optional<std::pair<Step, StoreReply>>> m_pendingReplies;
+  std::vector<TimePoint> m_sentAt;
   TimePoint m_now{ kStart };
 };
 
-/// Every order of steps, answers that come late or never, and pauses, to a
-/// depth; checks that two never deal at once.
+/// Tries every order of steps, delayed and lost replies, and pauses, up to
+/// aStepsLeft steps. Fails if both daemons lead at the same time.
 void
-Explore(const World& aWorld, int aDepth, std::size_t& aSeen, bool& aBothSeen)
+ExploreOrders(const State& aState,
+              int aStepsLeft,
+              std::size_t& aVisited,
+              bool& aSecondLed)
 {
-  bool leads[2] = { aWorld.m_roles[0].IsLeading(aWorld.m_now),
-                    aWorld.m_roles[1].IsLeading(aWorld.m_now) };
-  ++aSeen;
-  REQUIRE_FALSE((leads[0] && leads[1]));
-  aBothSeen = aBothSeen || leads[1];
-  if (aDepth == 0) {
+  bool isLeading[2] = { aState.m_roles[0].IsLeading(aState.m_now),
+                        aState.m_roles[1].IsLeading(aState.m_now) };
+  ++aVisited;
+  REQUIRE_FALSE((isLeading[0] && isLeading[1]));
+  aSecondLed = aSecondLed || isLeading[1];
+  if (aStepsLeft == 0) {
     return;
   }
-  for (std::size_t i = 0; i < aWorld.m_roles.size(); ++i) {
-    if (!aWorld.m_answers[i]) {
-      World next = aWorld;
+  for (std::size_t i = 0; i < aState.m_roles.size(); ++i) {
+    if (!aState.m_pendingReplies[i]) {
+      State next = aState;
       const Step step = next.m_roles[i].OnTick(next.m_now, true, true);
       if (step == Step::None) {
         continue;
@@ -222,15 +228,15 @@
                            ? Status::Ok
                            : Status::Conflict;
       }
-      next.m_answers[i] = { step, reply };
-      next.m_sent[i] = next.m_now;
-      Explore(next, aDepth - 1, aSeen, aBothSeen);
+      next.m_pendingReplies[i] = { step, reply };
+      next.m_sentAt[i] = next.m_now;
+      ExploreOrders(next, aStepsLeft - 1, aVisited, aSecondLed);
       continue;
     }
     for (const bool isLost : { false, true }) {
-      World next = aWorld;
-      auto [step, reply] = *next.m_answers[i];
-      next.m_answers[i].reset();
+      State next = aState;
+      auto [step, reply] = *next.m_pendingReplies[i];
+      next.m_pendingReplies[i].reset();
       CoordinatorRole& role = next.m_roles[i];
       if (isLost) {
         reply = { .m_status = Status::Unknown };
@@ -238,38 +244,38 @@
       if (step == Step::Read) {
         role.OnRead(next.m_now, reply);
       } else if (step == Step::Claim) {
-        role.OnClaimed(next.m_now, next.m_sent[i], reply);
+        role.OnClaimed(next.m_now, next.m_sentAt[i], reply);
       } else if (isLost) {
         role.OnFailed(next.m_now);
       } else {
         role.OnConfirmed(
-          next.m_now, next.m_sent[i], reply.m_status == Status::Ok);
+          next.m_now, next.m_sentAt[i], reply.m_status == Status::Ok);
       }
-      Explore(next, aDepth - 1, aSeen, aBothSeen);
+      ExploreOrders(next, aStepsLeft - 1, aVisited, aSecondLed);
     }
   }
-  World later = aWorld;
+  State later = aState;
   later.m_now += 500ms;
-  Explore(later, aDepth - 1, aSeen, aBothSeen);
+  ExploreOrders(later, aStepsLeft - 1, aVisited, aSecondLed);
 }
 
 }
 
-TEST_CASE("two daemons never deal at once, in whatever order calls and answers "
-          "come, are lost or delayed")
+TEST_CASE("two daemons never lead at once, however store calls and replies are "
+          "ordered, delayed or lost")
 {
-  World world;
-  world.m_roles = { { "a", 1, kStart - 10s, 7 }, { "b", 2, kStart - 10s, 8 } };
-  world.m_answers.resize(2);
-  world.m_sent.resize(2);
-  // The first one leads; from then on all orders are tried.
-  Run(kStart, kStart + 3s, world.m_roles[0], world.m_key);
-  world.m_now = kStart + 3s;
-  REQUIRE(world.m_roles[0].IsLeading(world.m_now));
-  world.m_roles[1].OnTerm(world.m_roles[0].Expected());
-  std::size_t seen = 0;
-  bool hasSuccessor = false;
-  Explore(world, 11, seen, hasSuccessor);
-  MESSAGE("states: " << seen);
-  CHECK(hasSuccessor);
+  State state;
+  state.m_roles = { { "a", 1, kStart - 10s, 7 }, { "b", 2, kStart - 10s, 8 } };
+  state.m_pendingReplies.resize(2);
+  state.m_sentAt.resize(2);
+  // All orders are tried from the time that the first daemon leads.
+  RunAlone(kStart, kStart + 3s, state.m_roles[0], state.m_key);
+  state.m_now = kStart + 3s;
+  REQUIRE(state.m_roles[0].IsLeading(state.m_now));
+  state.m_roles[1].OnTerm(state.m_roles[0].Expected());
+  std::size_t visited = 0;
+  bool secondLed = false;
+  ExploreOrders(state, 11, visited, secondLed);
+  MESSAGE("states: " << visited);
+  CHECK(secondLed);
 }
--- a/tests/workspaces/freshness.cpp
+++ b/tests/workspaces/freshness.cpp
@@ -11,7 +11,7 @@
 
 }
 
-TEST_CASE("keys are accepted for the bound after the read was sent, no longer")
+TEST_CASE("keys are accepted no longer than the bound after the read was sent")
 {
   Freshness freshness{ 4800ms };
   CHECK_FALSE(freshness.IsFresh(kStart));
@@ -21,7 +21,7 @@
   CHECK_FALSE(freshness.IsFresh(kStart + 4801ms));
 }
 
-TEST_CASE("a proof of a version counts only once that is in force")
+TEST_CASE("a proof counts only once its version is active")
 {
   Freshness freshness{ 4800ms };
   freshness.OnVersion(Version{ 3 });
@@ -31,7 +31,7 @@
   CHECK(freshness.IsFresh(kStart));
 }
 
-TEST_CASE("a proof that comes late does not make a newer one older")
+TEST_CASE("a delayed proof does not replace a newer one")
 {
   Freshness freshness{ 4800ms };
   freshness.OnVersion(Version{ 3 });
@@ -40,7 +40,7 @@
   CHECK(*freshness.ProvenAt() == kStart + 2s);
 }
 
-TEST_CASE("in a storm of changes the proofs of applied versions count")
+TEST_CASE("proofs of applied versions count while newer versions keep arriving")
 {
   Freshness freshness{ 4800ms };
   for (std::uint64_t version = 1; version <= 40; ++version) {
@@ -52,7 +52,7 @@
   CHECK(*freshness.ProvenAt() == kStart + 35 * 100ms);
 }
 
-TEST_CASE("without a bound any key of the configuration is accepted")
+TEST_CASE("keys are accepted without a proof if no bound is set")
 {
   const Freshness freshness{ 0ms };
   CHECK(freshness.IsFresh(kStart));
--- a/tests/workspaces/quota.cpp
+++ b/tests/workspaces/quota.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr TimePoint kStart{ 1000s };
-constexpr QuotaRules kRules{};
+constexpr QuotaRules kTolerance{};
 
 WorkspaceTable
-TableWith(double aPerSecond, double aBurst)
+MakeTable(double aPerSecond, double aBurst)
 {
   Content content;
   REQUIRE(content
@@ -30,207 +30,213 @@
   return table;
 }
 
-/// Daemons that send one workspace's requests, and who deals out its quota.
+/// Daemons that receive the requests of one workspace, and the coordinator.
 struct Fleet
 {
   Fleet(std::size_t aDaemons, WorkspaceTable aTable)
     : m_table(std::move(aTable))
   {
     for (std::size_t i = 0; i < aDaemons; ++i) {
-      m_clients.emplace_back(kRules, i + 1);
+      m_clients.emplace_back(kTolerance, i + 1);
     }
     m_waiting.resize(aDaemons);
-    m_isCut.resize(aDaemons);
+    m_isPartitioned.resize(aDaemons);
     m_coordinator.Start(m_now);
   }
 
-  void Decide(std::size_t aDaemon, bool aIsNew)
+  void Admit(std::size_t aDaemon, bool aIsNew)
   {
     const auto decision =
       m_clients[aDaemon].Take(m_now, ShortHashOf("w"), aIsNew);
     switch (decision.m_kind) {
       case QuotaDecision::Kind::Admitted:
-        m_ran.push_back(m_now);
+        m_admittedAt.push_back(m_now);
         break;
       case QuotaDecision::Kind::Waiting:
         ++m_waiting[aDaemon];
         break;
       default:
-        ++m_refused;
+        ++m_rejectedCount;
     }
   }
 
-  void Exchange(std::size_t aDaemon)
+  void ExchangeQuery(std::size_t aDaemon)
   {
     const auto query = m_clients[aDaemon].NextQuery(m_now);
-    if (!query || m_isCut[aDaemon] || !m_hasCoordinator) {
+    if (!query || m_isPartitioned[aDaemon] || !m_hasCoordinator) {
       return;
     }
-    ++m_datagrams;
+    ++m_queryCount;
     QuotaReport report{ .m_sequence = query->m_sequence,
                         .m_coordinator = "c",
                         .m_isGranting = true };
     report.m_grants = m_coordinator.OnDemands(
       m_now, fmt::format("d{}", aDaemon), query->m_demands, m_table);
     static_cast<void>(m_clients[aDaemon].OnReport(m_now, report));
-    Retry(aDaemon);
+    RetryWaiting(aDaemon);
   }
 
-  void Retry(std::size_t aDaemon)
+  void RetryWaiting(std::size_t aDaemon)
   {
     const std::size_t waiting = std::exchange(m_waiting[aDaemon], 0);
     for (std::size_t i = 0; i < waiting; ++i) {
       m_clients[aDaemon].GiveUp(ShortHashOf("w"));
     }
     for (std::size_t i = 0; i < waiting; ++i) {
-      Decide(aDaemon, false);
+      Admit(aDaemon, false);
     }
   }
 
-  /// Requests come at random, at aRate over all daemons.
-  void Play(Duration aFor, double aRate)
+  /// Simulates Poisson arrivals at random daemons.
+  /// \param aRate requests per second over all daemons.
+  void Simulate(Duration aDuration, double aRate)
   {
-    std::exponential_distribution<double> pause{ aRate };
+    std::exponential_distribution<double> interval{ aRate };
     TimePoint next = m_now;
-    for (const TimePoint end = m_now + aFor; m_now < end; m_now += 5ms) {
+    for (const TimePoint end = m_now + aDuration; m_now < end; m_now += 5ms) {
       for (; next <= m_now;
            next += std::chrono::duration_cast<Duration>(
-             std::chrono::duration<double>{ pause(m_random) })) {
-        ++m_sent;
-        Decide(Below(m_random, m_clients.size()), true);
+             std::chrono::duration<double>{ interval(m_random) })) {
+        ++m_requestCount;
+        Admit(Below(m_random, m_clients.size()), true);
       }
       for (std::size_t i = 0; i < m_clients.size(); ++i) {
-        Exchange(i);
-        Retry(i);
+        ExchangeQuery(i);
+        RetryWaiting(i);
       }
     }
   }
 
-  [[nodiscard]] std::size_t MostInWindow() const
+  [[nodiscard]] std::size_t MaxInWindow() const
   {
-    std::size_t most = 0;
+    std::size_t highest = 0;
     std::size_t first = 0;
-    for (std::size_t i = 0; i < m_ran.size(); ++i) {
-      while (m_ran[i] - m_ran[first] > kRules.m_window) {
+    for (std::size_t i = 0; i < m_admittedAt.size(); ++i) {
+      while (m_admittedAt[i] - m_admittedAt[first] > kTolerance.m_window) {
         ++first;
       }
-      most = std::max(most, i - first + 1);
+      highest = std::max(highest, i - first + 1);
     }
-    return most;
+    return highest;
   }
 
   WorkspaceTable m_table;
   std::vector<QuotaClient> m_clients;
   std::vector<std::size_t> m_waiting;
-  std::vector<bool> m_isCut;
-  QuotaCoordinator m_coordinator{ kRules };
+  std::vector<bool> m_isPartitioned;
+  QuotaCoordinator m_coordinator{ kTolerance };
   bool m_hasCoordinator{ true };
   Random m_random{ 5 };
   TimePoint m_now{ kStart };
-  std::vector<TimePoint> m_ran;
-  std::size_t m_sent{ 0 };
-  std::size_t m_refused{ 0 };
-  std::size_t m_datagrams{ 0 };
+  std::vector<TimePoint> m_admittedAt;
+  std::size_t m_requestCount{ 0 };
+  std::size_t m_rejectedCount{ 0 };
+  std::size_t m_queryCount{ 0 };
 };
 
 std::size_t
-AllowanceOf(double aPerSecond, double aBurst)
+Allowance(double aPerSecond, double aBurst)
 {
-  const double window = std::chrono::duration<double>(kRules.m_window).count();
-  return static_cast<std::size_t>(
-    (aPerSecond * window + aBurst) * (1.0 + kRules.m_overage) + kRules.m_slack);
+  const double window =
+    std::chrono::duration<double>(kTolerance.m_window).count();
+  return static_cast<std::size_t>((aPerSecond * window + aBurst) *
+                                    (1.0 + kTolerance.m_overage) +
+                                  kTolerance.m_slack);
 }
 
 }
 
-TEST_CASE("rate, depth and reserve of any quota add up to its allowance")
+TEST_CASE("rate, capacity and reserve of any quota stay within its allowance")
 {
   for (const double rate : { 0.1, 1.0, 10.0, 500.0, 20'000.0 }) {
     for (const double burst : { 0.0, 1.0, rate, 5 * rate }) {
-      const QuotaTerms terms = TermsOf(kRules, rate, burst);
-      CHECK(terms.m_rate <= rate + burst / 5);
-      CHECK(terms.m_rate >= 0.85 * rate);
-      CHECK(terms.m_depth >= 1.0);
+      const QuotaAllocation allocation = AllocateQuota(kTolerance, rate, burst);
+      CHECK(allocation.m_rate <= rate + burst / 5);
+      CHECK(allocation.m_rate >= 0.85 * rate);
+      CHECK(allocation.m_capacity >= 1.0);
       const double span =
-        std::chrono::duration<double>(kRules.m_window + kTokenLife).count();
-      CHECK(terms.m_rate * span + terms.m_depth + terms.m_reserve <=
+        std::chrono::duration<double>(kTolerance.m_window + kTokenLifetime)
+          .count();
+      CHECK(allocation.m_rate * span + allocation.m_capacity +
+              allocation.m_reserve <=
             (rate * 5 + burst) * 1.1 + 20 + 1e-6);
     }
   }
 }
 
-TEST_CASE("a workspace below its limit is refused nothing, however large")
+TEST_CASE("a workspace of any size below its limit has almost no rejections")
 {
   for (const double limit : { 2.0, 16.0, 160.0, 800.0 }) {
-    Fleet fleet{ 62, TableWith(limit, limit) };
-    fleet.Play(2s, limit / 1.6);
-    fleet.m_refused = 0;
-    fleet.m_sent = 0;
-    fleet.Play(15s, limit / 1.6);
+    Fleet fleet{ 62, MakeTable(limit, limit) };
+    fleet.Simulate(2s, limit / 1.6);
+    fleet.m_rejectedCount = 0;
+    fleet.m_requestCount = 0;
+    fleet.Simulate(15s, limit / 1.6);
     CAPTURE(limit);
-    CHECK(fleet.m_refused <= fleet.m_sent / 200);
-    CHECK(fleet.MostInWindow() <= AllowanceOf(limit, limit));
+    CHECK(fleet.m_rejectedCount <= fleet.m_requestCount / 200);
+    CHECK(fleet.MaxInWindow() <= Allowance(limit, limit));
   }
 }
 
-TEST_CASE("a workspace that floods gets its limit and no window exceeds it")
+TEST_CASE("an overloading workspace gets its limit and no window exceeds the "
+          "allowance")
 {
   for (const double limit : { 2.0, 16.0, 160.0 }) {
-    Fleet fleet{ 62, TableWith(limit, limit) };
-    fleet.Play(3s, limit / 1.6);
-    fleet.Play(10s, limit * 5);
+    Fleet fleet{ 62, MakeTable(limit, limit) };
+    fleet.Simulate(3s, limit / 1.6);
+    fleet.Simulate(10s, limit * 5);
     CAPTURE(limit);
-    CHECK(fleet.MostInWindow() <= AllowanceOf(limit, limit));
-    const double got = static_cast<double>(fleet.m_ran.size());
-    CHECK(got >= 0.85 * (3 * limit / 1.6 + 10 * limit));
+    CHECK(fleet.MaxInWindow() <= Allowance(limit, limit));
+    const double admitted = static_cast<double>(fleet.m_admittedAt.size());
+    CHECK(admitted >= 0.85 * (3 * limit / 1.6 + 10 * limit));
   }
 }
 
-TEST_CASE("daemons without a coordinator and those with one stay within the "
-          "allowance together")
+TEST_CASE(
+  "connected and partitioned daemons together stay within the allowance")
 {
   for (const double limit : { 2.0, 16.0, 160.0 }) {
-    Fleet fleet{ 62, TableWith(limit, limit) };
-    fleet.Play(4s, limit / 1.6);
+    Fleet fleet{ 62, MakeTable(limit, limit) };
+    fleet.Simulate(4s, limit / 1.6);
     for (std::size_t i = 0; i < 22; ++i) {
-      fleet.m_isCut[i] = true;
+      fleet.m_isPartitioned[i] = true;
     }
-    fleet.Play(8s, limit * 5);
+    fleet.Simulate(8s, limit * 5);
     fleet.m_hasCoordinator = false;
-    fleet.Play(1500ms, limit * 5);
+    fleet.Simulate(1500ms, limit * 5);
     fleet.m_coordinator.Start(fleet.m_now);
     fleet.m_hasCoordinator = true;
-    fleet.Play(6s, limit * 5);
+    fleet.Simulate(6s, limit * 5);
     CAPTURE(limit);
-    CHECK(fleet.MostInWindow() <= AllowanceOf(limit, limit));
+    CHECK(fleet.MaxInWindow() <= Allowance(limit, limit));
   }
 }
 
-TEST_CASE("while a successor is found the reserve serves most of what usually "
-          "comes")
+TEST_CASE("the reserve admits at least half of the usual load without a "
+          "coordinator")
 {
-  Fleet fleet{ 62, TableWith(160, 160) };
-  fleet.Play(6s, 100);
-  fleet.m_refused = 0;
-  fleet.m_sent = 0;
+  Fleet fleet{ 62, MakeTable(160, 160) };
+  fleet.Simulate(6s, 100);
+  fleet.m_rejectedCount = 0;
+  fleet.m_requestCount = 0;
   fleet.m_hasCoordinator = false;
-  fleet.Play(1500ms, 100);
-  CHECK(fleet.m_refused <= fleet.m_sent / 2);
+  fleet.Simulate(1500ms, 100);
+  CHECK(fleet.m_rejectedCount <= fleet.m_requestCount / 2);
 }
 
-TEST_CASE("questions grow with daemons, not with what a large workspace sends")
+TEST_CASE("the number of queries scales with daemons, not with requests")
 {
-  Fleet fleet{ 62, TableWith(4000, 4000) };
-  fleet.Play(3s, 2000);
-  fleet.m_datagrams = 0;
-  fleet.Play(5s, 2000);
-  // 10,000 requests came.
-  CHECK(fleet.m_datagrams <= 62 * 5 * 8);
+  Fleet fleet{ 62, MakeTable(4000, 4000) };
+  fleet.Simulate(3s, 2000);
+  fleet.m_queryCount = 0;
+  fleet.Simulate(5s, 2000);
+  // About 10,000 requests were sent.
+  CHECK(fleet.m_queryCount <= 62 * 5 * 8);
 }
 
-TEST_CASE("an answer that comes twice or late grants nothing more")
+TEST_CASE("a duplicate report grants no further tokens")
 {
-  QuotaClient client{ kRules, 1 };
+  QuotaClient client{ kTolerance, 1 };
   CHECK(client.Take(kStart, 9, true).m_kind == QuotaDecision::Kind::Waiting);
   const auto query = client.NextQuery(kStart);
   REQUIRE(query);
@@ -248,9 +254,9 @@
         QuotaDecision::Kind::Waiting);
 }
 
-TEST_CASE("tokens lapse with the time since the question, not since the answer")
+TEST_CASE("the lifetime of tokens starts with the query, not with the report")
 {
-  QuotaClient client{ kRules, 1 };
+  QuotaClient client{ kTolerance, 1 };
   static_cast<void>(client.Take(kStart, 9, true));
   const auto query = client.NextQuery(kStart);
   client.GiveUp(9);
@@ -260,8 +266,8 @@
                       .m_coordinator = "c",
                       .m_isGranting = true,
                       .m_grants = { { .m_workspace = 9, .m_tokens = 5 } } }));
-  CHECK(client.Take(kStart + kTokenLife - 1ms, 9, true).m_kind ==
+  CHECK(client.Take(kStart + kTokenLifetime - 1ms, 9, true).m_kind ==
         QuotaDecision::Kind::Admitted);
-  CHECK(client.Take(kStart + kTokenLife, 9, true).m_kind ==
+  CHECK(client.Take(kStart + kTokenLifetime, 9, true).m_kind ==
         QuotaDecision::Kind::Waiting);
 }
--- a/tests/workspaces/workspace_table.cpp
+++ b/tests/workspaces/workspace_table.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string
-Keys(std::initializer_list<std::string_view> aKeys)
+KeysJson(std::initializer_list<std::string_view> aKeys)
 {
   std::string list;
   for (const std::string_view each : aKeys) {
@@ -19,7 +19,7 @@
 }
 
 Content
-With(const std::string& aPatch)
+MakeContent(const std::string& aPatch)
 {
   Content content;
   REQUIRE(content.Apply(aPatch).empty());
@@ -28,33 +28,33 @@
 
 }
 
-TEST_CASE("a key leads to the workspace that holds it, any other to none")
+TEST_CASE("a key maps to its workspace and an unknown key to none")
 {
   WorkspaceTable table;
-  table.Update(With(fmt::format(
+  table.Update(MakeContent(fmt::format(
     R"({{"workspaces":{{"a":{{{},"priority":2,"per_second":2.5,"burst":7}},"b":{{{}}}}}}})",
-    Keys({ "one", "two" }),
-    Keys({ "three" }))));
+    KeysJson({ "one", "two" }),
+    KeysJson({ "three" }))));
   REQUIRE(table.FindByKey("two") != nullptr);
   CHECK(table.FindByKey("two")->m_name == "a");
   CHECK(table.FindByKey("two")->m_perSecond == 2.5);
   CHECK(table.FindByKey("three")->m_name == "b");
   CHECK(table.FindByKey("four") == nullptr);
   CHECK(table.FindByKey("") == nullptr);
-  // A digest is no key, though it stands in the configuration.
+  // The digest of a key in the configuration is not accepted as a key.
   CHECK(table.FindByKey(ToHex(HashOf("one"))) == nullptr);
 }
 
-TEST_CASE("a key that is taken away is unknown with the version that does so")
+TEST_CASE("a removed key is unknown after the update")
 {
-  Content content = With(
-    fmt::format(R"({{"workspaces":{{"a":{{{}}}}}}})", Keys({ "one", "two" })));
+  Content content = MakeContent(fmt::format(
+    R"({{"workspaces":{{"a":{{{}}}}}}})", KeysJson({ "one", "two" })));
   WorkspaceTable table;
   table.Update(content);
-  REQUIRE(
-    content
-      .Apply(fmt::format(R"({{"workspaces":{{"a":{{{}}}}}}})", Keys({ "two" })))
-      .empty());
+  REQUIRE(content
+            .Apply(fmt::format(R"({{"workspaces":{{"a":{{{}}}}}}})",
+                               KeysJson({ "two" })))
+            .empty());
   table.Update(content);
   CHECK(table.FindByKey("one") == nullptr);
   CHECK(table.FindByKey("two") != nullptr);
@@ -64,18 +64,18 @@
   CHECK(table.Keys() == 0);
 }
 
-TEST_CASE("a key that moves between workspaces belongs to the new one only")
+TEST_CASE("a key that moves between workspaces belongs only to the new one")
 {
   Content content =
-    With(fmt::format(R"({{"workspaces":{{"a":{{{}}},"b":{{{}}}}}}})",
-                     Keys({ "one" }),
-                     Keys({ "two" })));
+    MakeContent(fmt::format(R"({{"workspaces":{{"a":{{{}}},"b":{{{}}}}}}})",
+                            KeysJson({ "one" }),
+                            KeysJson({ "two" })));
   WorkspaceTable table;
   table.Update(content);
   REQUIRE(content
             .Apply(fmt::format(R"({{"workspaces":{{"a":{{{}}},"b":{{{}}}}}}})",
-                               Keys({ "two" }),
-                               Keys({ "one" })))
+                               KeysJson({ "two" }),
+                               KeysJson({ "one" })))
             .empty());
   table.Update(content);
   CHECK(table.FindByKey("one")->m_name == "b");
@@ -83,19 +83,20 @@
   CHECK(table.Keys() == 2);
 }
 
-TEST_CASE("two workspaces with one key are refused, without naming it")
+TEST_CASE(
+  "a key shared by two workspaces is rejected and not repeated in the reason")
 {
   Content content;
   const auto reasons =
     content.Apply(fmt::format(R"({{"workspaces":{{"a":{{{}}},"b":{{{}}}}}}})",
-                              Keys({ "one" }),
-                              Keys({ "one" })));
+                              KeysJson({ "one" }),
+                              KeysJson({ "one" })));
   REQUIRE(reasons.size() == 1);
   CHECK(reasons[0].m_code == ReasonCode::DuplicateKey);
   CHECK(reasons[0].m_detail.find(ToHex(HashOf("one"))) == std::string::npos);
 }
 
-TEST_CASE("a key in plain text is refused and not repeated in the reason")
+TEST_CASE("a key in plain text is rejected and not repeated in the reason")
 {
   Content content;
   const auto reasons =
@@ -104,15 +105,15 @@
   CHECK(reasons[0].m_detail.find("secret") == std::string::npos);
 }
 
-TEST_CASE("the workspace ranks before the route")
+TEST_CASE("requests are ranked by workspace before route")
 {
   WorkspaceTable table;
-  table.Update(With(fmt::format(
+  table.Update(MakeContent(fmt::format(
     R"({{"services":{{"s":{{}}}},
          "routes":{{"r":{{"path":"/a","service":"s","priority":2}}}},
          "workspaces":{{"a":{{{},"priority":0}},"b":{{{},"priority":1}}}}}})",
-    Keys({ "one" }),
-    Keys({ "two" }))));
+    KeysJson({ "one" }),
+    KeysJson({ "two" }))));
   const WorkspaceRow& first = *table.FindByKey("one");
   const WorkspaceRow& second = *table.FindByKey("two");
   CHECK(table.RankOf(first, 0) < table.RankOf(first, 2));
