--- a/include/greengagehub/config/config.hpp
+++ b/include/greengagehub/config/config.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Everything of the config library: patches, content, decisions.
+/// \brief Includes the public headers of the config library.
 
 #include "greengagehub/config/config_copy.hpp"
 #include "greengagehub/config/config_holder.hpp"
--- a/include/greengagehub/config/config_copy.hpp
+++ b/include/greengagehub/config/config_copy.hpp
@@ -8,28 +8,26 @@
 
 namespace greengagehub {
 
-/// Where the fleet keeps a compressed copy of the operators' configuration.
+/// Store key of the compressed copy of the operators' configuration.
 inline constexpr std::string_view kConfigCopyKey = "config/copy";
 
-/// \brief A compressed copy of the configuration that operators keep under one
-/// key of the store.
+/// \brief A copy of the operators' configuration document, stored compressed.
 ///
-/// The whole of it may take a second on the link of a small instance, which
-/// takes no callers until it has it; the copy takes a tenth. It is only ever
-/// used after the store has confirmed that the original is still at the
-/// revision it was made from, so that an old copy costs time and nothing else.
+/// Shortens the start of instances on slow links. The reader must check with
+/// the store that the original is still at `m_original`: the copy may be stale.
 struct ConfigCopy
 {
-  /// Of the original, when the copy was made.
+  /// Revision of the original that the copy was made from.
   Revision m_original{ 0 };
   std::string m_document;
 };
 
-/// \returns The copy as a value of the store.
+/// \returns The store value: the revision, a newline and a zstd frame.
 [[nodiscard]] std::string
 FormatConfigCopy(Revision aOriginal, std::string_view aDocument);
 
-/// \param aMaxBytes longest document that is unpacked.
+/// \param aMaxBytes largest decompressed document.
+/// \returns The copy, or an error with the code Corrupt or TooLarge.
 [[nodiscard]] Outcome<ConfigCopy>
 ParseConfigCopy(std::string_view aValue, std::size_t aMaxBytes);
 
--- a/include/greengagehub/config/config_holder.hpp
+++ b/include/greengagehub/config/config_holder.hpp
@@ -6,8 +6,8 @@
 
 namespace greengagehub {
 
-/// \brief A whole configuration at one version. Calls in flight keep the one
-/// they started with by counting a reference.
+/// \brief An immutable configuration at one version. Calls in flight hold a
+/// reference to the version they started with.
 struct ActiveConfig
   : boost::intrusive_ref_counter<ActiveConfig, boost::thread_unsafe_counter>
 {
@@ -17,26 +17,26 @@
 };
 using ActiveConfigPtr = boost::intrusive_ptr<const ActiveConfig>;
 
-/// \brief What became of an entry or snapshot that was offered to a holder.
+/// \brief Result of staging an entry or a snapshot.
 enum class StageResult : std::uint8_t
 {
-  /// In force now, with all that had waited for it.
+  /// Active now, together with the pending entries that follow it.
   Applied,
-  /// At or below what is in force, and the same history.
-  AlreadyHeld,
-  /// Waits for the versions before it.
+  /// At or below the active version, in the same history.
+  NotNewer,
+  /// Earlier versions are missing.
   Gap,
-  /// Another history: the chain does not follow from what is in force.
+  /// The chain digest does not follow from the active version.
   Forked,
-  /// Failed its digest or a rule; dropped whole.
+  /// A digest or a validation rule failed; nothing was applied.
   Corrupt,
 };
 
-/// \brief The configuration in force on one proxy.
+/// \brief The active configuration of one proxy and its recent history.
 ///
-/// Moves forward only. A version is checked whole on a copy (chain, rules,
-/// digest) and then swapped in by pointer, so that nothing is ever applied in
-/// part and no route is ever seen without its service.
+/// Versions only increase. Each version is validated on a copy (chain, rules,
+/// digest) and then becomes active by a pointer swap, so readers never see a
+/// partly applied version.
 class ConfigHolder
 {
 public:
@@ -50,16 +50,22 @@
   {
     return m_active->m_version;
   }
-  /// \brief Recent entries, oldest first, for peers that lag.
+  /// \param aComplete set to whether the entries lead from `aVersion` to the
+  /// active version.
+  /// \returns Recent entries above `aVersion`, oldest first; empty when they
+  /// are incomplete.
   [[nodiscard]] std::vector<VersionEntry> EntriesAfter(Version aVersion,
                                                        bool& aComplete) const;
+  /// \returns The recent entry of this version, or nullptr.
   [[nodiscard]] const VersionEntry* Entry(Version aVersion) const;
 
+  /// \brief Applies an entry. One that arrives early and has no m_base is kept
+  /// until the versions before it are applied.
   StageResult Stage(const VersionEntry& aEntry);
-  /// \brief A version from a source that keeps whole contents and numbers them
-  /// as it likes.
-  /// \param aPatch what differs from the content in force.
+  /// \brief Applies a version whose number need not follow the active one.
+  /// \param aPatch canonical JSON merge patch on the active content.
   StageResult StageChange(Version aVersion, std::string aPatch);
+  /// \brief Replaces the active configuration by a later one.
   /// \param aSnapshot canonical JSON of the content at `aHead`.
   StageResult StageSnapshot(const VersionEntry& aHead,
                             std::string_view aSnapshot);
@@ -67,12 +73,12 @@
 private:
   StageResult Apply(const VersionEntry& aEntry);
   StageResult ApplyChange(VersionEntry aEntry, bool aCheckDigest);
-  void ApplyWaiting();
-  void Keep(const VersionEntry& aEntry);
+  void ApplyPending();
+  void AddRecent(const VersionEntry& aEntry);
 
   ActiveConfigPtr m_active;
-  /// Entries that arrived before the ones they follow, bounded in number.
-  std::map<Version, VersionEntry> m_waiting;
+  /// Entries that arrived before their predecessors; bounded.
+  std::map<Version, VersionEntry> m_pending;
   std::map<Version, VersionEntry> m_recent;
 };
 
--- a/include/greengagehub/config/content.hpp
+++ b/include/greengagehub/config/content.hpp
@@ -15,7 +15,8 @@
 
 namespace greengagehub {
 
-/// \brief Order in which overload sheds calls: exports first.
+/// \brief Load-shedding class of a call; under overload, later values are shed
+/// first.
 enum class CallClass : std::uint8_t
 {
   Critical,
@@ -23,92 +24,93 @@
   Export,
 };
 
-/// \brief A named group of workers; the names are what routes point at.
+/// \brief Limits of a named group of workers; routes refer to it by name.
 struct Service
 {
-  /// Calls one worker runs at once.
+  /// Concurrent calls per worker.
   std::uint32_t m_slots{ 20 };
-  /// Calls that may wait at one worker.
+  /// Queued calls per worker.
   std::uint32_t m_queue{ 40 };
-  /// Connections one worker accepts.
+  /// Connections per worker.
   std::uint32_t m_connections{ 100 };
-  /// Path of the worker's own health check; empty when it has none.
+  /// Path of the worker's health check; empty for none.
   std::string m_healthPath{};
 };
 
-/// \brief One part of a route whose calls are split over services.
+/// \brief One service of a route that splits its calls, with its weight.
 struct RouteShare
 {
   std::string m_service;
   std::uint32_t m_weight{ 0 };
 };
 
-/// \brief Which service answers a call, and what may be done with it.
+/// \brief Maps calls to a service, with their limits and retry rules.
 struct Route
 {
-  /// Host to match, lower case; empty matches any.
+  /// Host to match, in lower case; empty matches any host.
   std::string m_host;
-  /// Path prefix to match, from "/".
+  /// Path prefix to match; begins with "/".
   std::string m_path{ "/" };
-  /// Empty when the calls are split.
+  /// Target service; empty when m_split is set.
   std::string m_service;
-  /// In proportion to the weights; empty when one service answers all.
+  /// Weighted target services; empty when m_service is set.
   std::vector<RouteShare> m_split{};
   CallClass m_class{ CallClass::Critical };
-  /// Rank among the calls that wait at a worker, 0 before all others.
+  /// Priority in a worker's queue; 0 is served first.
   std::uint32_t m_priority{ 0 };
-  /// Whether a call may be run again; "by method" when not set by the patch.
+  /// Whether a call may run more than once; ByMethod when the patch
+  /// sets nothing.
   enum class Idempotency : std::uint8_t
   {
     ByMethod,
     Yes,
     No
   } m_idempotency{ Idempotency::ByMethod };
-  /// Time limit of a call that brings none of its own.
+  /// Deadline of a call that carries none.
   std::chrono::milliseconds m_deadline{ 2000 };
-  /// An answer within this is as good as an immediate one; 0: as m_deadline.
+  /// Latency up to which an answer counts as fast; 0: same as m_deadline.
   std::chrono::milliseconds m_targetLatency{ 0 };
-  /// Workers that one call may be sent to; 0: as the daemon's settings say.
+  /// Maximum attempts per call; 0: from the daemon's settings.
   std::uint32_t m_attempts{ 0 };
-  /// Whether callers need no API key, though there are workspaces.
+  /// Whether calls need no API key when workspaces are configured.
   bool m_public{ false };
 };
 
-/// \brief A named group of callers with keys, a rank and a quota of its own.
+/// \brief A named group of callers with API keys, a priority and a quota.
 struct Workspace
 {
-  /// Digests of its API keys; the keys themselves are never kept.
+  /// SHA-256 digests of the API keys; the keys themselves are not stored.
   std::vector<Digest> m_keys{};
-  /// Rank among the workspaces, 0 first; goes before the route's rank.
+  /// Priority among workspaces, 0 first; takes precedence over the route's.
   std::uint32_t m_priority{ 0 };
-  /// Requests a second over the whole fleet; 0: no limit.
+  /// Requests per second over the whole fleet; 0: unlimited.
   double m_perSecond{ 0.0 };
-  /// Requests beyond the rate that may come at once.
+  /// Burst size in requests above the rate.
   double m_burst{ 0.0 };
 };
 
 /// \brief Fleet-wide limits.
 struct Limits
 {
-  /// Retries as a share of calls, in percent.
+  /// Retry budget as a percentage of calls.
   std::uint32_t m_retryPercent{ 10 };
-  /// Hops after which a call is refused.
+  /// Maximum number of hops; calls beyond it are rejected.
   std::uint32_t m_maxDepth{ 24 };
-  /// What callers may send, and how long they may take or stay idle; 0: as the
-  /// daemon's settings say.
+  /// Limits on callers' requests and connections; 0: from the daemon's
+  /// settings.
   std::uint32_t m_maxHeadBytes{ 0 };
   std::uint32_t m_maxBodyBytes{ 0 };
   std::chrono::milliseconds m_headTimeout{ 0 };
   std::chrono::milliseconds m_idleTimeout{ 0 };
 };
 
-/// \brief One entity with its canonical text, shared between versions.
+/// \brief An immutable entity with its canonical text, shared by versions.
 template<class T>
 struct Entity
   : boost::intrusive_ref_counter<Entity<T>, boost::thread_unsafe_counter>
 {
   T m_value;
-  /// Canonical JSON (sorted keys, no blanks).
+  /// Canonical JSON (sorted keys, no whitespace).
   std::string m_text;
   Digest m_digest;
 };
@@ -117,12 +119,12 @@
 using EntityMap =
   std::map<std::string, boost::intrusive_ptr<const Entity<T>>, std::less<>>;
 
-/// \brief The whole configuration at one version; a value that shares its
-/// unchanged entities with the version before.
+/// \brief The content of a configuration. Copies share their entities, so a
+/// patch on a copy allocates only the entities that it changes.
 ///
 /// \code
 /// Content next = current;
-/// std::vector<Reason> broken = next.Apply(R"({"services":{"a":{}}})");
+/// std::vector<Reason> violations = next.Apply(R"({"services":{"a":{}}})");
 /// \endcode
 class Content
 {
@@ -149,13 +151,13 @@
   /// \brief Order-independent digest over all entities.
   [[nodiscard]] const Digest& GetDigest() const noexcept { return m_digest; }
 
-  /// \returns The whole content as canonical JSON; a merge patch that builds
-  /// it from the empty content.
+  /// \returns Canonical JSON of the content, which is also the merge patch from
+  /// the empty content to this one.
   [[nodiscard]] std::string ToJson() const;
 
-  /// \brief Applies a JSON merge patch (RFC 7396) and checks every rule.
-  /// \returns Every broken rule; when it is not empty, this content is
-  /// unspecified and must be dropped.
+  /// \brief Applies a JSON merge patch (RFC 7396) and validates the result.
+  /// \returns All violations. If there are any, the state of this content is
+  /// unspecified.
   [[nodiscard]] std::vector<Reason> Apply(std::string_view aPatch);
 
 private:
@@ -169,8 +171,8 @@
   Digest m_digest;
 };
 
-/// \returns The patch as canonical JSON, so that its digest does not depend
-/// on blanks or the order of keys; or why it is no patch at all.
+/// \returns The patch as canonical JSON, whose digest is independent of
+/// whitespace and key order; Invalid when it is not JSON, or TooLarge.
 [[nodiscard]] Outcome<std::string>
 CanonicalPatch(std::string_view aText);
 
@@ -178,10 +180,10 @@
 [[nodiscard]] std::string_view
 NameOf(CallClass aClass) noexcept;
 
-/// Largest patch accepted, in bytes of canonical JSON.
+/// Maximum size of a patch, in bytes of canonical JSON.
 inline constexpr std::size_t kMaxPatchBytes = 64UL * 1024;
 
-/// Revision of the rules in this release; recorded with each decision.
+/// Revision of the validation rules; recorded with each decision.
 inline constexpr std::uint32_t kRulesRevision = 1;
 
 }
--- a/include/greengagehub/config/content_diff.hpp
+++ b/include/greengagehub/config/content_diff.hpp
@@ -8,24 +8,24 @@
 
 namespace greengagehub {
 
-/// \brief An entity as canonical JSON.
-struct NamedText
+/// \brief Name and canonical JSON of an entity. Does not own the JSON.
+struct EntityText
 {
   std::string m_name;
   std::string_view m_text;
 };
 
-/// \brief A whole content, entity by entity, as canonical JSON.
+/// \brief Canonical JSON of each part of a content.
 struct ContentTexts
 {
   std::string m_limits;
-  std::vector<NamedText> m_routes;
-  std::vector<NamedText> m_services;
-  std::vector<NamedText> m_workspaces{};
+  std::vector<EntityText> m_routes;
+  std::vector<EntityText> m_services;
+  std::vector<EntityText> m_workspaces{};
 };
 
-/// \returns The merge patch (RFC 7396) that makes `aTo` of `aFrom`; it holds
-/// only what differs, so that peers can be sent a change instead of a content.
+/// \returns The merge patch (RFC 7396) from `aFrom` to `aTo`, with only the
+/// entities that differ.
 [[nodiscard]] std::string
 PatchBetween(const Content& aFrom, const ContentTexts& aTo);
 
--- a/include/greengagehub/config/decision.hpp
+++ b/include/greengagehub/config/decision.hpp
@@ -11,21 +11,22 @@
 
 namespace greengagehub {
 
-/// \brief One accepted version as it travels between daemons: enough to check
-/// that it follows what a proxy runs, and to apply it.
+/// \brief One accepted version, as daemons exchange it: the patch and the
+/// digests that validate it.
 struct VersionEntry
 {
   Version m_version;
-  /// Canonical JSON merge patch on the version before.
+  /// Canonical JSON merge patch on the previous version.
   std::string m_patch;
-  /// Digest over the whole history up to this version.
+  /// Chain digest over the history up to this version.
   Digest m_chain;
-  /// Digest of the content that the patch must lead to.
+  /// Digest of the content after the patch.
   Digest m_content;
-  /// The version that the patch is on, where a source numbers its versions as
-  /// it likes; else the one before.
+  /// Version that the patch applies to, if the source's version numbers are not
+  /// consecutive; otherwise unset.
   std::optional<Version> m_base{};
 
+  /// \returns Whether the patch applies to `aVersion`.
   [[nodiscard]] bool Follows(Version aVersion) const noexcept
   {
     return m_base ? *m_base == aVersion : m_version == aVersion.Next();
@@ -33,7 +34,7 @@
   [[nodiscard]] bool operator==(const VersionEntry&) const = default;
 };
 
-/// \brief A patch as an operator handed it in.
+/// \brief A patch as submitted by an operator.
 struct Submission
 {
   std::string m_id;
@@ -44,10 +45,10 @@
   WallTime m_at;
 };
 
-/// \brief What was decided about one patch, with the facts that it rests on.
+/// \brief The decision on one patch, with its inputs.
 struct Decision
 {
-  /// Place in the sequence of all decisions, from 1.
+  /// Position in the sequence of all decisions, from 1.
   std::uint64_t m_sequence{ 0 };
   std::string m_id;
   Digest m_patchDigest;
@@ -55,68 +56,68 @@
   std::string m_author;
   WallTime m_at;
   std::uint32_t m_rules{ kRulesRevision };
-  /// Head when it was decided; what the reasons are true of.
+  /// Head version at the time of the decision; m_reasons refer to it.
   Version m_head;
   bool m_accepted{ false };
   /// Set when accepted.
   VersionEntry m_entry;
-  /// Set when refused.
+  /// Set when rejected.
   std::vector<Reason> m_reasons;
 
   [[nodiscard]] bool operator==(const Decision&) const = default;
 };
 
-/// \brief The record under compare-and-swap that every decision goes through.
+/// \brief The record that serializes all decisions by compare-and-swap.
 ///
-/// Self-sufficient: the snapshot it names plus its accepted entries lead to
-/// the head, m_oldest <= m_snapshot <= m_head. Versions in (m_oldest, m_head]
-/// are in m_decisions.
+/// The snapshot m_snapshot and the accepted entries after it rebuild the head.
+/// Invariant: m_archivedVersion <= m_snapshot <= m_head. Versions in
+/// (m_archivedVersion, m_head] are in m_decisions.
 struct DecisionLog
 {
   Version m_head;
   Digest m_chain;
   Digest m_content;
   std::uint64_t m_nextSequence{ 1 };
-  /// Last version whose decision has left the log for the archive.
-  Version m_oldest;
-  /// Newest snapshot; 0 is the empty content and has no key.
+  /// Last version whose decision was moved to the archive.
+  Version m_archivedVersion;
+  /// Latest snapshot; 0 is the empty content, which is not stored.
   Version m_snapshot;
-  /// The snapshot before, kept for readers that are under way.
-  Version m_priorSnapshot;
+  /// Snapshot before m_snapshot, kept for readers still in progress.
+  Version m_previousSnapshot;
   std::vector<Decision> m_decisions;
 
   [[nodiscard]] const Decision* Find(std::string_view aId) const noexcept;
-  /// \returns The accepted entries above `aVersion`, or nothing when this log
-  /// no longer reaches that far back.
+  /// \returns The accepted entries above `aVersion`, or nothing when some of
+  /// them are archived.
   [[nodiscard]] std::optional<std::vector<VersionEntry>> EntriesAfter(
     Version aVersion) const;
 };
 
-/// \returns The chain digest that follows `aChain` by this version and patch.
+/// \returns The chain digest of a version, from that of its predecessor.
 [[nodiscard]] Digest
 NextChain(const Digest& aChain, Version aVersion, std::string_view aPatch);
 
-/// \brief Takes the decision on a patch that the log does not know yet.
-/// Pure: same log, content and submission, same decision.
-/// \param aContent the content at the log's head.
+/// \brief Accepts or rejects a patch whose id is not in the log.
+/// Deterministic: depends only on its arguments.
+/// \param aContent content at the log's head.
 [[nodiscard]] Decision
 Decide(const DecisionLog& aLog,
        const Content& aContent,
        const Submission& aSubmission);
 
-/// \returns The log with the decision recorded.
+/// \returns The log with the decision appended.
 [[nodiscard]] DecisionLog
 WithDecision(DecisionLog aLog, const Decision& aDecision);
 
-/// \returns Canonical JSON of one decision, also what operators are shown.
+/// \returns Canonical JSON of a decision, as stored and as shown to operators.
 [[nodiscard]] std::string
 DecisionToJson(const Decision& aDecision);
 
 [[nodiscard]] std::string
 LogToJson(const DecisionLog& aLog);
 
-/// \returns The log, or Corrupt with what is wrong. A value that cannot be
-/// parsed is never overwritten by anyone.
+/// \returns The log, or Corrupt with the first fault. Callers must not
+/// overwrite a value that does not parse.
 [[nodiscard]] Outcome<DecisionLog>
 ParseLog(std::string_view aText);
 
--- a/include/greengagehub/config/decision_process.hpp
+++ b/include/greengagehub/config/decision_process.hpp
@@ -10,21 +10,21 @@
 
 namespace greengagehub {
 
-/// \brief What an operator is told about a patch.
+/// \brief Result of a lookup or a submission, for the operator.
 struct DecisionAnswer
 {
   enum class Kind : std::uint8_t
   {
     /// The recorded decision, in m_decision.
     Decided,
-    /// No decision is recorded under this id at this moment.
+    /// No decision is recorded under this id.
     NotDecided,
-    /// The store could not be asked or did not confirm: never a guess.
+    /// The store is unreachable, or too many writers compete.
     NotKnown,
-    /// Refused without a record: the id belongs to another patch, in
-    /// m_decision.
+    /// The id belongs to another patch, whose decision is m_decision; nothing
+    /// was recorded.
     IdReused,
-    /// The store holds an older or another history than this proxy runs.
+    /// The store has an older or a different history than this proxy.
     StoreBehind,
     /// A value in the store cannot be parsed.
     StoreCorrupt,
@@ -35,18 +35,17 @@
   std::string m_detail{};
 };
 
-/// \brief Decides one patch, or finds the decision on it, through the store.
+/// \brief Decides one patch, or looks up its decision, through the store.
 ///
-/// A state machine without I/O: each step returns the next call to the store,
-/// or the answer. Whatever is told was read back from the store or confirmed
-/// by it. The read order log, index, segment, then compare-and-swap on the
-/// log's revision makes the check for a known id sound: an entry leaves the
-/// log only after archive and index hold it, and any entry that appears or
-/// leaves in between changes the log's revision, so that the swap fails.
+/// A state machine without I/O: each step returns the next store request or
+/// the answer. It reads the log, the index and a segment, then swaps the log at
+/// the revision it read. An id is not decided twice: a decision leaves the log
+/// only after archive and index have it, and any change of the log meanwhile
+/// makes the swap fail.
 ///
 /// \code
-/// DecisionProcess process{ active, id, submission };
-/// DecisionStep step = process.Start();
+/// DecisionProcess process{ active, submission };
+/// DecisionProcess::Step step = process.Start();
 /// while (auto* request = std::get_if<StoreRequest>(&step)) {
 ///   step = process.On(store.Carry(*request));
 /// }
@@ -56,14 +55,14 @@
 public:
   using Step = std::variant<StoreRequest, DecisionAnswer>;
 
-  /// \brief Looks the decision on `aId` up; takes none.
+  /// \brief Looks up the decision on `aId` without deciding.
   DecisionProcess(ActiveConfigPtr aActive, std::string aId);
-  /// \brief Takes the decision on a submission unless it is there already.
+  /// \brief Decides a submission unless its id is already decided.
   DecisionProcess(ActiveConfigPtr aActive, Submission aSubmission);
 
   [[nodiscard]] Step Start();
   [[nodiscard]] Step On(const StoreReply& aReply);
-  /// \returns The log as last read or written, for the caller to catch up by.
+  /// \returns The log as last read or written.
   [[nodiscard]] const DecisionLog& Log() const noexcept { return m_log; }
 
 private:
@@ -76,19 +75,19 @@
     Swap,
   };
 
-  Step Ask(State aState, StoreRequest aRequest);
-  Step Tell(DecisionAnswer::Kind aKind, std::string aDetail = {});
-  Step TellDecision(const Decision& aDecision);
+  Step Request(State aState, StoreRequest aRequest);
+  Step Answer(DecisionAnswer::Kind aKind, std::string aDetail = {});
+  Step AnswerDecision(const Decision& aDecision);
   Step Retry();
   Step OnLog(const StoreReply& aReply);
   Step OnIndex(const StoreReply& aReply);
   Step OnSegment(const StoreReply& aReply);
   Step NextSegment();
-  Step NotRecorded();
+  Step OnNotRecorded();
   Step OnSnapshot(SnapshotReader::Step aStep);
-  Step DecideNow(Content aContent, Version aFrom);
+  Step DecideAndSwap(Content aContent, Version aFrom);
   Step OnSwap(const StoreReply& aReply);
-  [[nodiscard]] bool IsBehind() const;
+  [[nodiscard]] bool IsStoreBehind() const;
 
   ActiveConfigPtr m_active;
   std::string m_id;
@@ -98,7 +97,7 @@
   Revision m_revision{ 0 };
   std::vector<std::uint64_t> m_segments;
   SnapshotReader m_snapshot{ Version{} };
-  Decision m_decided;
+  Decision m_newDecision;
   std::uint32_t m_attempts{ 0 };
 };
 
--- a/include/greengagehub/config/pack_process.hpp
+++ b/include/greengagehub/config/pack_process.hpp
@@ -9,10 +9,10 @@
 
 namespace greengagehub {
 
-/// \brief How large the log may grow before its older part is packed away.
+/// \brief Log size at which compaction starts, and the size it aims for.
 ///
-/// Every watcher reads the whole log on every change, so its size is paid
-/// 0.22 times a second at the target: 24 KiB cost a watcher about 5 KB/s.
+/// Every watcher reads the whole log on every change, so a large log costs
+/// bandwidth.
 struct PackLimits
 {
   std::size_t m_highBytes{ 24UL * 1024 };
@@ -21,11 +21,10 @@
 
 /// \brief Moves old decisions from the log to the archive.
 ///
-/// Order: segment, index, snapshot, and only then the log. Each step can be
-/// repeated and can race with another packer: segments and snapshots are
-/// create-only and hold what can no longer change, index lines form a set.
-/// A packer that dies or pauses at any step leaves the log whole; the log's
-/// revision stops one that wakes up late.
+/// Writes the segment, the index, the snapshot and last the log. Each step can
+/// be repeated and can race with another process: segments and snapshots are
+/// create-only and immutable, index lines form a set. An interrupted process
+/// leaves the log intact, and the log's revision rejects a delayed one.
 class PackProcess
 {
 public:
@@ -33,8 +32,8 @@
   {
     NothingToDo,
     Packed,
-    /// Another packer or the store was in the way; try again later.
-    GaveUp,
+    /// Conflict with another process, or the store failed; retry later.
+    Aborted,
   };
   using Step = std::variant<StoreRequest, Result>;
 
@@ -54,11 +53,11 @@
     WritePart,
     WriteManifest,
     Swap,
-    DropManifest,
-    DropPart,
+    DeleteManifest,
+    DeletePart,
   };
 
-  Step Ask(State aState, StoreRequest aRequest);
+  Step Request(State aState, StoreRequest aRequest);
   Step OnLog(const StoreReply& aReply);
   Step OnSegmentRead(const StoreReply& aReply);
   Step NextIndex();
@@ -66,8 +65,8 @@
   Step StartSnapshot();
   Step NextPart();
   Step SwapLog();
-  Step DropOldSnapshot();
-  Step DropNextPart();
+  Step DeleteStaleSnapshot();
+  Step DeleteNextPart();
   [[nodiscard]] bool CanSnapshot() const;
 
   ActiveConfigPtr m_active;
@@ -75,13 +74,13 @@
   State m_state{ State::ReadLog };
   DecisionLog m_log;
   Revision m_revision{ 0 };
-  std::vector<Decision> m_packed;
-  std::size_t m_indexed{ 0 };
+  std::vector<Decision> m_archived;
+  std::size_t m_indexedCount{ 0 };
   std::string m_snapshot;
   std::size_t m_part{ 0 };
   std::size_t m_parts{ 0 };
-  Version m_toDrop;
-  std::size_t m_dropped{ 0 };
+  Version m_staleSnapshot;
+  std::size_t m_deletedParts{ 0 };
 };
 
 }
--- a/include/greengagehub/config/ready_gate.hpp
+++ b/include/greengagehub/config/ready_gate.hpp
@@ -10,28 +10,25 @@
 
 namespace greengagehub {
 
-/// \brief Decides when a daemon that has started may take calls.
+/// \brief Decides when a started daemon may accept calls.
 ///
-/// A restarted daemon remembers nothing. It must not open below what its slot
-/// ran before, so it first hears from a few peers; each tells the version it
-/// runs and the highest that this slot was ever seen to run. One peer is not
-/// enough: it may itself have been paused or cut off. The store's word counts
-/// only where there is no peer: it may have been restored from a backup.
-///
-/// What is left: if every peer that answers is behind, nobody who is heard
-/// knows better, and the daemon opens too low.
+/// A daemon must not serve an older version than its slot served before a
+/// restart. Several peers report their version and the highest version seen
+/// of the slot, as a single peer may be out of date. With PeersFirst, the store
+/// counts only without peers, as it may have been restored from a backup.
+/// Limitation: if all reporting peers are behind, the gate opens too early.
 class ReadyGate
 {
 public:
-  /// Peers to hear from when the store does not answer.
+  /// Peers that must report, or all of them if there are fewer.
   static constexpr std::size_t kPeers = 3;
 
-  /// \brief Whose word is enough.
+  /// \brief Source that decides the required version.
   enum class Trust : std::uint8_t
   {
-    /// Peers; the store only where there is no peer.
+    /// Peers; the store only when there are none.
     PeersFirst,
-    /// The store, which never goes back; peers while it does not answer.
+    /// The store, whose versions never decrease, or peers.
     StoreFirst,
   };
 
@@ -40,45 +37,49 @@
   {
   }
 
-  /// \brief A peer was heard.
-  /// \param aFloor highest version that this slot was seen to run.
+  /// \brief Records a peer's report.
+  /// \param aFloor highest version that the peer saw this slot run.
   void HeardPeer(const std::string& aSlot, Version aHead, Version aFloor)
   {
-    m_needed = std::max({ m_needed, aHead, aFloor });
+    m_required = std::max({ m_required, aHead, aFloor });
     if (m_peers.size() < kPeers) {
       m_peers.insert(aSlot);
     }
   }
-  /// \brief A version was heard of that this daemon must not open below.
-  void Raise(Version aNeeded) { m_needed = std::max(m_needed, aNeeded); }
-  /// \brief The store's log was read.
+  /// \brief Raises the required version.
+  void Raise(Version aRequired)
+  {
+    m_required = std::max(m_required, aRequired);
+  }
+  /// \brief Records the head version read from the store.
   void HeardStore(Version aHead)
   {
-    m_storeHeard = true;
-    m_needed = std::max(m_needed, aHead);
+    m_storeRead = true;
+    m_required = std::max(m_required, aHead);
   }
-  /// \brief A peer's whole member table was taken in.
+  /// \brief Records that a peer's full member table was received.
   void Joined() noexcept { m_joined = true; }
 
-  /// \param aPresent other daemons believed to run.
-  /// \returns Whether it may open; once open it stays so, as versions in force
-  /// only grow.
+  /// \param aInForce active version of this daemon.
+  /// \param aPresent number of other daemons considered alive.
+  /// \returns Whether the gate is open; once open, it stays open.
   [[nodiscard]] bool IsOpen(Version aInForce, std::size_t aPresent)
   {
     const bool byPeers =
       aPresent > 0 && m_joined && m_peers.size() >= std::min(kPeers, aPresent);
     const bool byStore =
-      m_storeHeard && (aPresent == 0 || m_trust == Trust::StoreFirst);
-    const bool heard = byPeers || byStore;
-    m_open = m_open || (heard && aInForce > Version{} && aInForce >= m_needed);
+      m_storeRead && (aPresent == 0 || m_trust == Trust::StoreFirst);
+    const bool isConfirmed = byPeers || byStore;
+    m_open =
+      m_open || (isConfirmed && aInForce > Version{} && aInForce >= m_required);
     return m_open;
   }
 
 private:
   Trust m_trust;
   std::set<std::string> m_peers;
-  Version m_needed;
-  bool m_storeHeard{ false };
+  Version m_required;
+  bool m_storeRead{ false };
   bool m_joined{ false };
   bool m_open{ false };
 };
--- a/include/greengagehub/config/reason.hpp
+++ b/include/greengagehub/config/reason.hpp
@@ -7,8 +7,8 @@
 
 namespace greengagehub {
 
-/// \brief Why a patch was refused. Names are part of the public interface and
-/// of recorded decisions: add new ones, never rename or reuse one.
+/// \brief Why a patch was rejected. The public names are stored with decisions:
+/// never rename or reuse one.
 enum class ReasonCode : std::uint8_t
 {
   NotJson,
@@ -29,13 +29,13 @@
   DuplicateKey,
 };
 
-/// \brief One broken rule, with its place in the patch or content.
+/// \brief One violated rule, with its place in the patch or content.
 struct Reason
 {
   ReasonCode m_code{ ReasonCode::NotJson };
-  /// JSON pointer (RFC 6901); empty for the patch as a whole.
+  /// JSON pointer (RFC 6901); empty for the whole patch.
   std::string m_place;
-  /// The facts it rests on, true at the version that the decision names.
+  /// Explanation, valid at the decision's head version.
   std::string m_detail;
 
   [[nodiscard]] bool operator==(const Reason&) const = default;
@@ -45,7 +45,7 @@
 [[nodiscard]] std::string_view
 NameOf(ReasonCode aCode) noexcept;
 
-/// \returns The code with this public name, or nothing.
+/// \returns The code with this public name, if any.
 [[nodiscard]] std::optional<ReasonCode>
 ParseReasonCode(std::string_view aName) noexcept;
 
--- a/include/greengagehub/config/snapshot_reader.hpp
+++ b/include/greengagehub/config/snapshot_reader.hpp
@@ -8,24 +8,25 @@
 
 namespace greengagehub {
 
-/// \brief A snapshot read whole from the store.
+/// \brief Result of reading a snapshot from the store.
 struct SnapshotRead
 {
   enum class Status : std::uint8_t
   {
     Ok,
-    /// Dropped meanwhile: read the log again.
+    /// The snapshot was deleted; read the log again.
     Gone,
+    /// The store did not answer.
     Lost,
     Corrupt,
   };
   Status m_status{ Status::Lost };
   VersionEntry m_head{};
-  /// Canonical JSON of the content.
+  /// Canonical JSON of the content; empty unless Ok.
   std::string m_text{};
 };
 
-/// \brief Reads the manifest and then all parts of a snapshot.
+/// \brief State machine that reads the manifest and the parts of a snapshot.
 class SnapshotReader
 {
 public:
@@ -42,7 +43,7 @@
 private:
   Version m_version;
   SnapshotManifest m_manifest;
-  bool m_haveManifest{ false };
+  bool m_hasManifest{ false };
   std::string m_parts;
   std::size_t m_part{ 0 };
 };
--- a/src/config/config_copy.cpp
+++ b/src/config/config_copy.cpp
@@ -18,14 +18,16 @@
 {
   const std::size_t line = aValue.find('\n');
   if (line == std::string_view::npos) {
-    return Error{ ErrorCode::Corrupt, "a copy begins with a revision" };
+    return Error{ ErrorCode::Corrupt,
+                  "config copy: expected a revision and a newline" };
   }
   ConfigCopy copy;
   const char* end = aValue.data() + line;
-  const auto [stop, fault] =
+  const auto [stop, error] =
     std::from_chars(aValue.data(), end, copy.m_original);
-  if (fault != std::errc{} || stop != end) {
-    return Error{ ErrorCode::Corrupt, "a copy's revision is no number" };
+  if (error != std::errc{} || stop != end) {
+    return Error{ ErrorCode::Corrupt,
+                  "config copy: the revision is not a number" };
   }
   auto document = Decompress(aValue.substr(line + 1), aMaxBytes);
   if (!document) {
--- a/src/config/config_holder.cpp
+++ b/src/config/config_holder.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxWaiting = 256;
+constexpr std::size_t kMaxPending = 256;
 constexpr std::size_t kMaxRecent = 512;
 
 }
@@ -42,23 +42,23 @@
 {
   const Version current = GetVersion();
   if (aEntry.m_version <= current) {
-    const VersionEntry* held = Entry(aEntry.m_version);
-    const bool forked = held != nullptr && held->m_chain != aEntry.m_chain;
-    return forked ? StageResult::Forked : StageResult::AlreadyHeld;
+    const VersionEntry* known = Entry(aEntry.m_version);
+    const bool forked = known != nullptr && known->m_chain != aEntry.m_chain;
+    return forked ? StageResult::Forked : StageResult::NotNewer;
   }
   if (aEntry.m_base) {
     return *aEntry.m_base == current ? ApplyChange(aEntry, true)
                                      : StageResult::Gap;
   }
   if (aEntry.m_version != current.Next()) {
-    if (m_waiting.size() < kMaxWaiting) {
-      m_waiting.emplace(aEntry.m_version, aEntry);
+    if (m_pending.size() < kMaxPending) {
+      m_pending.emplace(aEntry.m_version, aEntry);
     }
     return StageResult::Gap;
   }
   const StageResult result = Apply(aEntry);
   if (result == StageResult::Applied) {
-    ApplyWaiting();
+    ApplyPending();
   }
   return result;
 }
@@ -75,25 +75,25 @@
   next->m_version = aEntry.m_version;
   next->m_chain = aEntry.m_chain;
   next->m_content = m_active->m_content;
-  const bool broken = !next->m_content.Apply(aEntry.m_patch).empty();
-  if (broken || next->m_content.GetDigest() != aEntry.m_content) {
+  const bool isInvalid = !next->m_content.Apply(aEntry.m_patch).empty();
+  if (isInvalid || next->m_content.GetDigest() != aEntry.m_content) {
     return StageResult::Corrupt;
   }
   m_active = std::move(next);
-  Keep(aEntry);
+  AddRecent(aEntry);
   return StageResult::Applied;
 }
 
 void
-ConfigHolder::ApplyWaiting()
+ConfigHolder::ApplyPending()
 {
-  while (!m_waiting.empty()) {
-    const auto first = m_waiting.begin();
+  while (!m_pending.empty()) {
+    const auto first = m_pending.begin();
     if (first->first > GetVersion().Next()) {
       return;
     }
     const VersionEntry entry = first->second;
-    m_waiting.erase(first);
+    m_pending.erase(first);
     if (entry.m_version == GetVersion().Next()) {
       Apply(entry);
     }
@@ -104,7 +104,7 @@
 ConfigHolder::StageChange(Version aVersion, std::string aPatch)
 {
   if (aVersion <= GetVersion()) {
-    return StageResult::AlreadyHeld;
+    return StageResult::NotNewer;
   }
   VersionEntry entry;
   entry.m_version = aVersion;
@@ -130,7 +130,7 @@
   aEntry.m_chain = digest;
   next->m_chain = digest;
   m_active = std::move(next);
-  Keep(aEntry);
+  AddRecent(aEntry);
   return StageResult::Applied;
 }
 
@@ -139,26 +139,26 @@
                             std::string_view aSnapshot)
 {
   if (aHead.m_version <= GetVersion()) {
-    return StageResult::AlreadyHeld;
+    return StageResult::NotNewer;
   }
   boost::intrusive_ptr<ActiveConfig> next{ new ActiveConfig };
   next->m_version = aHead.m_version;
   next->m_chain = aHead.m_chain;
-  const bool broken = !next->m_content.Apply(aSnapshot).empty();
-  if (broken || next->m_content.GetDigest() != aHead.m_content) {
+  const bool isInvalid = !next->m_content.Apply(aSnapshot).empty();
+  if (isInvalid || next->m_content.GetDigest() != aHead.m_content) {
     return StageResult::Corrupt;
   }
   m_active = std::move(next);
   m_recent.clear();
-  ApplyWaiting();
+  ApplyPending();
   return StageResult::Applied;
 }
 
 void
-ConfigHolder::Keep(const VersionEntry& aEntry)
+ConfigHolder::AddRecent(const VersionEntry& aEntry)
 {
   if (aEntry.m_patch.size() > kMaxPatchBytes) {
-    // As large as a content: a peer that lacks it is better served with one.
+    // Peers that lack a patch of this size get a snapshot instead.
     m_recent.clear();
     return;
   }
--- a/src/config/content.cpp
+++ b/src/config/content.cpp
@@ -36,7 +36,7 @@
       aOut += ',';
     }
     first = false;
-    // Names are checked to need no JSON escapes.
+    // IsValidName() allows no character that needs a JSON escape.
     aOut += '"';
     aOut += name;
     aOut += "\":";
@@ -84,7 +84,7 @@
   }
   std::string text = patch.dump(-1, ' ', false, Json::error_handler_t::replace);
   if (text.size() > kMaxPatchBytes) {
-    return Error{ ErrorCode::TooLarge, "the patch is over 65536 bytes" };
+    return Error{ ErrorCode::TooLarge, "the patch is larger than 65536 bytes" };
   }
   return text;
 }
--- a/src/config/content_diff.cpp
+++ b/src/config/content_diff.cpp
@@ -9,8 +9,8 @@
 
 using Json = nlohmann::json;
 
-/// A merge patch keeps fields that it does not name, so those that are gone
-/// must be named with null.
+/// A merge patch keeps fields that it does not mention, so removed fields are
+/// set to null.
 Json
 EntityPatch(std::string_view aFrom, std::string_view aTo)
 {
@@ -24,12 +24,11 @@
   return patch;
 }
 
-/// Members of a JSON object, one after the other.
-class ObjectText
+/// Builds the text of a JSON object.
+class ObjectBuilder
 {
 public:
-  /// \param aValue JSON text; taken as it is, as reading it again would cost as
-  /// much as applying it: a whole configuration has some thousand of them.
+  /// \param aValue JSON text, inserted without parsing it again.
   void Add(const std::string& aName, std::string_view aValue)
   {
     m_text += m_text.empty() ? "" : ",";
@@ -46,12 +45,12 @@
 };
 
 template<class T>
-ObjectText
-EntitiesPatch(const EntityMap<T>& aFrom, const std::vector<NamedText>& aTo)
+ObjectBuilder
+EntitiesPatch(const EntityMap<T>& aFrom, const std::vector<EntityText>& aTo)
 {
-  ObjectText patch;
+  ObjectBuilder patch;
   std::set<std::string_view> kept;
-  for (const NamedText& each : aTo) {
+  for (const EntityText& each : aTo) {
     kept.insert(each.m_name);
     const auto found = aFrom.find(each.m_name);
     if (found == aFrom.end()) {
@@ -74,19 +73,20 @@
 std::string
 PatchBetween(const Content& aFrom, const ContentTexts& aTo)
 {
-  ObjectText patch;
+  ObjectBuilder patch;
   if (aFrom.LimitsText() != aTo.m_limits) {
     patch.Add("limits", EntityPatch(aFrom.LimitsText(), aTo.m_limits).dump());
   }
-  const ObjectText routes = EntitiesPatch(aFrom.Routes(), aTo.m_routes);
+  const ObjectBuilder routes = EntitiesPatch(aFrom.Routes(), aTo.m_routes);
   if (!routes.IsEmpty()) {
     patch.Add("routes", routes.Text());
   }
-  const ObjectText services = EntitiesPatch(aFrom.Services(), aTo.m_services);
+  const ObjectBuilder services =
+    EntitiesPatch(aFrom.Services(), aTo.m_services);
   if (!services.IsEmpty()) {
     patch.Add("services", services.Text());
   }
-  const ObjectText workspaces =
+  const ObjectBuilder workspaces =
     EntitiesPatch(aFrom.Workspaces(), aTo.m_workspaces);
   if (!workspaces.IsEmpty()) {
     patch.Add("workspaces", workspaces.Text());
--- a/src/config/content_patcher.cpp
+++ b/src/config/content_patcher.cpp
@@ -65,9 +65,9 @@
 }
 
 void
-ContentPatcher::Refuse(ReasonCode aCode,
-                       std::string aPlace,
-                       std::string aDetail)
+ContentPatcher::AddReason(ReasonCode aCode,
+                          std::string aPlace,
+                          std::string aDetail)
 {
   m_reasons.push_back(Reason{ aCode, std::move(aPlace), std::move(aDetail) });
 }
@@ -76,35 +76,35 @@
 ContentPatcher::Run(const Json& aPatch)
 {
   if (!aPatch.is_object()) {
-    Refuse(ReasonCode::NotAnObject, "", "a patch is a JSON object");
+    AddReason(ReasonCode::NotAnObject, "", "expected a JSON object");
     return m_reasons;
   }
   for (const auto& item : aPatch.items()) {
     if (item.key() == kServices) {
-      PatchAll(kServices, m_content.m_services, item.value());
+      PatchEntities(kServices, m_content.m_services, item.value());
     } else if (item.key() == kRoutes) {
-      PatchAll(kRoutes, m_content.m_routes, item.value());
+      PatchEntities(kRoutes, m_content.m_routes, item.value());
     } else if (item.key() == kWorkspaces) {
-      PatchAll(kWorkspaces, m_content.m_workspaces, item.value());
+      PatchEntities(kWorkspaces, m_content.m_workspaces, item.value());
     } else if (item.key() == kLimits) {
       PatchLimits(item.value());
     } else {
-      Refuse(ReasonCode::UnknownField,
-             "/" + PointerToken(item.key()),
-             "allowed: limits, routes, services, workspaces");
+      AddReason(ReasonCode::UnknownField,
+                "/" + PointerToken(item.key()),
+                "allowed: limits, routes, services, workspaces");
     }
   }
   CheckReferences();
-  CheckMatches();
-  CheckKeys();
+  CheckDuplicateMatches();
+  CheckDuplicateKeys();
   return m_reasons;
 }
 
 template<class T>
 void
-ContentPatcher::PatchAll(const char* aKind,
-                         EntityMap<T>& aEntities,
-                         const Json& aPatch)
+ContentPatcher::PatchEntities(const char* aKind,
+                              EntityMap<T>& aEntities,
+                              const Json& aPatch)
 {
   if (aPatch.is_null()) {
     while (!aEntities.empty()) {
@@ -113,40 +113,40 @@
     return;
   }
   if (!aPatch.is_object()) {
-    Refuse(ReasonCode::WrongType,
-           fmt::format("/{}", aKind),
-           "an object, or null to remove all, is needed");
+    AddReason(ReasonCode::WrongType,
+              fmt::format("/{}", aKind),
+              "expected an object, or null to remove all");
     return;
   }
   for (const auto& item : aPatch.items()) {
     const std::string place =
       fmt::format("/{}/{}", aKind, PointerToken(item.key()));
     if (!IsValidName(item.key())) {
-      Refuse(ReasonCode::BadName,
-             place,
-             "a name has 1 to 100 of a-z, 0-9, \"-\", \".\"");
+      AddReason(ReasonCode::BadName,
+                place,
+                "expected 1 to 100 characters of a-z, 0-9, \"-\", \".\"");
       continue;
     }
-    PatchOne(place, aKind, item.key(), aEntities, item.value());
+    PatchEntity(place, aKind, item.key(), aEntities, item.value());
   }
 }
 
 template<class T>
 void
-ContentPatcher::PatchOne(const std::string& aPlace,
-                         const char* aKind,
-                         const std::string& aName,
-                         EntityMap<T>& aEntities,
-                         const Json& aPatch)
+ContentPatcher::PatchEntity(const std::string& aPlace,
+                            const char* aKind,
+                            const std::string& aName,
+                            EntityMap<T>& aEntities,
+                            const Json& aPatch)
 {
   if (aPatch.is_null()) {
     Remove(aKind, aName, aEntities);
     return;
   }
   if (!aPatch.is_object()) {
-    Refuse(ReasonCode::WrongType,
-           aPlace,
-           "an object, or null to remove it, is needed");
+    AddReason(ReasonCode::WrongType,
+              aPlace,
+              "expected an object, or null to remove it");
     return;
   }
   Json object = Json::object();
@@ -162,9 +162,9 @@
   AddTo(m_content.m_digest, entity->m_digest);
   aEntities.emplace(aName, std::move(entity));
   if (aKind == kRoutes) {
-    m_touchedRoutes.insert(aName);
+    m_changedRoutes.insert(aName);
   } else if (aKind == kWorkspaces) {
-    m_touchedWorkspaces.insert(aName);
+    m_changedWorkspaces.insert(aName);
   } else {
     m_removedServices.erase(aName);
   }
@@ -192,7 +192,7 @@
 {
   Json object = Json::parse(m_content.m_limitsText);
   if (!aPatch.is_object() && !aPatch.is_null()) {
-    Refuse(ReasonCode::WrongType, "/limits", "an object or null is needed");
+    AddReason(ReasonCode::WrongType, "/limits", "expected an object or null");
     return;
   }
   if (aPatch.is_null()) {
@@ -201,8 +201,8 @@
     object.merge_patch(aPatch);
   }
   m_content.m_limits = ParseLimits(object, "/limits", m_reasons);
-  // The default "{}" counts as absent, so that a content that never had
-  // limits and one whose limits were removed have the same digest.
+  // "{}" has the digest of absent limits, so that removing the limits restores
+  // the digest of a content without them.
   const auto digestOf = [](const std::string& aText) {
     return aText == "{}" ? Digest{} : EntityDigest(kLimits, "", aText);
   };
@@ -215,7 +215,7 @@
 void
 ContentPatcher::CheckReferences()
 {
-  if (m_touchedRoutes.empty() && m_removedServices.empty()) {
+  if (m_changedRoutes.empty() && m_removedServices.empty()) {
     return;
   }
   for (const auto& [name, route] : m_content.m_routes) {
@@ -237,21 +237,21 @@
   if (m_content.m_services.contains(aService)) {
     return;
   }
-  if (m_touchedRoutes.contains(aRoute)) {
-    Refuse(ReasonCode::UnknownService,
-           fmt::format("/routes/{}/{}", aRoute, aField),
-           fmt::format("there is no service \"{}\"", aService));
+  if (m_changedRoutes.contains(aRoute)) {
+    AddReason(ReasonCode::UnknownService,
+              fmt::format("/routes/{}/{}", aRoute, aField),
+              fmt::format("service \"{}\" does not exist", aService));
   } else {
-    Refuse(ReasonCode::ServiceInUse,
-           fmt::format("/services/{}", aService),
-           fmt::format("route \"{}\" still names it", aRoute));
+    AddReason(ReasonCode::ServiceInUse,
+              fmt::format("/services/{}", aService),
+              fmt::format("route \"{}\" refers to it", aRoute));
   }
 }
 
 void
-ContentPatcher::CheckMatches()
+ContentPatcher::CheckDuplicateMatches()
 {
-  if (m_touchedRoutes.empty()) {
+  if (m_changedRoutes.empty()) {
     return;
   }
   std::map<std::string, std::string> seen;
@@ -260,19 +260,19 @@
       route->m_value.m_host + "\n" + route->m_value.m_path;
     const auto [other, isNew] = seen.emplace(match, name);
     if (!isNew) {
-      const bool touched = m_touchedRoutes.contains(name);
-      Refuse(ReasonCode::DuplicateMatch,
-             fmt::format("/routes/{}", touched ? name : other->second),
-             fmt::format("route \"{}\" has the same host and path",
-                         touched ? other->second : name));
+      const bool changed = m_changedRoutes.contains(name);
+      AddReason(ReasonCode::DuplicateMatch,
+                fmt::format("/routes/{}", changed ? name : other->second),
+                fmt::format("route \"{}\" has the same host and path",
+                            changed ? other->second : name));
     }
   }
 }
 
 void
-ContentPatcher::CheckKeys()
+ContentPatcher::CheckDuplicateKeys()
 {
-  if (m_touchedWorkspaces.empty()) {
+  if (m_changedWorkspaces.empty()) {
     return;
   }
   std::map<std::string_view, std::string> owners;
@@ -280,12 +280,12 @@
     for (const Digest& each : workspace->m_value.m_keys) {
       const auto [other, isNew] = owners.emplace(each.View(), name);
       if (!isNew && other->second != name) {
-        const bool touched = m_touchedWorkspaces.contains(name);
-        Refuse(
+        const bool changed = m_changedWorkspaces.contains(name);
+        AddReason(
           ReasonCode::DuplicateKey,
-          fmt::format("/workspaces/{}/keys", touched ? name : other->second),
+          fmt::format("/workspaces/{}/keys", changed ? name : other->second),
           fmt::format("workspace \"{}\" has the same key",
-                      touched ? other->second : name));
+                      changed ? other->second : name));
       }
     }
   }
--- a/src/config/content_patcher.hpp
+++ b/src/config/content_patcher.hpp
@@ -7,8 +7,8 @@
 
 namespace greengagehub {
 
-/// \brief Applies one merge patch to a content and collects every broken rule
-/// with its place, so that an operator mends all of them in one go.
+/// \brief Applies one merge patch to a content and collects all violations,
+/// each with its place.
 class ContentPatcher
 {
 public:
@@ -21,15 +21,15 @@
 
 private:
   template<class T>
-  void PatchAll(const char* aKind,
-                EntityMap<T>& aEntities,
-                const nlohmann::json& aPatch);
+  void PatchEntities(const char* aKind,
+                     EntityMap<T>& aEntities,
+                     const nlohmann::json& aPatch);
   template<class T>
-  void PatchOne(const std::string& aPlace,
-                const char* aKind,
-                const std::string& aName,
-                EntityMap<T>& aEntities,
-                const nlohmann::json& aPatch);
+  void PatchEntity(const std::string& aPlace,
+                   const char* aKind,
+                   const std::string& aName,
+                   EntityMap<T>& aEntities,
+                   const nlohmann::json& aPatch);
   template<class T>
   void Remove(const char* aKind,
               const std::string& aName,
@@ -39,15 +39,15 @@
   void CheckReference(const std::string& aRoute,
                       const char* aField,
                       const std::string& aService);
-  void CheckMatches();
-  void CheckKeys();
-  void Refuse(ReasonCode aCode, std::string aPlace, std::string aDetail);
+  void CheckDuplicateMatches();
+  void CheckDuplicateKeys();
+  void AddReason(ReasonCode aCode, std::string aPlace, std::string aDetail);
 
   Content& m_content;
   std::vector<Reason> m_reasons;
-  std::set<std::string> m_touchedRoutes;
+  std::set<std::string> m_changedRoutes;
   std::set<std::string> m_removedServices;
-  std::set<std::string> m_touchedWorkspaces;
+  std::set<std::string> m_changedWorkspaces;
 };
 
 }
--- a/src/config/decision.cpp
+++ b/src/config/decision.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Decision
-Blank(const DecisionLog& aLog, const Submission& aSubmission)
+MakeDecision(const DecisionLog& aLog, const Submission& aSubmission)
 {
   Decision decision;
   decision.m_sequence = aLog.m_nextSequence;
@@ -29,7 +29,7 @@
     if (each.m_accepted && each.m_entry.m_version == next) {
       return { ReasonCode::StaleBase,
                "",
-               fmt::format("version {} (patch \"{}\") came after base {}",
+               fmt::format("version {} (patch \"{}\") follows base {}",
                            next.m_number,
                            each.m_id,
                            aBase.m_number) };
@@ -52,7 +52,7 @@
   if (aBase > aLog.m_head) {
     return Reason{ ReasonCode::UnknownBase,
                    "",
-                   fmt::format("version {} had not been accepted; the head "
+                   fmt::format("base {} was not an accepted version; the head "
                                "was {}",
                                aBase.m_number,
                                aLog.m_head.m_number) };
@@ -75,7 +75,7 @@
 std::optional<std::vector<VersionEntry>>
 DecisionLog::EntriesAfter(Version aVersion) const
 {
-  if (aVersion < m_oldest) {
+  if (aVersion < m_archivedVersion) {
     return std::nullopt;
   }
   std::vector<VersionEntry> entries;
@@ -99,7 +99,7 @@
        const Content& aContent,
        const Submission& aSubmission)
 {
-  Decision decision = Blank(aLog, aSubmission);
+  Decision decision = MakeDecision(aLog, aSubmission);
   if (auto reason = CheckBase(aLog, aSubmission.m_base)) {
     decision.m_reasons.push_back(std::move(*reason));
     return decision;
--- a/src/config/decision_json.cpp
+++ b/src/config/decision_json.cpp
@@ -3,8 +3,8 @@
 
 #include <nlohmann/json.hpp>
 
-// The stored form of decisions. Parsing is strict about what it needs and
-// tolerant of fields that a later release may add.
+// JSON form of decisions in the store. The parser checks every field it needs
+// and ignores unknown ones.
 
 namespace greengagehub {
 
@@ -45,7 +45,7 @@
 }
 
 Digest
-DigestAt(FieldReader& aFields, const char* aName)
+ReadDigest(FieldReader& aFields, const char* aName)
 {
   const auto digest = ParseDigest(aFields.Text(aName));
   if (!digest) {
@@ -56,18 +56,18 @@
 }
 
 Version
-VersionAt(FieldReader& aFields, const char* aName)
+ReadVersion(FieldReader& aFields, const char* aName)
 {
   return Version{ aFields.Whole(aName) };
 }
 
 Outcome<Reason>
-ReasonFrom(const Json& aObject)
+ReadReason(const Json& aObject)
 {
   FieldReader fields{ aObject };
   const auto code = ParseReasonCode(fields.Text("code"));
   if (!code) {
-    fields.Note("code", "a known reason");
+    fields.Note("code", "a known reason code");
   }
   Reason reason{ code.value_or(ReasonCode::NotJson),
                  fields.Text("place"),
@@ -79,34 +79,34 @@
 }
 
 void
-TakeEntry(FieldReader& aFields, VersionEntry& aOut)
+ReadEntry(FieldReader& aFields, VersionEntry& aOut)
 {
-  aOut.m_version = VersionAt(aFields, "version");
+  aOut.m_version = ReadVersion(aFields, "version");
   aOut.m_patch = aFields.Text("patch");
-  aOut.m_chain = DigestAt(aFields, "chain");
-  aOut.m_content = DigestAt(aFields, "content");
+  aOut.m_chain = ReadDigest(aFields, "chain");
+  aOut.m_content = ReadDigest(aFields, "content");
 }
 
 Outcome<Decision>
-DecisionFrom(const Json& aObject)
+ReadDecision(const Json& aObject)
 {
   FieldReader fields{ aObject };
   Decision out;
   out.m_sequence = fields.Whole("sequence");
   out.m_id = fields.Text("id");
-  out.m_patchDigest = DigestAt(fields, "patch_digest");
-  out.m_base = VersionAt(fields, "base");
+  out.m_patchDigest = ReadDigest(fields, "patch_digest");
+  out.m_base = ReadVersion(fields, "base");
   out.m_author = fields.Text("author");
   out.m_at =
     WallTime{ std::chrono::milliseconds{ fields.Whole("at_ms", INT64_MAX) } };
   out.m_rules = static_cast<std::uint32_t>(fields.Whole("rules", UINT32_MAX));
-  out.m_head = VersionAt(fields, "head");
+  out.m_head = ReadVersion(fields, "head");
   out.m_accepted = fields.Flag("accepted");
   if (out.m_accepted) {
-    TakeEntry(fields, out.m_entry);
+    ReadEntry(fields, out.m_entry);
   } else {
     for (const Json& each : fields.List("reasons")) {
-      auto reason = ReasonFrom(each);
+      auto reason = ReadReason(each);
       if (!reason) {
         return reason.error();
       }
@@ -120,11 +120,11 @@
 }
 
 Outcome<std::vector<Decision>>
-DecisionsFrom(const Json& aArray)
+ReadDecisions(const Json& aArray)
 {
   std::vector<Decision> out;
   for (const Json& each : aArray) {
-    auto decision = DecisionFrom(each);
+    auto decision = ReadDecision(each);
     if (!decision) {
       return decision.error();
     }
@@ -144,21 +144,21 @@
 }
 
 Outcome<DecisionLog>
-LogFrom(const Json& aObject)
+ReadLog(const Json& aObject)
 {
   FieldReader fields{ aObject };
   if (fields.Whole("format") != kFormat) {
-    fields.Note("format", "the format of this release");
+    fields.Note("format", "a supported format");
   }
   DecisionLog log;
-  log.m_head = VersionAt(fields, "head");
-  log.m_chain = DigestAt(fields, "chain");
-  log.m_content = DigestAt(fields, "content");
+  log.m_head = ReadVersion(fields, "head");
+  log.m_chain = ReadDigest(fields, "chain");
+  log.m_content = ReadDigest(fields, "content");
   log.m_nextSequence = fields.Whole("next_sequence");
-  log.m_oldest = VersionAt(fields, "oldest");
-  log.m_priorSnapshot = VersionAt(fields, "prior_snapshot");
-  log.m_snapshot = VersionAt(fields, "snapshot");
-  auto decisions = DecisionsFrom(fields.List("decisions"));
+  log.m_archivedVersion = ReadVersion(fields, "oldest");
+  log.m_previousSnapshot = ReadVersion(fields, "prior_snapshot");
+  log.m_snapshot = ReadVersion(fields, "snapshot");
+  auto decisions = ReadDecisions(fields.List("decisions"));
   if (!fields.Fault().empty()) {
     return Error{ ErrorCode::Corrupt, fields.Fault() };
   }
@@ -197,9 +197,9 @@
                     { "chain", ToHex(aLog.m_chain) },
                     { "content", ToHex(aLog.m_content) },
                     { "next_sequence", aLog.m_nextSequence },
-                    { "oldest", aLog.m_oldest.m_number },
+                    { "oldest", aLog.m_archivedVersion.m_number },
                     { "snapshot", aLog.m_snapshot.m_number },
-                    { "prior_snapshot", aLog.m_priorSnapshot.m_number },
+                    { "prior_snapshot", aLog.m_previousSnapshot.m_number },
                     { "decisions", ToJson(aLog.m_decisions) } });
 }
 
@@ -208,9 +208,9 @@
 {
   const Json json = Json::parse(aText, nullptr, false);
   if (!json.is_object()) {
-    return Error{ ErrorCode::Corrupt, "a log is a JSON object" };
+    return Error{ ErrorCode::Corrupt, "decision log: expected a JSON object" };
   }
-  return LogFrom(json);
+  return ReadLog(json);
 }
 
 Outcome<std::vector<Decision>>
@@ -218,9 +218,9 @@
 {
   const Json json = Json::parse(aText, nullptr, false);
   if (!json.is_array()) {
-    return Error{ ErrorCode::Corrupt, "decisions are a JSON list" };
+    return Error{ ErrorCode::Corrupt, "decisions: expected a JSON array" };
   }
-  return DecisionsFrom(json);
+  return ReadDecisions(json);
 }
 
 }
--- a/src/config/decision_process.cpp
+++ b/src/config/decision_process.cpp
@@ -8,13 +8,12 @@
 
 using Status = StoreReply::Status;
 
-/// Rounds through the log before an operator is told to ask again; each lost
-/// swap means that another decision got through, so this bounds one call and
-/// starves nobody for good.
+/// Attempts per operator request. Each conflict means that another decision was
+/// recorded, so the limit only bounds the duration of one request.
 constexpr std::uint32_t kMaxAttempts = 64;
 
 bool
-IsLost(const StoreReply& aReply)
+IsFailed(const StoreReply& aReply)
 {
   return aReply.m_status == Status::Unavailable ||
          aReply.m_status == Status::Unknown;
@@ -39,24 +38,24 @@
 DecisionProcess::Step
 DecisionProcess::Start()
 {
-  return Ask(State::ReadLog, MakeGet(std::string{ kLogKey }));
+  return Request(State::ReadLog, MakeGet(std::string{ kLogKey }));
 }
 
 DecisionProcess::Step
-DecisionProcess::Ask(State aState, StoreRequest aRequest)
+DecisionProcess::Request(State aState, StoreRequest aRequest)
 {
   m_state = aState;
   return aRequest;
 }
 
 DecisionProcess::Step
-DecisionProcess::Tell(DecisionAnswer::Kind aKind, std::string aDetail)
+DecisionProcess::Answer(DecisionAnswer::Kind aKind, std::string aDetail)
 {
   return DecisionAnswer{ aKind, {}, std::move(aDetail) };
 }
 
 DecisionProcess::Step
-DecisionProcess::TellDecision(const Decision& aDecision)
+DecisionProcess::AnswerDecision(const Decision& aDecision)
 {
   DecisionAnswer answer{ DecisionAnswer::Kind::Decided, aDecision, {} };
   if (m_submission) {
@@ -78,8 +77,8 @@
 DecisionProcess::Retry()
 {
   if (++m_attempts >= kMaxAttempts) {
-    return Tell(DecisionAnswer::Kind::NotKnown,
-                "too many others decide at once; ask about this id again");
+    return Answer(DecisionAnswer::Kind::NotKnown,
+                  "too many concurrent decisions; look up this id again");
   }
   return Start();
 }
@@ -90,8 +89,8 @@
   if (m_state == State::Swap) {
     return OnSwap(aReply);
   }
-  if (IsLost(aReply)) {
-    return Tell(DecisionAnswer::Kind::NotKnown, "the store does not answer");
+  if (IsFailed(aReply)) {
+    return Answer(DecisionAnswer::Kind::NotKnown, "the store does not answer");
   }
   switch (m_state) {
     case State::ReadLog:
@@ -109,19 +108,19 @@
 }
 
 bool
-DecisionProcess::IsBehind() const
+DecisionProcess::IsStoreBehind() const
 {
-  // A store restored from an old backup, or emptied, shows as a head below
-  // what proxies run, or as another history at the same number. Deciding on
-  // it would give one version number to two patches.
-  const Version held = m_active->m_version;
-  if (m_log.m_head < held) {
+  // A store that was emptied or restored from a backup has a lower head than
+  // the proxies, or another history. Deciding on it would assign a version
+  // number twice.
+  const Version active = m_active->m_version;
+  if (m_log.m_head < active) {
     return true;
   }
-  if (m_log.m_head == held) {
+  if (m_log.m_head == active) {
     return m_log.m_chain != m_active->m_chain;
   }
-  const auto entries = m_log.EntriesAfter(held);
+  const auto entries = m_log.EntriesAfter(active);
   if (!entries || entries->empty()) {
     return false;
   }
@@ -138,15 +137,15 @@
   if (aReply.m_status == Status::Ok) {
     auto log = ParseLog(aReply.m_value);
     if (!log) {
-      return Tell(DecisionAnswer::Kind::StoreCorrupt, log.error().m_message);
+      return Answer(DecisionAnswer::Kind::StoreCorrupt, log.error().m_message);
     }
     m_log = std::move(log.value());
     m_revision = aReply.m_revision;
   }
   if (const Decision* known = m_log.Find(m_id)) {
-    return TellDecision(*known);
+    return AnswerDecision(*known);
   }
-  return Ask(State::ReadIndex, MakeGet(IndexKey(m_id)));
+  return Request(State::ReadIndex, MakeGet(IndexKey(m_id)));
 }
 
 DecisionProcess::Step
@@ -163,9 +162,9 @@
 DecisionProcess::NextSegment()
 {
   if (m_segments.empty()) {
-    return NotRecorded();
+    return OnNotRecorded();
   }
-  return Ask(State::ReadSegment, MakeGet(ArchiveKey(m_segments.back())));
+  return Request(State::ReadSegment, MakeGet(ArchiveKey(m_segments.back())));
 }
 
 DecisionProcess::Step
@@ -173,42 +172,42 @@
 {
   m_segments.pop_back();
   if (aReply.m_status != Status::Ok) {
-    return Tell(DecisionAnswer::Kind::StoreCorrupt,
-                "an archive segment that the index names is missing");
+    return Answer(DecisionAnswer::Kind::StoreCorrupt,
+                  "the index refers to an archive segment that does not exist");
   }
   const auto text = Decompress(aReply.m_value, kMaxUnpackedBytes);
   if (!text) {
-    return Tell(DecisionAnswer::Kind::StoreCorrupt, text.error().m_message);
+    return Answer(DecisionAnswer::Kind::StoreCorrupt, text.error().m_message);
   }
   const auto decisions = ParseDecisions(text.value());
   if (!decisions) {
-    return Tell(DecisionAnswer::Kind::StoreCorrupt,
-                decisions.error().m_message);
+    return Answer(DecisionAnswer::Kind::StoreCorrupt,
+                  decisions.error().m_message);
   }
   for (const Decision& each : decisions.value()) {
     if (each.m_id == m_id) {
-      return TellDecision(each);
+      return AnswerDecision(each);
     }
   }
   return NextSegment();
 }
 
 DecisionProcess::Step
-DecisionProcess::NotRecorded()
+DecisionProcess::OnNotRecorded()
 {
   if (!m_submission) {
-    return Tell(DecisionAnswer::Kind::NotDecided,
-                "no decision is recorded under this id");
+    return Answer(DecisionAnswer::Kind::NotDecided,
+                  "no decision is recorded under this id");
   }
-  if (IsBehind()) {
-    return Tell(DecisionAnswer::Kind::StoreBehind,
-                fmt::format("the store's head {} is not on the history that "
-                            "this proxy runs at version {}",
-                            m_log.m_head.m_number,
-                            m_active->m_version.m_number));
+  if (IsStoreBehind()) {
+    return Answer(DecisionAnswer::Kind::StoreBehind,
+                  fmt::format("the store's head {} is not in the history of "
+                              "version {}, which this proxy runs",
+                              m_log.m_head.m_number,
+                              m_active->m_version.m_number));
   }
   if (m_log.EntriesAfter(m_active->m_version)) {
-    return DecideNow(m_active->m_content, m_active->m_version);
+    return DecideAndSwap(m_active->m_content, m_active->m_version);
   }
   m_snapshot = SnapshotReader{ m_log.m_snapshot };
   return OnSnapshot(m_snapshot.Start());
@@ -218,31 +217,34 @@
 DecisionProcess::OnSnapshot(SnapshotReader::Step aStep)
 {
   if (auto* request = std::get_if<StoreRequest>(&aStep)) {
-    return Ask(State::ReadSnapshot, std::move(*request));
+    return Request(State::ReadSnapshot, std::move(*request));
   }
   const SnapshotRead& read = std::get<SnapshotRead>(aStep);
   switch (read.m_status) {
     case SnapshotRead::Status::Gone:
-      // The log moved on and this snapshot was dropped meanwhile.
+      // A newer snapshot replaced this one after the log was read.
       return Retry();
     case SnapshotRead::Status::Lost:
-      return Tell(DecisionAnswer::Kind::NotKnown, "the store does not answer");
+      return Answer(DecisionAnswer::Kind::NotKnown,
+                    "the store does not answer");
     case SnapshotRead::Status::Corrupt:
-      return Tell(DecisionAnswer::Kind::StoreCorrupt, "a damaged snapshot");
+      return Answer(DecisionAnswer::Kind::StoreCorrupt,
+                    "the snapshot is damaged");
     case SnapshotRead::Status::Ok:
       break;
   }
   Content content;
-  const bool whole = content.Apply(read.m_text).empty() &&
-                     content.GetDigest() == read.m_head.m_content;
-  if (!whole) {
-    return Tell(DecisionAnswer::Kind::StoreCorrupt, "a damaged snapshot");
+  const bool isValid = content.Apply(read.m_text).empty() &&
+                       content.GetDigest() == read.m_head.m_content;
+  if (!isValid) {
+    return Answer(DecisionAnswer::Kind::StoreCorrupt,
+                  "the snapshot is damaged");
   }
-  return DecideNow(std::move(content), read.m_head.m_version);
+  return DecideAndSwap(std::move(content), read.m_head.m_version);
 }
 
 DecisionProcess::Step
-DecisionProcess::DecideNow(Content aContent, Version aFrom)
+DecisionProcess::DecideAndSwap(Content aContent, Version aFrom)
 {
   const auto entries = m_log.EntriesAfter(aFrom);
   if (!entries) {
@@ -250,32 +252,33 @@
   }
   for (const VersionEntry& each : *entries) {
     if (!aContent.Apply(each.m_patch).empty()) {
-      return Tell(DecisionAnswer::Kind::StoreCorrupt,
-                  fmt::format("version {} in the store does not apply",
-                              each.m_version.m_number));
+      return Answer(
+        DecisionAnswer::Kind::StoreCorrupt,
+        fmt::format("the patch of version {} in the store does not apply",
+                    each.m_version.m_number));
     }
   }
   if (aContent.GetDigest() != m_log.m_content) {
-    return Tell(DecisionAnswer::Kind::StoreCorrupt,
-                "the store's content does not match its digest");
+    return Answer(DecisionAnswer::Kind::StoreCorrupt,
+                  "the content in the store does not match its digest");
   }
-  m_decided = Decide(m_log, aContent, *m_submission);
-  m_log = WithDecision(std::move(m_log), m_decided);
-  return Ask(State::Swap,
-             MakePut(std::string{ kLogKey }, LogToJson(m_log), m_revision));
+  m_newDecision = Decide(m_log, aContent, *m_submission);
+  m_log = WithDecision(std::move(m_log), m_newDecision);
+  return Request(State::Swap,
+                 MakePut(std::string{ kLogKey }, LogToJson(m_log), m_revision));
 }
 
 DecisionProcess::Step
 DecisionProcess::OnSwap(const StoreReply& aReply)
 {
   if (aReply.m_status == Status::Ok) {
-    return TellDecision(m_decided);
+    return AnswerDecision(m_newDecision);
   }
   if (aReply.m_status == Status::Unavailable) {
-    return Tell(DecisionAnswer::Kind::NotKnown, "the store does not answer");
+    return Answer(DecisionAnswer::Kind::NotKnown, "the store does not answer");
   }
-  // Conflict, or the answer was lost after the write may have taken effect:
-  // only the log can tell, and it knows the id if the write got through.
+  // Conflict, or a lost answer to a write that may have taken effect. If it
+  // did, the retry finds the id in the log.
   return Retry();
 }
 
--- a/src/config/entity_parser.cpp
+++ b/src/config/entity_parser.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxName = 100;
-constexpr std::size_t kMaxPath = 500;
+constexpr std::size_t kMaxNameBytes = 100;
+constexpr std::size_t kMaxPathBytes = 500;
 constexpr std::uint32_t kMaxSlots = 100'000;
 constexpr std::uint32_t kMaxDeadlineMs = 600'000;
 constexpr std::uint32_t kMaxHops = 100;
@@ -27,10 +27,10 @@
 }
 
 void
-ParseClass(FieldReader& aReader, Route& aRoute)
+ParseClass(EntityReader& aReader, Route& aRoute)
 {
   std::string name{ NameOf(aRoute.m_class) };
-  aReader.Text("class", name, kMaxName);
+  aReader.Text("class", name, kMaxNameBytes);
   for (const CallClass each :
        { CallClass::Critical, CallClass::Lookup, CallClass::Export }) {
     if (name == NameOf(each)) {
@@ -38,13 +38,13 @@
       return;
     }
   }
-  aReader.Refuse(ReasonCode::OutOfRange,
-                 "class",
-                 "allowed: \"critical\", \"lookup\", \"export\"");
+  aReader.AddReason(ReasonCode::OutOfRange,
+                    "class",
+                    "allowed: \"critical\", \"lookup\", \"export\"");
 }
 
 void
-ParseKeys(FieldReader& aReader, Workspace& aWorkspace)
+ParseKeys(EntityReader& aReader, Workspace& aWorkspace)
 {
   constexpr const char* kName = "keys";
   const nlohmann::json* keys = aReader.Value(kName);
@@ -52,19 +52,20 @@
     return;
   }
   if (!keys->is_array() || keys->size() > kMaxKeys) {
-    aReader.Refuse(ReasonCode::WrongType,
-                   kName,
-                   fmt::format("a list of up to {} digests", kMaxKeys));
+    aReader.AddReason(
+      ReasonCode::WrongType,
+      kName,
+      fmt::format("expected an array of up to {} digests", kMaxKeys));
     return;
   }
   for (const nlohmann::json& each : *keys) {
     const auto digest =
       ParseDigest(each.is_string() ? each.get<std::string>() : std::string{});
     if (!digest) {
-      // The entry itself may be a key by mistake, and stays unnamed.
-      aReader.Refuse(ReasonCode::OutOfRange,
-                     kName,
-                     "a key is the SHA-256 of its text, in hexadecimal");
+      // The value is not reported: it may be a plain-text key.
+      aReader.AddReason(ReasonCode::OutOfRange,
+                        kName,
+                        "expected the SHA-256 of each key, in hexadecimal");
       return;
     }
     aWorkspace.m_keys.push_back(digest.value());
@@ -72,7 +73,7 @@
 }
 
 void
-ParseSplit(FieldReader& aReader, Route& aRoute)
+ParseSplit(EntityReader& aReader, Route& aRoute)
 {
   constexpr const char* kName = "split";
   const nlohmann::json* split = aReader.Value(kName);
@@ -80,17 +81,18 @@
     return;
   }
   if (!split->is_object() || split->empty()) {
-    aReader.Refuse(
-      ReasonCode::WrongType, kName, "an object of services and their weights");
+    aReader.AddReason(ReasonCode::WrongType,
+                      kName,
+                      "expected an object of services and their weights");
     return;
   }
   for (const auto& part : split->items()) {
     const bool fits = part.value().is_number_unsigned() &&
                       part.value().get<std::uint64_t>() <= kMaxWeight;
     if (!fits) {
-      aReader.Refuse(ReasonCode::OutOfRange,
-                     kName,
-                     fmt::format("allowed as a weight: 0 to {}", kMaxWeight));
+      aReader.AddReason(ReasonCode::OutOfRange,
+                        kName,
+                        fmt::format("allowed weights: 0 to {}", kMaxWeight));
       return;
     }
     aRoute.m_split.push_back({ part.key(), part.value().get<std::uint32_t>() });
@@ -99,9 +101,9 @@
 
 }
 
-FieldReader::FieldReader(const nlohmann::json& aObject,
-                         std::string aPlace,
-                         std::vector<Reason>& aReasons)
+EntityReader::EntityReader(const nlohmann::json& aObject,
+                           std::string aPlace,
+                           std::vector<Reason>& aReasons)
   : m_object(aObject)
   , m_place(std::move(aPlace))
   , m_reasons(aReasons)
@@ -109,85 +111,90 @@
 }
 
 const nlohmann::json*
-FieldReader::Find(const char* aName)
+EntityReader::Find(const char* aName)
 {
-  m_known.emplace_back(aName);
+  m_allowed.emplace_back(aName);
   const auto found = m_object.find(aName);
   return found == m_object.end() ? nullptr : &*found;
 }
 
 void
-FieldReader::Refuse(ReasonCode aCode, const char* aName, std::string aDetail)
+EntityReader::AddReason(ReasonCode aCode,
+                        const char* aName,
+                        std::string aDetail)
 {
   m_reasons.push_back(
     Reason{ aCode, fmt::format("{}/{}", m_place, aName), std::move(aDetail) });
 }
 
 void
-FieldReader::Number(const char* aName,
-                    std::uint32_t& aTarget,
-                    std::uint32_t aLow,
-                    std::uint32_t aHigh)
+EntityReader::Number(const char* aName,
+                     std::uint32_t& aTarget,
+                     std::uint32_t aLow,
+                     std::uint32_t aHigh)
 {
   const nlohmann::json* value = Find(aName);
   if (value == nullptr) {
     return;
   }
   if (!value->is_number_integer()) {
-    Refuse(ReasonCode::WrongType, aName, "a whole number is needed");
+    AddReason(ReasonCode::WrongType, aName, "expected an integer");
     return;
   }
   const bool tooLarge =
     value->is_number_unsigned() && value->get<std::uint64_t>() > aHigh;
   if (tooLarge || value->get<std::int64_t>() < aLow) {
-    Refuse(ReasonCode::OutOfRange,
-           aName,
-           fmt::format("allowed: {} to {}", aLow, aHigh));
+    AddReason(ReasonCode::OutOfRange,
+              aName,
+              fmt::format("allowed: {} to {}", aLow, aHigh));
     return;
   }
   aTarget = value->get<std::uint32_t>();
 }
 
 void
-FieldReader::Real(const char* aName, double& aTarget, double aHigh)
+EntityReader::Real(const char* aName, double& aTarget, double aHigh)
 {
   const nlohmann::json* value = Find(aName);
   if (value == nullptr) {
     return;
   }
   if (!value->is_number()) {
-    Refuse(ReasonCode::WrongType, aName, "a number is needed");
+    AddReason(ReasonCode::WrongType, aName, "expected a number");
     return;
   }
   const double number = value->get<double>();
   if (number < 0.0 || number > aHigh) {
-    Refuse(
-      ReasonCode::OutOfRange, aName, fmt::format("allowed: 0 to {}", aHigh));
+    AddReason(ReasonCode::OutOfRange,
+              aName,
+              fmt::format("allowed: 0 to {}, got {}", aHigh, number));
     return;
   }
   aTarget = number;
 }
 
 void
-FieldReader::Text(const char* aName, std::string& aTarget, std::size_t aMax)
+EntityReader::Text(const char* aName, std::string& aTarget, std::size_t aMax)
 {
   const nlohmann::json* value = Find(aName);
   if (value == nullptr) {
     return;
   }
   if (!value->is_string()) {
-    Refuse(ReasonCode::WrongType, aName, "a string is needed");
+    AddReason(ReasonCode::WrongType, aName, "expected a string");
     return;
   }
   aTarget = value->get<std::string>();
   if (aTarget.size() > aMax) {
-    Refuse(
-      ReasonCode::OutOfRange, aName, fmt::format("allowed: {} bytes", aMax));
+    AddReason(
+      ReasonCode::OutOfRange,
+      aName,
+      fmt::format("allowed: up to {} bytes, got {}", aMax, aTarget.size()));
   }
 }
 
 void
-FieldReader::Flag(const char* aName, bool& aTarget, bool& aPresent)
+EntityReader::Flag(const char* aName, bool& aTarget, bool& aPresent)
 {
   const nlohmann::json* value = Find(aName);
   aPresent = value != nullptr;
@@ -195,22 +202,22 @@
     return;
   }
   if (!value->is_boolean()) {
-    Refuse(ReasonCode::WrongType, aName, "true or false is needed");
+    AddReason(ReasonCode::WrongType, aName, "expected true or false");
     return;
   }
   aTarget = value->get<bool>();
 }
 
 void
-FieldReader::Finish()
+EntityReader::Finish()
 {
   for (const auto& item : m_object.items()) {
-    if (std::find(m_known.begin(), m_known.end(), item.key()) ==
-        m_known.end()) {
+    if (std::find(m_allowed.begin(), m_allowed.end(), item.key()) ==
+        m_allowed.end()) {
       m_reasons.push_back(
         Reason{ ReasonCode::UnknownField,
                 fmt::format("{}/{}", m_place, PointerToken(item.key())),
-                fmt::format("allowed: {}", fmt::join(m_known, ", ")) });
+                fmt::format("allowed: {}", fmt::join(m_allowed, ", ")) });
     }
   }
 }
@@ -221,11 +228,11 @@
              std::vector<Reason>& aReasons)
 {
   Service service;
-  FieldReader reader{ aObject, aPlace, aReasons };
+  EntityReader reader{ aObject, aPlace, aReasons };
   reader.Number("slots", service.m_slots, 1, kMaxSlots);
   reader.Number("queue", service.m_queue, 0, kMaxSlots);
   reader.Number("connections", service.m_connections, 1, kMaxSlots);
-  reader.Text("health_path", service.m_healthPath, kMaxPath);
+  reader.Text("health_path", service.m_healthPath, kMaxPathBytes);
   reader.Finish();
   return service;
 }
@@ -236,15 +243,15 @@
            std::vector<Reason>& aReasons)
 {
   Route route;
-  FieldReader reader{ aObject, aPlace, aReasons };
-  reader.Text("host", route.m_host, kMaxName);
-  reader.Text("path", route.m_path, kMaxPath);
-  reader.Text("service", route.m_service, kMaxName);
+  EntityReader reader{ aObject, aPlace, aReasons };
+  reader.Text("host", route.m_host, kMaxNameBytes);
+  reader.Text("path", route.m_path, kMaxPathBytes);
+  reader.Text("service", route.m_service, kMaxNameBytes);
   ParseClass(reader, route);
   bool idempotent = false;
-  bool present = false;
-  reader.Flag("idempotent", idempotent, present);
-  if (present) {
+  bool hasIdempotent = false;
+  reader.Flag("idempotent", idempotent, hasIdempotent);
+  if (hasIdempotent) {
     route.m_idempotency =
       idempotent ? Route::Idempotency::Yes : Route::Idempotency::No;
   }
@@ -257,23 +264,25 @@
   reader.Number("attempts", route.m_attempts, 0, kMaxAttempts);
   route.m_priority = static_cast<std::uint32_t>(route.m_class);
   reader.Number("priority", route.m_priority, 0, kMaxPriority);
-  bool isPublicGiven = false;
-  reader.Flag("public", route.m_public, isPublicGiven);
+  bool hasPublic = false;
+  reader.Flag("public", route.m_public, hasPublic);
   ParseSplit(reader, route);
   if (route.m_service.empty() == route.m_split.empty()) {
-    reader.Refuse(ReasonCode::MissingField,
-                  "service",
-                  "a route names its service, or else a split");
+    reader.AddReason(ReasonCode::MissingField,
+                     "service",
+                     "expected exactly one of \"service\" and \"split\"");
   }
   if (route.m_path.empty() || route.m_path.front() != '/') {
-    reader.Refuse(ReasonCode::OutOfRange, "path", "a path starts with \"/\"");
+    reader.AddReason(
+      ReasonCode::OutOfRange, "path", "expected a path that starts with \"/\"");
   }
   const bool anyUpper =
     std::any_of(route.m_host.begin(), route.m_host.end(), [](char aChar) {
       return aChar >= 'A' && aChar <= 'Z';
     });
   if (anyUpper) {
-    reader.Refuse(ReasonCode::OutOfRange, "host", "a host is lower case");
+    reader.AddReason(
+      ReasonCode::OutOfRange, "host", "expected a host in lower case");
   }
   reader.Finish();
   return route;
@@ -285,7 +294,7 @@
                std::vector<Reason>& aReasons)
 {
   Workspace workspace;
-  FieldReader reader{ aObject, aPlace, aReasons };
+  EntityReader reader{ aObject, aPlace, aReasons };
   ParseKeys(reader, workspace);
   reader.Number("priority", workspace.m_priority, 0, kMaxPriority);
   reader.Real("per_second", workspace.m_perSecond, kMaxRate);
@@ -300,7 +309,7 @@
             std::vector<Reason>& aReasons)
 {
   Limits limits;
-  FieldReader reader{ aObject, aPlace, aReasons };
+  EntityReader reader{ aObject, aPlace, aReasons };
   reader.Number("retry_percent", limits.m_retryPercent, 0, 100);
   reader.Number("max_depth", limits.m_maxDepth, 1, kMaxHops);
   reader.Number("max_head_bytes", limits.m_maxHeadBytes, 0, kMaxBytes);
@@ -318,7 +327,7 @@
 bool
 IsValidName(std::string_view aName) noexcept
 {
-  if (aName.empty() || aName.size() > kMaxName) {
+  if (aName.empty() || aName.size() > kMaxNameBytes) {
     return false;
   }
   if (aName.front() == '-' || aName.front() == '.') {
--- a/src/config/entity_parser.hpp
+++ b/src/config/entity_parser.hpp
@@ -7,32 +7,35 @@
 
 namespace greengagehub {
 
-/// \brief Reads the fields of one JSON object, reporting each fault with its
-/// place; a field that nobody asked for is a fault as well.
-class FieldReader
+/// \brief Reads the fields of one JSON object and reports invalid and unknown
+/// ones. Targets keep their value when a field is absent.
+class EntityReader
 {
 public:
-  FieldReader(const nlohmann::json& aObject,
-              std::string aPlace,
-              std::vector<Reason>& aReasons);
+  EntityReader(const nlohmann::json& aObject,
+               std::string aPlace,
+               std::vector<Reason>& aReasons);
 
-  /// \brief Reads a whole number in [aLow, aHigh] when the field is there.
+  /// \brief Reads an integer in [aLow, aHigh].
   void Number(const char* aName,
               std::uint32_t& aTarget,
               std::uint32_t aLow,
               std::uint32_t aHigh);
-  /// \brief Reads a number, whole or not, in [0, aHigh] when it is there.
+  /// \brief Reads a number in [0, aHigh].
   void Real(const char* aName, double& aTarget, double aHigh);
+  /// \brief Reads a string of up to `aMax` bytes.
   void Text(const char* aName, std::string& aTarget, std::size_t aMax);
+  /// \brief Reads a boolean.
+  /// \param aPresent set to whether the field is there.
   void Flag(const char* aName, bool& aTarget, bool& aPresent);
-  /// \returns The field as it is, or nullptr when it is not there.
+  /// \returns The unchecked field, or nullptr when it is absent.
   [[nodiscard]] const nlohmann::json* Value(const char* aName)
   {
     return Find(aName);
   }
-  /// \brief Reports every field that was not read.
+  /// \brief Reports every field that was not read as unknown.
   void Finish();
-  void Refuse(ReasonCode aCode, const char* aName, std::string aDetail);
+  void AddReason(ReasonCode aCode, const char* aName, std::string aDetail);
 
 private:
   const nlohmann::json* Find(const char* aName);
@@ -40,7 +43,7 @@
   const nlohmann::json& m_object;
   std::string m_place;
   std::vector<Reason>& m_reasons;
-  std::vector<std::string> m_known;
+  std::vector<std::string> m_allowed;
 };
 
 [[nodiscard]] Service
@@ -60,12 +63,13 @@
             const std::string& aPlace,
             std::vector<Reason>& aReasons);
 
-/// \brief A name has 1 to 100 of a-z, 0-9, '-', '.', and starts with a letter
-/// or digit: it needs no escape in JSON, a URL or a metric label.
+/// \returns Whether the name has 1 to 100 characters of a-z, 0-9, '-', '.', and
+/// starts with a letter or digit. Such a name needs no escape in JSON, a URL or
+/// a metric label.
 [[nodiscard]] bool
 IsValidName(std::string_view aName) noexcept;
 
-/// \returns The name with RFC 6901 escapes, for a place.
+/// \returns The name as a JSON pointer token (RFC 6901).
 [[nodiscard]] std::string
 PointerToken(std::string_view aName);
 
--- a/src/config/pack_process.cpp
+++ b/src/config/pack_process.cpp
@@ -8,9 +8,9 @@
 
 using Status = StoreReply::Status;
 
-/// How many of the oldest decisions have to go so that the rest is small.
+/// \returns Number of oldest decisions to archive to get below the low mark.
 std::size_t
-CountToPack(const DecisionLog& aLog, const PackLimits& aLimits)
+CountToArchive(const DecisionLog& aLog, const PackLimits& aLimits)
 {
   std::size_t bytes = LogToJson(aLog).size();
   if (bytes <= aLimits.m_highBytes) {
@@ -18,8 +18,9 @@
   }
   std::size_t count = 0;
   while (count < aLog.m_decisions.size() && bytes > aLimits.m_lowBytes) {
-    const std::size_t own = DecisionToJson(aLog.m_decisions[count]).size();
-    bytes -= std::min(bytes, own);
+    const std::size_t entryBytes =
+      DecisionToJson(aLog.m_decisions[count]).size();
+    bytes -= std::min(bytes, entryBytes);
     ++count;
   }
   return count;
@@ -36,11 +37,11 @@
 PackProcess::Step
 PackProcess::Start()
 {
-  return Ask(State::ReadLog, MakeGet(std::string{ kLogKey }));
+  return Request(State::ReadLog, MakeGet(std::string{ kLogKey }));
 }
 
 PackProcess::Step
-PackProcess::Ask(State aState, StoreRequest aRequest)
+PackProcess::Request(State aState, StoreRequest aRequest)
 {
   m_state = aState;
   return aRequest;
@@ -49,10 +50,10 @@
 PackProcess::Step
 PackProcess::On(const StoreReply& aReply)
 {
-  const bool lost = aReply.m_status == Status::Unavailable ||
-                    aReply.m_status == Status::Unknown;
-  if (lost) {
-    return Result::GaveUp;
+  const bool failed = aReply.m_status == Status::Unavailable ||
+                      aReply.m_status == Status::Unknown;
+  if (failed) {
+    return Result::Aborted;
   }
   const bool conflict = aReply.m_status == Status::Conflict;
   switch (m_state) {
@@ -60,8 +61,8 @@
       return OnLog(aReply);
     case State::WriteSegment:
       if (conflict) {
-        return Ask(State::ReadSegment,
-                   MakeGet(ArchiveKey(m_packed.front().m_sequence)));
+        return Request(State::ReadSegment,
+                       MakeGet(ArchiveKey(m_archived.front().m_sequence)));
       }
       return NextIndex();
     case State::ReadSegment:
@@ -70,7 +71,7 @@
       return OnIndexRead(aReply);
     case State::WriteIndex:
       if (!conflict) {
-        ++m_indexed;
+        ++m_indexedCount;
       }
       return NextIndex();
     case State::WritePart:
@@ -79,21 +80,21 @@
     case State::WriteManifest:
       return SwapLog();
     case State::Swap:
-      return conflict ? Step{ Result::GaveUp } : DropOldSnapshot();
-    case State::DropManifest:
-      return DropNextPart();
-    case State::DropPart:
-      return aReply.m_status == Status::Ok ? DropNextPart()
+      return conflict ? Step{ Result::Aborted } : DeleteStaleSnapshot();
+    case State::DeleteManifest:
+      return DeleteNextPart();
+    case State::DeletePart:
+      return aReply.m_status == Status::Ok ? DeleteNextPart()
                                            : Step{ Result::Packed };
   }
-  return Result::GaveUp;
+  return Result::Aborted;
 }
 
 bool
 PackProcess::CanSnapshot() const
 {
-  // The snapshot is taken from what this proxy runs: that must be a version
-  // of the log's own history, at or past the last one that is to leave.
+  // The snapshot is the active content, so its version must be in the history
+  // of the log.
   if (m_active->m_version == m_log.m_head) {
     return m_active->m_chain == m_log.m_chain;
   }
@@ -113,44 +114,44 @@
   }
   auto log = ParseLog(aReply.m_value);
   if (!log) {
-    return Result::GaveUp;
+    return Result::Aborted;
   }
   m_log = std::move(log.value());
   m_revision = aReply.m_revision;
-  const std::size_t count = CountToPack(m_log, m_limits);
+  const std::size_t count = CountToArchive(m_log, m_limits);
   if (count == 0) {
     return Result::NothingToDo;
   }
   if (!CanSnapshot()) {
-    return Result::GaveUp;
+    return Result::Aborted;
   }
   const auto first = m_log.m_decisions.begin();
-  m_packed.assign(first, first + static_cast<std::ptrdiff_t>(count));
-  return Ask(State::WriteSegment,
-             MakePut(ArchiveKey(m_packed.front().m_sequence),
-                     Compress(DecisionsToJson(m_packed)),
-                     0));
+  m_archived.assign(first, first + static_cast<std::ptrdiff_t>(count));
+  return Request(State::WriteSegment,
+                 MakePut(ArchiveKey(m_archived.front().m_sequence),
+                         Compress(DecisionsToJson(m_archived)),
+                         0));
 }
 
 PackProcess::Step
 PackProcess::OnSegmentRead(const StoreReply& aReply)
 {
-  // Another packer wrote this segment, perhaps with another end: use its end,
-  // since the index may already say so.
+  // Another process wrote this segment, possibly with another length. Its
+  // length applies, as the index may already refer to it.
   const auto text = Decompress(aReply.m_value, kMaxUnpackedBytes);
   if (!text) {
-    return Result::GaveUp;
+    return Result::Aborted;
   }
   auto decisions = ParseDecisions(text.value());
-  const bool fits = decisions && !decisions.value().empty() &&
-                    decisions.value().size() <= m_log.m_decisions.size();
-  if (!fits) {
-    return Result::GaveUp;
+  const bool isValid = decisions && !decisions.value().empty() &&
+                       decisions.value().size() <= m_log.m_decisions.size();
+  if (!isValid) {
+    return Result::Aborted;
   }
-  m_packed = std::move(decisions.value());
-  for (std::size_t i = 0; i < m_packed.size(); ++i) {
-    if (m_packed[i] != m_log.m_decisions[i]) {
-      return Result::GaveUp;
+  m_archived = std::move(decisions.value());
+  for (std::size_t i = 0; i < m_archived.size(); ++i) {
+    if (m_archived[i] != m_log.m_decisions[i]) {
+      return Result::Aborted;
     }
   }
   return NextIndex();
@@ -159,24 +160,25 @@
 PackProcess::Step
 PackProcess::NextIndex()
 {
-  if (m_indexed >= m_packed.size()) {
+  if (m_indexedCount >= m_archived.size()) {
     return StartSnapshot();
   }
-  return Ask(State::ReadIndex, MakeGet(IndexKey(m_packed[m_indexed].m_id)));
+  return Request(State::ReadIndex,
+                 MakeGet(IndexKey(m_archived[m_indexedCount].m_id)));
 }
 
 PackProcess::Step
 PackProcess::OnIndexRead(const StoreReply& aReply)
 {
-  const Decision& decision = m_packed[m_indexed];
+  const Decision& decision = m_archived[m_indexedCount];
   const IndexLine line{ IndexDigest(decision.m_id),
-                        m_packed.front().m_sequence };
+                        m_archived.front().m_sequence };
   std::string bucket = AddToIndex(aReply.m_value, line);
   if (aReply.m_status == Status::Ok && bucket == aReply.m_value) {
-    ++m_indexed;
+    ++m_indexedCount;
     return NextIndex();
   }
-  return Ask(
+  return Request(
     State::WriteIndex,
     MakePut(IndexKey(decision.m_id), std::move(bucket), aReply.m_revision));
 }
@@ -198,18 +200,19 @@
 {
   const Version version = m_active->m_version;
   if (m_part < m_parts) {
-    return Ask(State::WritePart,
-               MakePut(SnapshotPartKey(version, m_part),
-                       m_snapshot.substr(m_part * kMaxPartBytes, kMaxPartBytes),
-                       0));
+    return Request(
+      State::WritePart,
+      MakePut(SnapshotPartKey(version, m_part),
+              m_snapshot.substr(m_part * kMaxPartBytes, kMaxPartBytes),
+              0));
   }
   const SnapshotManifest manifest{
     VersionEntry{
       version, {}, m_active->m_chain, m_active->m_content.GetDigest() },
     m_parts
   };
-  return Ask(State::WriteManifest,
-             MakePut(SnapshotKey(version), ManifestToJson(manifest), 0));
+  return Request(State::WriteManifest,
+                 MakePut(SnapshotKey(version), ManifestToJson(manifest), 0));
 }
 
 PackProcess::Step
@@ -217,43 +220,45 @@
 {
   DecisionLog next = m_log;
   const auto first = next.m_decisions.begin();
-  const auto count = static_cast<std::ptrdiff_t>(m_packed.size());
+  const auto count = static_cast<std::ptrdiff_t>(m_archived.size());
   next.m_decisions.erase(first, first + count);
-  for (const Decision& each : m_packed) {
+  for (const Decision& each : m_archived) {
     if (each.m_accepted) {
-      next.m_oldest = each.m_entry.m_version;
+      next.m_archivedVersion = each.m_entry.m_version;
     }
   }
   if (m_active->m_version > m_log.m_snapshot) {
-    m_toDrop = m_log.m_priorSnapshot;
-    next.m_priorSnapshot = m_log.m_snapshot;
+    m_staleSnapshot = m_log.m_previousSnapshot;
+    next.m_previousSnapshot = m_log.m_snapshot;
     next.m_snapshot = m_active->m_version;
   }
-  if (next.m_snapshot < next.m_oldest) {
-    // This proxy lags behind what would leave: the log would no longer lead
-    // from its snapshot to its head.
-    return Result::GaveUp;
+  if (next.m_snapshot < next.m_archivedVersion) {
+    // This proxy lags behind the archived entries: the log could no longer
+    // rebuild its head from the snapshot.
+    return Result::Aborted;
   }
-  return Ask(State::Swap,
-             MakePut(std::string{ kLogKey }, LogToJson(next), m_revision));
+  return Request(State::Swap,
+                 MakePut(std::string{ kLogKey }, LogToJson(next), m_revision));
 }
 
 PackProcess::Step
-PackProcess::DropOldSnapshot()
+PackProcess::DeleteStaleSnapshot()
 {
-  if (m_toDrop == Version{}) {
+  if (m_staleSnapshot == Version{}) {
     return Result::Packed;
   }
-  // The manifest goes first: without it nobody starts to read the parts, and
-  // a packer that dies half-way leaves garbage, never a damaged snapshot.
-  return Ask(State::DropManifest, MakeDelete(SnapshotKey(m_toDrop)));
+  // The manifest is deleted first, so that an interruption leaves unreferenced
+  // parts but never an incomplete snapshot.
+  return Request(State::DeleteManifest,
+                 MakeDelete(SnapshotKey(m_staleSnapshot)));
 }
 
 PackProcess::Step
-PackProcess::DropNextPart()
+PackProcess::DeleteNextPart()
 {
-  return Ask(State::DropPart,
-             MakeDelete(SnapshotPartKey(m_toDrop, m_dropped++)));
+  return Request(
+    State::DeletePart,
+    MakeDelete(SnapshotPartKey(m_staleSnapshot, m_deletedParts++)));
 }
 
 }
--- a/src/config/reason.cpp
+++ b/src/config/reason.cpp
@@ -7,28 +7,28 @@
 
 namespace {
 
-struct NamedCode
+struct CodeName
 {
   ReasonCode m_code;
   std::string_view m_name;
 };
 
 constexpr std::array kNames{
-  NamedCode{ ReasonCode::NotJson, "not-json" },
-  NamedCode{ ReasonCode::NotAnObject, "not-an-object" },
-  NamedCode{ ReasonCode::UnknownField, "unknown-field" },
-  NamedCode{ ReasonCode::WrongType, "wrong-type" },
-  NamedCode{ ReasonCode::OutOfRange, "out-of-range" },
-  NamedCode{ ReasonCode::BadName, "bad-name" },
-  NamedCode{ ReasonCode::MissingField, "missing-field" },
-  NamedCode{ ReasonCode::UnknownService, "unknown-service" },
-  NamedCode{ ReasonCode::ServiceInUse, "service-in-use" },
-  NamedCode{ ReasonCode::DuplicateMatch, "duplicate-match" },
-  NamedCode{ ReasonCode::TooLarge, "too-large" },
-  NamedCode{ ReasonCode::StaleBase, "stale-base" },
-  NamedCode{ ReasonCode::UnknownBase, "unknown-base" },
-  NamedCode{ ReasonCode::IdReused, "id-reused" },
-  NamedCode{ ReasonCode::DuplicateKey, "duplicate-key" },
+  CodeName{ ReasonCode::NotJson, "not-json" },
+  CodeName{ ReasonCode::NotAnObject, "not-an-object" },
+  CodeName{ ReasonCode::UnknownField, "unknown-field" },
+  CodeName{ ReasonCode::WrongType, "wrong-type" },
+  CodeName{ ReasonCode::OutOfRange, "out-of-range" },
+  CodeName{ ReasonCode::BadName, "bad-name" },
+  CodeName{ ReasonCode::MissingField, "missing-field" },
+  CodeName{ ReasonCode::UnknownService, "unknown-service" },
+  CodeName{ ReasonCode::ServiceInUse, "service-in-use" },
+  CodeName{ ReasonCode::DuplicateMatch, "duplicate-match" },
+  CodeName{ ReasonCode::TooLarge, "too-large" },
+  CodeName{ ReasonCode::StaleBase, "stale-base" },
+  CodeName{ ReasonCode::UnknownBase, "unknown-base" },
+  CodeName{ ReasonCode::IdReused, "id-reused" },
+  CodeName{ ReasonCode::DuplicateKey, "duplicate-key" },
 };
 
 }
@@ -36,9 +36,9 @@
 std::string_view
 NameOf(ReasonCode aCode) noexcept
 {
-  const auto* found = std::find_if(
-    kNames.begin(), kNames.end(), [aCode](const NamedCode& aNamed) {
-      return aNamed.m_code == aCode;
+  const auto* found =
+    std::find_if(kNames.begin(), kNames.end(), [aCode](const CodeName& aEntry) {
+      return aEntry.m_code == aCode;
     });
   return found == kNames.end() ? std::string_view{ "unknown" } : found->m_name;
 }
@@ -46,9 +46,9 @@
 std::optional<ReasonCode>
 ParseReasonCode(std::string_view aName) noexcept
 {
-  const auto* found = std::find_if(
-    kNames.begin(), kNames.end(), [aName](const NamedCode& aNamed) {
-      return aNamed.m_name == aName;
+  const auto* found =
+    std::find_if(kNames.begin(), kNames.end(), [aName](const CodeName& aEntry) {
+      return aEntry.m_name == aName;
     });
   if (found == kNames.end()) {
     return std::nullopt;
--- a/src/config/snapshot_reader.cpp
+++ b/src/config/snapshot_reader.cpp
@@ -7,7 +7,7 @@
 using Status = SnapshotRead::Status;
 
 SnapshotRead
-Ended(Status aStatus)
+MakeResult(Status aStatus)
 {
   return { aStatus, {}, {} };
 }
@@ -24,18 +24,18 @@
 SnapshotReader::On(const StoreReply& aReply)
 {
   if (aReply.m_status == StoreReply::Status::NotFound) {
-    return Ended(Status::Gone);
+    return MakeResult(Status::Gone);
   }
   if (aReply.m_status != StoreReply::Status::Ok) {
-    return Ended(Status::Lost);
+    return MakeResult(Status::Lost);
   }
-  if (!m_haveManifest) {
+  if (!m_hasManifest) {
     auto manifest = ParseManifest(aReply.m_value);
     if (!manifest || manifest.value().m_head.m_version != m_version) {
-      return Ended(Status::Corrupt);
+      return MakeResult(Status::Corrupt);
     }
     m_manifest = std::move(manifest.value());
-    m_haveManifest = true;
+    m_hasManifest = true;
     return MakeGet(SnapshotPartKey(m_version, 0));
   }
   m_parts += aReply.m_value;
@@ -44,7 +44,7 @@
   }
   auto text = Decompress(m_parts, kMaxUnpackedBytes);
   if (!text) {
-    return Ended(Status::Corrupt);
+    return MakeResult(Status::Corrupt);
   }
   return SnapshotRead{ Status::Ok, m_manifest.m_head, std::move(text.value()) };
 }
--- a/src/config/store_layout.cpp
+++ b/src/config/store_layout.cpp
@@ -11,7 +11,7 @@
 namespace {
 constexpr std::size_t kBucketDigits = 3;
 constexpr std::size_t kDigestDigits = 16;
-/// More parts than the largest content has.
+/// Upper bound on the parts of a valid snapshot.
 constexpr std::size_t kMaxParts = kMaxUnpackedBytes / kMaxPartBytes + 1;
 }
 
@@ -61,7 +61,7 @@
   manifest.m_head.m_version = Version{ fields.Whole("version") };
   manifest.m_parts = fields.Whole("parts", kMaxParts);
   if (!chain || !content) {
-    fields.Note("chain", "a digest, as at /content,");
+    fields.Note("chain", "a digest, as in /content");
   }
   if (!fields.Fault().empty()) {
     return Error{ ErrorCode::Corrupt, fields.Fault() };
@@ -73,9 +73,10 @@
 
 namespace {
 
-/// \param aText what stands in a line behind its digest.
+/// \param aText index line after the digest.
+/// \returns The segment number, or nothing when the line is malformed.
 std::optional<std::uint64_t>
-SegmentIn(std::string_view aText)
+ParseSegment(std::string_view aText)
 {
   if (!aText.starts_with(' ')) {
     return std::nullopt;
@@ -83,9 +84,9 @@
   aText.remove_prefix(1);
   std::uint64_t segment = 0;
   const char* end = aText.data() + aText.size();
-  const auto [stop, fault] = std::from_chars(aText.data(), end, segment);
-  const bool whole = fault == std::errc{} && stop == end;
-  return whole ? std::optional{ segment } : std::nullopt;
+  const auto [stop, error] = std::from_chars(aText.data(), end, segment);
+  const bool isValid = error == std::errc{} && stop == end;
+  return isValid ? std::optional{ segment } : std::nullopt;
 }
 
 }
@@ -109,7 +110,7 @@
     if (!line.starts_with(digest) || line.size() <= kDigestDigits) {
       continue;
     }
-    if (const auto segment = SegmentIn(line.substr(kDigestDigits))) {
+    if (const auto segment = ParseSegment(line.substr(kDigestDigits))) {
       segments.push_back(*segment);
     }
   }
--- a/tests/config/config_copy.cpp
+++ b/tests/config/config_copy.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kMaxBytes = 1024UL * 1024;
 }
 
-TEST_CASE("a copy is the document again, with the revision of the original")
+TEST_CASE("a copy round-trips the document and the revision of the original")
 {
   const std::string document(100'000, 'x');
   const std::string value = FormatConfigCopy(42, document);
@@ -19,9 +19,9 @@
   CHECK(copy.value().m_document == document);
 }
 
-TEST_CASE("a damaged copy is no copy")
+TEST_CASE("a damaged copy is rejected")
 {
-  // Whatever stands under the key, a daemon must not start from half of it.
+  // A daemon must not start from a truncated or damaged document.
   const std::string value = FormatConfigCopy(42, "a document");
   CHECK_FALSE(ParseConfigCopy("", kMaxBytes));
   CHECK_FALSE(ParseConfigCopy("42", kMaxBytes));
--- a/tests/config/config_holder.cpp
+++ b/tests/config/config_holder.cpp
@@ -5,21 +5,21 @@
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
-// Random histories, delivered late, crossed, repeated and damaged.
+// Delivers random histories late, reordered, repeated and damaged.
 
 using namespace greengagehub;
 
 namespace {
 
-/// A history of accepted versions with the content at each.
+/// Accepted versions and the content at each of them.
 struct History
 {
   std::vector<VersionEntry> m_entries;
   std::vector<Content> m_contents{ Content{} };
 };
 
-/// A patch that mostly breaks no rule: adds, changes and removes services and
-/// routes among a few names, so that references often matter.
+/// A mostly valid patch that adds, changes and removes services and routes. The
+/// few names make references between them likely.
 std::string
 RandomPatch(Random& aRandom)
 {
@@ -104,10 +104,10 @@
 
 }
 
-TEST_CASE("whatever order entries come in, a proxy only moves forward, whole")
+TEST_CASE("in any delivery order, versions only increase and apply completely")
 {
-  // Late, crossed, repeated and damaged versions: the proxy must never show
-  // an older version, part of one, or a route without its service.
+  // Guards against going back to an older version, applying part of one, or a
+  // route without its service.
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Random random{ seed };
     const History history = RandomHistory(random, 20);
@@ -140,7 +140,7 @@
   }
 }
 
-TEST_CASE("a damaged snapshot is dropped whole")
+TEST_CASE("a damaged snapshot changes nothing")
 {
   Random random{ 3 };
   const History history = RandomHistory(random, 5);
@@ -157,10 +157,10 @@
   CHECK(holder.GetVersion().m_number == 5);
 }
 
-TEST_CASE("a damaged entry that waits does not block the good one")
+TEST_CASE("a damaged pending entry does not block the correct one")
 {
-  // Version 3 arrives early and damaged, and waits for 2. When 2 comes, the
-  // damaged one is found out; the good copy must still be taken.
+  // Version 3 arrives damaged and before version 2. Guards against dropping the
+  // correct version 3 that arrives later.
   Random random{ 4 };
   const History history = RandomHistory(random, 3);
   ConfigHolder holder;
@@ -174,7 +174,7 @@
   CHECK(holder.GetVersion().m_number == 3);
 }
 
-TEST_CASE("calls keep the version they started with")
+TEST_CASE("a call keeps the version it started with")
 {
   Random random{ 5 };
   const History history = RandomHistory(random, 2);
--- a/tests/config/content.cpp
+++ b/tests/config/content.cpp
@@ -20,14 +20,14 @@
 
 }
 
-TEST_CASE("a patch that brings a route and its service is accepted")
+TEST_CASE("a patch that adds a route and its service is accepted")
 {
   const Content content = WithLocker();
   CHECK(content.Services().size() == 1);
   CHECK(content.Routes().at("release")->m_value.m_service == "locker-app");
 }
 
-TEST_CASE("a route without its service is refused with its place")
+TEST_CASE("a route to an unknown service is rejected with its place")
 {
   Content content;
   const auto reasons =
@@ -37,7 +37,7 @@
   CHECK(reasons[0].m_place == "/routes/r/service");
 }
 
-TEST_CASE("a service that a route names cannot go, alone")
+TEST_CASE("a service in use by a route cannot be removed alone")
 {
   Content content = WithLocker();
   const auto reasons = content.Apply(R"({"services":{"locker-app":null}})");
@@ -46,7 +46,7 @@
   CHECK(reasons[0].m_place == "/services/locker-app");
 }
 
-TEST_CASE("a service can go together with the routes that name it")
+TEST_CASE("a service can be removed together with its routes")
 {
   Content content = WithLocker();
   CHECK(
@@ -56,7 +56,7 @@
   CHECK(content.GetDigest() == Content{}.GetDigest());
 }
 
-TEST_CASE("every broken rule is told in one go")
+TEST_CASE("one patch reports all violations")
 {
   Content content;
   const auto reasons = content.Apply(
@@ -64,7 +64,7 @@
   CHECK(reasons.size() == 4);
 }
 
-TEST_CASE("two routes with the same match are refused")
+TEST_CASE("two routes with the same host and path are rejected")
 {
   Content content = WithLocker();
   const auto reasons = content.Apply(
@@ -74,19 +74,19 @@
   CHECK(reasons[0].m_place == "/routes/again");
 }
 
-TEST_CASE("patches one by one and the whole content have the same digest")
+TEST_CASE("incremental patches and the whole content give the same digest")
 {
-  Content stepwise = WithLocker();
-  REQUIRE(stepwise.Apply(R"({"services":{"ledger":{"slots":3}}})").empty());
-  REQUIRE(stepwise.Apply(R"({"limits":{"retry_percent":5}})").empty());
-  REQUIRE(stepwise.Apply(R"({"services":{"ledger":{"queue":9}}})").empty());
+  Content incremental = WithLocker();
+  REQUIRE(incremental.Apply(R"({"services":{"ledger":{"slots":3}}})").empty());
+  REQUIRE(incremental.Apply(R"({"limits":{"retry_percent":5}})").empty());
+  REQUIRE(incremental.Apply(R"({"services":{"ledger":{"queue":9}}})").empty());
   Content whole;
-  REQUIRE(whole.Apply(stepwise.ToJson()).empty());
-  CHECK(whole.GetDigest() == stepwise.GetDigest());
-  CHECK(whole.ToJson() == stepwise.ToJson());
+  REQUIRE(whole.Apply(incremental.ToJson()).empty());
+  CHECK(whole.GetDigest() == incremental.GetDigest());
+  CHECK(whole.ToJson() == incremental.ToJson());
 }
 
-TEST_CASE("limits that are removed leave no trace in the digest")
+TEST_CASE("removing the limits restores the digest")
 {
   Content content;
   REQUIRE(content.Apply(R"({"limits":{"max_depth":5}})").empty());
@@ -95,7 +95,7 @@
   CHECK(content.GetLimits().m_maxDepth == Limits{}.m_maxDepth);
 }
 
-TEST_CASE("what is no JSON object is refused whole")
+TEST_CASE("a patch that is not a JSON object is rejected")
 {
   Content content;
   CHECK(content.Apply("[1]").at(0).m_code == ReasonCode::NotAnObject);
--- a/tests/config/content_diff.cpp
+++ b/tests/config/content_diff.cpp
@@ -9,10 +9,10 @@
 
 constexpr const char* kService = R"({"connections":10})";
 constexpr const char* kRoute = R"({"path":"/a/","service":"s"})";
-constexpr const char* kMoved = R"({"path":"/a/","split":{"s":9,"t":1}})";
+constexpr const char* kSplitRoute = R"({"path":"/a/","split":{"s":9,"t":1}})";
 
 ContentTexts
-Texts(std::vector<NamedText> aRoutes)
+Texts(std::vector<EntityText> aRoutes)
 {
   return { "{}", std::move(aRoutes), { { "s", kService }, { "t", kService } } };
 }
@@ -26,7 +26,7 @@
 
 }
 
-TEST_CASE("a change holds what differs, and leads to the same content")
+TEST_CASE("a patch has only the differences and leads to the same content")
 {
   ConfigHolder source;
   REQUIRE(Stage(source, 3, Texts({ { "a", kRoute } })) == StageResult::Applied);
@@ -37,9 +37,10 @@
   }
   REQUIRE(complete);
 
-  // A route loses one field and gains another: a patch that only adds would
-  // leave both, and the rules allow no such route.
-  REQUIRE(Stage(source, 7, Texts({ { "a", kMoved } })) == StageResult::Applied);
+  // Replaces one field of a route by another: the patch must remove the old
+  // field, as a route with both is invalid.
+  REQUIRE(Stage(source, 7, Texts({ { "a", kSplitRoute } })) ==
+          StageResult::Applied);
   const auto entries = source.EntriesAfter(Version{ 3 }, complete);
   REQUIRE(complete);
   REQUIRE(entries.size() == 1);
@@ -50,11 +51,10 @@
         source.Active()->m_content.ToJson());
 }
 
-TEST_CASE("a change on a version that was never held here is not applied")
+TEST_CASE("a patch on a version that was never active here is not applied")
 {
-  // Two readers of the store took different versions together, so that their
-  // changes are on different versions. Applied to another base, a change would
-  // make a content that no operator wrote.
+  // Two daemons can skip different versions of the store. Guards against
+  // applying a patch to another base, which gives a content nobody submitted.
   ConfigHolder source;
   REQUIRE(Stage(source, 3, Texts({})) == StageResult::Applied);
   REQUIRE(Stage(source, 5, Texts({ { "a", kRoute } })) == StageResult::Applied);
@@ -69,11 +69,10 @@
   CHECK_FALSE(complete);
 }
 
-TEST_CASE("versions of a source only rise")
+TEST_CASE("versions of a source only increase")
 {
   ConfigHolder holder;
   REQUIRE(Stage(holder, 5, Texts({})) == StageResult::Applied);
-  CHECK(Stage(holder, 4, Texts({ { "a", kRoute } })) ==
-        StageResult::AlreadyHeld);
+  CHECK(Stage(holder, 4, Texts({ { "a", kRoute } })) == StageResult::NotNewer);
   CHECK(holder.Active()->m_content.Routes().empty());
 }
--- a/tests/config/decision_interleavings.cpp
+++ b/tests/config/decision_interleavings.cpp
@@ -8,9 +8,8 @@
 #include <set>
 #include <unordered_set>
 
-// Enumerates interleavings of racing submits, lost answers, late writes and a
-// packer against the store's contract, and checks what operators were told
-// against what is recorded, at the end of every one.
+// Enumerates interleavings of submissions and compaction with lost replies and
+// delayed writes, and compares answers with the recorded decisions.
 
 using namespace greengagehub;
 
@@ -18,17 +17,17 @@
 
 using Status = StoreReply::Status;
 
-/// Faults that the search may put on one call to the store.
+/// Fault injected into one store request.
 enum class Fault
 {
   None,
-  /// The write took effect, its answer is lost.
-  AnswerLost,
-  /// The call never arrived, and nobody can tell.
-  CallLost,
-  /// The write takes effect at some later time, or never.
-  Late,
-  /// Turned away.
+  /// The write takes effect; the reply is lost.
+  ReplyLost,
+  /// The request is lost; the sender cannot tell.
+  RequestLost,
+  /// The write takes effect later, or never.
+  Delayed,
+  /// The store rejects the request.
   Unavailable,
 };
 
@@ -39,26 +38,26 @@
   aDigest ^= aDigest >> 29U;
 }
 
-/// One process under way: an operator's submit or a packer.
+/// A running process: a submission or a compaction.
 struct Actor
 {
   std::optional<DecisionProcess> m_submit;
-  std::optional<PackProcess> m_pack;
+  std::optional<PackProcess> m_compaction;
   std::optional<StoreRequest> m_next;
-  std::optional<DecisionAnswer> m_reported;
-  /// Digest of all replies so far, which determine the process's state.
-  std::size_t m_replies{ 0 };
+  std::optional<DecisionAnswer> m_answer;
+  /// Hash of all replies so far, which determine the state of the process.
+  std::size_t m_repliesHash{ 0 };
 
-  void Take(DecisionProcess::Step aStep)
+  void Advance(DecisionProcess::Step aStep)
   {
     m_next.reset();
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
       m_next = std::move(*request);
     } else {
-      m_reported = std::move(std::get<DecisionAnswer>(aStep));
+      m_answer = std::move(std::get<DecisionAnswer>(aStep));
     }
   }
-  void Take(PackProcess::Step aStep)
+  void Advance(PackProcess::Step aStep)
   {
     m_next.reset();
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
@@ -68,20 +67,20 @@
   void Start()
   {
     if (m_submit) {
-      Take(m_submit->Start());
+      Advance(m_submit->Start());
     } else {
-      Take(m_pack->Start());
+      Advance(m_compaction->Start());
     }
   }
   void On(const StoreReply& aReply)
   {
-    Mix(m_replies, static_cast<std::size_t>(aReply.m_status));
-    Mix(m_replies, aReply.m_revision);
-    Mix(m_replies, std::hash<std::string>{}(aReply.m_value));
+    Mix(m_repliesHash, static_cast<std::size_t>(aReply.m_status));
+    Mix(m_repliesHash, aReply.m_revision);
+    Mix(m_repliesHash, std::hash<std::string>{}(aReply.m_value));
     if (m_submit) {
-      Take(m_submit->On(aReply));
+      Advance(m_submit->On(aReply));
     } else {
-      Take(m_pack->On(aReply));
+      Advance(m_compaction->On(aReply));
     }
   }
 };
@@ -90,15 +89,14 @@
 {
   FakeStore m_store;
   std::vector<Actor> m_actors;
-  /// Writes under way whose sender has given up on them.
-  std::vector<StoreRequest> m_late;
+  /// Delayed writes whose sender no longer waits.
+  std::vector<StoreRequest> m_delayed;
   int m_faultsLeft{ 0 };
 };
 
-/// \returns A digest of the whole state, by which a state that was reached by
-/// another order of steps is known again.
+/// \returns A hash of the state, to recognize states that were visited before.
 std::size_t
-StateOf(const World& aWorld)
+HashOfState(const World& aWorld)
 {
   std::size_t digest = static_cast<std::size_t>(aWorld.m_faultsLeft);
   for (const auto& [name, key] : aWorld.m_store.m_keys) {
@@ -107,16 +105,15 @@
     Mix(digest, key.m_revision);
   }
   for (const Actor& each : aWorld.m_actors) {
-    Mix(digest, each.m_replies);
+    Mix(digest, each.m_repliesHash);
   }
-  for (const StoreRequest& each : aWorld.m_late) {
+  for (const StoreRequest& each : aWorld.m_delayed) {
     Mix(digest, std::hash<std::string>{}(each.m_key + each.m_value));
   }
   return digest;
 }
 
-/// Every decision that can be found: in the log, and in the archive by way of
-/// the index, as an operator would find it.
+/// Looks up a decision in the log and the archive, as an operator would.
 std::optional<Decision>
 Find(FakeStore aStore, const std::string& aId)
 {
@@ -132,7 +129,8 @@
   return answer.m_decision;
 }
 
-/// All decisions in the store, archived ones first.
+/// \returns All decisions in the store, by sequence number.
+/// \param aFault set when two decisions share a number.
 std::vector<Decision>
 AllDecisions(const FakeStore& aStore, std::string& aFault)
 {
@@ -163,7 +161,7 @@
   return all;
 }
 
-/// \returns What is wrong with the recorded history, or nothing.
+/// \returns The fault of the recorded history; empty if it is consistent.
 std::string
 CheckHistory(const FakeStore& aStore)
 {
@@ -191,7 +189,7 @@
   return fault;
 }
 
-/// \returns What is wrong at the end of one interleaving, or nothing.
+/// \returns The violation at the end of an interleaving; empty for none.
 std::string
 Check(const World& aWorld)
 {
@@ -199,33 +197,32 @@
     return fault;
   }
   for (const Actor& each : aWorld.m_actors) {
-    if (!each.m_reported ||
-        each.m_reported->m_kind != DecisionAnswer::Kind::Decided) {
+    if (!each.m_answer ||
+        each.m_answer->m_kind != DecisionAnswer::Kind::Decided) {
       continue;
     }
-    const auto recorded =
-      Find(aWorld.m_store, each.m_reported->m_decision.m_id);
+    const auto recorded = Find(aWorld.m_store, each.m_answer->m_decision.m_id);
     if (!recorded) {
-      return "an operator was told a decision that is not recorded";
+      return "an operator received a decision that is not recorded";
     }
-    if (*recorded != each.m_reported->m_decision) {
-      return "an operator was told another decision than the recorded one";
+    if (*recorded != each.m_answer->m_decision) {
+      return "an operator received another decision than the recorded one";
     }
   }
   return {};
 }
 
-/// Depth-first search over whose call comes next and which fault it meets.
+/// Depth-first search over the order of requests and the injected faults.
 class Search
 {
 public:
-  [[nodiscard]] std::uint64_t Ends() const { return m_ends; }
+  [[nodiscard]] std::uint64_t Interleavings() const { return m_interleavings; }
   [[nodiscard]] std::size_t States() const { return m_seen.size(); }
   [[nodiscard]] const std::string& Violation() const { return m_violation; }
 
   void Run(const World& aWorld)
   {
-    if (!m_violation.empty() || !m_seen.insert(StateOf(aWorld)).second) {
+    if (!m_violation.empty() || !m_seen.insert(HashOfState(aWorld)).second) {
       return;
     }
     bool ended = true;
@@ -236,22 +233,23 @@
       ended = false;
       Step(aWorld, i, Fault::None);
       if (aWorld.m_faultsLeft > 0) {
-        Step(aWorld, i, Fault::CallLost);
+        Step(aWorld, i, Fault::RequestLost);
         Step(aWorld, i, Fault::Unavailable);
         if (aWorld.m_actors[i].m_next->m_kind == StoreRequest::Kind::Put) {
-          Step(aWorld, i, Fault::AnswerLost);
-          Step(aWorld, i, Fault::Late);
+          Step(aWorld, i, Fault::ReplyLost);
+          Step(aWorld, i, Fault::Delayed);
         }
       }
     }
-    for (std::size_t i = 0; i < aWorld.m_late.size(); ++i) {
+    for (std::size_t i = 0; i < aWorld.m_delayed.size(); ++i) {
       World next = aWorld;
-      static_cast<void>(next.m_store.Carry(next.m_late[i]));
-      next.m_late.erase(next.m_late.begin() + static_cast<std::ptrdiff_t>(i));
+      static_cast<void>(next.m_store.Carry(next.m_delayed[i]));
+      next.m_delayed.erase(next.m_delayed.begin() +
+                           static_cast<std::ptrdiff_t>(i));
       Run(next);
     }
     if (ended) {
-      ++m_ends;
+      ++m_interleavings;
       m_violation = Check(aWorld);
     }
   }
@@ -262,11 +260,11 @@
     Actor& actor = aWorld.m_actors[aActor];
     const StoreRequest request = *actor.m_next;
     StoreReply reply;
-    if (aFault == Fault::None || aFault == Fault::AnswerLost) {
+    if (aFault == Fault::None || aFault == Fault::ReplyLost) {
       reply = aWorld.m_store.Carry(request);
     }
-    if (aFault == Fault::Late) {
-      aWorld.m_late.push_back(request);
+    if (aFault == Fault::Delayed) {
+      aWorld.m_delayed.push_back(request);
     }
     if (aFault != Fault::None) {
       --aWorld.m_faultsLeft;
@@ -277,7 +275,7 @@
     Run(aWorld);
   }
 
-  std::uint64_t m_ends{ 0 };
+  std::uint64_t m_interleavings{ 0 };
   std::unordered_set<std::size_t> m_seen;
   std::string m_violation;
 };
@@ -303,9 +301,9 @@
   return fmt::format(R"({{"services":{{"{}":{{}}}}}})", aName);
 }
 
-/// A store whose log has this many accepted versions, and a proxy at the head.
+/// Records `aVersions` accepted versions and brings the proxy to the head.
 void
-Prepare(World& aWorld, ConfigHolder& aHolder, std::uint64_t aVersions)
+RecordVersions(World& aWorld, ConfigHolder& aHolder, std::uint64_t aVersions)
 {
   for (std::uint64_t i = 0; i < aVersions; ++i) {
     Actor actor = Submit(aHolder,
@@ -315,19 +313,18 @@
     while (actor.m_next) {
       actor.On(aWorld.m_store.Carry(*actor.m_next));
     }
-    REQUIRE(actor.m_reported->m_decision.m_accepted);
-    REQUIRE(aHolder.Stage(actor.m_reported->m_decision.m_entry) ==
+    REQUIRE(actor.m_answer->m_decision.m_accepted);
+    REQUIRE(aHolder.Stage(actor.m_answer->m_decision.m_entry) ==
             StageResult::Applied);
   }
 }
 
 }
 
-TEST_CASE("two operators race on one version, with two faults on any call")
+TEST_CASE("two operators submit on one version, with up to two faults")
 {
-  // Two operators hand in different patches against the same version, while
-  // answers and calls get lost. One is accepted, one is stale or unknown to
-  // its operator; nobody is told what is not recorded.
+  // Guards against accepting both patches, and against answers that differ from
+  // the recorded decision.
   World world;
   world.m_faultsLeft = 2;
   const ConfigHolder holder;
@@ -336,15 +333,15 @@
   Search search;
   search.Run(world);
   CHECK(search.Violation() == "");
-  CHECK(search.Ends() > 100);
-  MESSAGE("states: ", search.States(), ", ends: ", search.Ends());
+  CHECK(search.Interleavings() > 100);
+  MESSAGE(
+    "states: ", search.States(), ", interleavings: ", search.Interleavings());
 }
 
-TEST_CASE("the same patch goes in through two daemons at once")
+TEST_CASE("the same patch submitted through two daemons gets one decision")
 {
-  // An operator hears nothing and hands the same patch in again through
-  // another daemon while the first is still at work: one decision, told to
-  // both.
+  // An operator submits again while the first submission is still in progress.
+  // Guards against deciding the id twice.
   World world;
   world.m_faultsLeft = 3;
   const ConfigHolder holder;
@@ -353,10 +350,11 @@
   Search search;
   search.Run(world);
   CHECK(search.Violation() == "");
-  MESSAGE("states: ", search.States(), ", ends: ", search.Ends());
+  MESSAGE(
+    "states: ", search.States(), ", interleavings: ", search.Interleavings());
 }
 
-TEST_CASE("three operators race, with two faults on any call")
+TEST_CASE("three operators submit on one version, with up to two faults")
 {
   World world;
   world.m_faultsLeft = 2;
@@ -367,53 +365,55 @@
   Search search;
   search.Run(world);
   CHECK(search.Violation() == "");
-  MESSAGE("states: ", search.States(), ", ends: ", search.Ends());
+  MESSAGE(
+    "states: ", search.States(), ", interleavings: ", search.Interleavings());
 }
 
-TEST_CASE("old decisions are packed while the one asked about is among them")
+TEST_CASE("a decision is found while it moves to the archive")
 {
-  // An operator hands in a patch again that was decided long ago, while a
-  // packer moves just that decision from the log to the archive, and another
-  // operator submits. A window in which the decision is in neither place
-  // would have it decided a second time.
+  // Guards against a moment in which the decision is neither in the log nor in
+  // the archive: a repeated submission would decide it again.
   World world;
   world.m_faultsLeft = 1;
   ConfigHolder holder;
-  Prepare(world, holder, 2);
+  RecordVersions(world, holder, 2);
   world.m_actors.push_back(Submit(holder, "old-0", 0, ServicePatch("old-0")));
   world.m_actors.push_back(Submit(holder, "new", 2, ServicePatch("new")));
-  Actor packer;
-  packer.m_pack = PackProcess{ holder.Active(), PackLimits{ 1, 1 } };
-  packer.Start();
-  world.m_actors.push_back(std::move(packer));
+  Actor compaction;
+  compaction.m_compaction = PackProcess{ holder.Active(), PackLimits{ 1, 1 } };
+  compaction.Start();
+  world.m_actors.push_back(std::move(compaction));
   Search search;
   search.Run(world);
   CHECK(search.Violation() == "");
-  MESSAGE("states: ", search.States(), ", ends: ", search.Ends());
+  MESSAGE(
+    "states: ", search.States(), ", interleavings: ", search.Interleavings());
 }
 
-TEST_CASE("two packers and a submit")
+TEST_CASE("two compactions and a submission")
 {
   World world;
   ConfigHolder holder;
-  Prepare(world, holder, 1);
+  RecordVersions(world, holder, 1);
   for (int i = 0; i < 2; ++i) {
-    Actor packer;
-    packer.m_pack = PackProcess{ holder.Active(), PackLimits{ 1, 1 } };
-    packer.Start();
-    world.m_actors.push_back(std::move(packer));
+    Actor compaction;
+    compaction.m_compaction =
+      PackProcess{ holder.Active(), PackLimits{ 1, 1 } };
+    compaction.Start();
+    world.m_actors.push_back(std::move(compaction));
   }
   world.m_actors.push_back(Submit(holder, "new", 1, ServicePatch("new")));
   Search search;
   search.Run(world);
   CHECK(search.Violation() == "");
-  MESSAGE("states: ", search.States(), ", ends: ", search.Ends());
+  MESSAGE(
+    "states: ", search.States(), ", interleavings: ", search.Interleavings());
 }
 
-TEST_CASE("the search finds the fault of a store that does not compare")
+TEST_CASE("the search detects a store that does not compare revisions")
 {
-  // Checks the checker: without compare-and-swap two racing operators are
-  // both told "accepted", and only one of the two is recorded.
+  // Checks the search itself: without compare-and-swap, both patches are
+  // reported as accepted and only one is recorded.
   World world;
   world.m_store.m_ignoresExpected = true;
   const ConfigHolder holder;
@@ -422,18 +422,18 @@
   Search search;
   search.Run(world);
   CHECK(search.Violation() ==
-        "an operator was told a decision that is not recorded");
+        "an operator received a decision that is not recorded");
 }
 
-TEST_CASE("a packed decision is still explained, and a new proxy can start")
+TEST_CASE("an archived decision can be looked up, and a new proxy can start")
 {
   World world;
   ConfigHolder holder;
-  Prepare(world, holder, 5);
-  PackProcess packer{ holder.Active(), PackLimits{ 1, 1 } };
-  auto step = packer.Start();
+  RecordVersions(world, holder, 5);
+  PackProcess compaction{ holder.Active(), PackLimits{ 1, 1 } };
+  auto step = compaction.Start();
   while (auto* request = std::get_if<StoreRequest>(&step)) {
-    step = packer.On(world.m_store.Carry(*request));
+    step = compaction.On(world.m_store.Carry(*request));
   }
   REQUIRE(std::get<PackProcess::Result>(step) == PackProcess::Result::Packed);
   const auto log =
@@ -445,51 +445,51 @@
     CHECK(found->m_entry.m_version.m_number ==
           static_cast<std::uint64_t>(i) + 1);
   }
-  // A daemon with nothing decides on top of the snapshot.
+  // A daemon without a configuration decides on top of the snapshot.
   const ConfigHolder fresh;
   Actor actor = Submit(fresh, "next", 5, ServicePatch("next"));
   while (actor.m_next) {
     actor.On(world.m_store.Carry(*actor.m_next));
   }
-  CHECK(actor.m_reported->m_decision.m_accepted);
+  CHECK(actor.m_answer->m_decision.m_accepted);
   CHECK(CheckHistory(world.m_store) == "");
 }
 
-TEST_CASE("a store that came back behind the fleet is not decided upon")
+TEST_CASE("no decision is made on a store that is behind the fleet")
 {
-  // The store is restored from a backup of three versions ago. A decision on
-  // it would give version 3 to a second, different patch.
+  // The store is restored from a backup. Guards against assigning version 3 to
+  // a second patch.
   World world;
   ConfigHolder holder;
-  Prepare(world, holder, 2);
+  RecordVersions(world, holder, 2);
   const FakeStore backup = world.m_store;
-  Prepare(world, holder, 0);
+  RecordVersions(world, holder, 0);
   Actor third = Submit(holder, "third", 2, ServicePatch("third"));
   while (third.m_next) {
     third.On(world.m_store.Carry(*third.m_next));
   }
-  REQUIRE(holder.Stage(third.m_reported->m_decision.m_entry) ==
+  REQUIRE(holder.Stage(third.m_answer->m_decision.m_entry) ==
           StageResult::Applied);
   world.m_store = backup;
   Actor after = Submit(holder, "after", 2, ServicePatch("after"));
   while (after.m_next) {
     after.On(world.m_store.Carry(*after.m_next));
   }
-  CHECK(after.m_reported->m_kind == DecisionAnswer::Kind::StoreBehind);
+  CHECK(after.m_answer->m_kind == DecisionAnswer::Kind::StoreBehind);
 
-  // A daemon that restarted meanwhile goes on from the backup: the same
-  // number, another history. Those that run the first one must notice.
-  const ConfigHolder forgetful;
-  Actor other = Submit(forgetful, "other", 2, ServicePatch("other"));
+  // A restarted daemon continues from the backup: the same version number in
+  // another history, which daemons on the first history must detect.
+  const ConfigHolder restarted;
+  Actor other = Submit(restarted, "other", 2, ServicePatch("other"));
   while (other.m_next) {
     other.On(world.m_store.Carry(*other.m_next));
   }
-  REQUIRE(other.m_reported->m_decision.m_accepted);
-  CHECK(holder.Stage(other.m_reported->m_decision.m_entry) ==
+  REQUIRE(other.m_answer->m_decision.m_accepted);
+  CHECK(holder.Stage(other.m_answer->m_decision.m_entry) ==
         StageResult::Forked);
   Actor again = Submit(holder, "again", 3, ServicePatch("again"));
   while (again.m_next) {
     again.On(world.m_store.Carry(*again.m_next));
   }
-  CHECK(again.m_reported->m_kind == DecisionAnswer::Kind::StoreBehind);
+  CHECK(again.m_answer->m_kind == DecisionAnswer::Kind::StoreBehind);
 }
--- a/tests/config/fake_store.hpp
+++ b/tests/config/fake_store.hpp
@@ -6,8 +6,8 @@
 
 namespace greengagehub {
 
-/// \brief The store's contract in memory, a value that can be copied, so that
-/// a search can go back to an earlier state.
+/// \brief In-memory store. Copyable, so that a search can return to an earlier
+/// state.
 struct FakeStore
 {
   struct Key
@@ -16,8 +16,8 @@
     Revision m_revision{ 0 };
   };
   std::map<std::string, Key> m_keys;
-  Revision m_last{ 0 };
-  /// A broken store for checking the checker: writes without comparing.
+  Revision m_lastRevision{ 0 };
+  /// Fault injection: Put ignores the expected revision.
   bool m_ignoresExpected{ false };
 
   [[nodiscard]] StoreReply Carry(const StoreRequest& aRequest)
@@ -37,8 +37,8 @@
         if (now != aRequest.m_expected && !m_ignoresExpected) {
           return { .m_status = Status::Conflict, .m_revision = now };
         }
-        m_keys[aRequest.m_key] = { aRequest.m_value, ++m_last };
-        return { .m_status = Status::Ok, .m_revision = m_last };
+        m_keys[aRequest.m_key] = { aRequest.m_value, ++m_lastRevision };
+        return { .m_status = Status::Ok, .m_revision = m_lastRevision };
       case StoreRequest::Kind::Delete:
         if (m_keys.erase(aRequest.m_key) == 0) {
           return { .m_status = Status::NotFound };
--- a/tests/config/other_writers.cpp
+++ b/tests/config/other_writers.cpp
@@ -7,64 +7,62 @@
 #include <functional>
 #include <nlohmann/json.hpp>
 
-// Whoever else writes to the store may leave anything under our keys. An entry
-// that makes no sense is refused with its place, and is never taken in part: a
-// field of another type used to end the process, or to become a number.
+// Other writers can leave arbitrary values under the daemon's keys. Guards
+// against crashes on, and partial reads of, malformed values.
 
 using namespace greengagehub;
 using Json = nlohmann::json;
 
 namespace {
 
-const std::vector<Json> kWrong{ nullptr,        true,   -1, 6.5,
-                                1e30,           "text", "", Json::array(),
-                                Json::object(), { 1 } };
-
-const std::vector<std::string> kUnreadable{ "",
-                                            "null",
-                                            "7",
-                                            "[]",
-                                            "\"x\"",
-                                            "{",
-                                            "\xff\xfe",
-                                            std::string(100'000, '['),
-                                            "{\"a\":",
-                                            "[1e99999999]",
-                                            "\x28\xb5\x2f\xfd garbage" };
-
-/// \returns Whether two values are of one type, so that one may stand for the
-/// other.
+const std::vector<Json> kWrongValues{ nullptr,        true,   -1, 6.5,
+                                      1e30,           "text", "", Json::array(),
+                                      Json::object(), { 1 } };
+
+const std::vector<std::string> kMalformed{ "",
+                                           "null",
+                                           "7",
+                                           "[]",
+                                           "\"x\"",
+                                           "{",
+                                           "\xff\xfe",
+                                           std::string(100'000, '['),
+                                           "{\"a\":",
+                                           "[1e99999999]",
+                                           "\x28\xb5\x2f\xfd garbage" };
+
+/// \returns Whether one value is a valid replacement for the other.
 bool
-IsAlike(const Json& aLeft, const Json& aRight)
+IsCompatible(const Json& aLeft, const Json& aRight)
 {
   return aLeft.type() == aRight.type() && !aRight.is_string();
 }
 
-/// Each field in turn is left out, and replaced by values of other types.
+/// Omits each field in turn, and replaces it by values of other types.
 void
 CheckEachField(const Json& aWhole,
-               const std::vector<std::string>& aMayBeAnyText,
-               const std::function<bool(const Json&)>& aIsRefused)
+               const std::vector<std::string>& aFreeTextFields,
+               const std::function<bool(const Json&)>& aIsRejected)
 {
-  REQUIRE_FALSE(aIsRefused(aWhole));
+  REQUIRE_FALSE(aIsRejected(aWhole));
   for (auto field = aWhole.begin(); field != aWhole.end(); ++field) {
     const std::string& name = field.key();
     const Json& value = field.value();
     CAPTURE(name);
     Json without = aWhole;
     without.erase(name);
-    CHECK(aIsRefused(without));
-    const bool anyText =
-      std::find(aMayBeAnyText.begin(), aMayBeAnyText.end(), name) !=
-      aMayBeAnyText.end();
-    for (const Json& each : kWrong) {
-      if (IsAlike(each, value) || (anyText && each.is_string())) {
+    CHECK(aIsRejected(without));
+    const bool isFreeText =
+      std::find(aFreeTextFields.begin(), aFreeTextFields.end(), name) !=
+      aFreeTextFields.end();
+    for (const Json& each : kWrongValues) {
+      if (IsCompatible(each, value) || (isFreeText && each.is_string())) {
         continue;
       }
       CAPTURE(each);
       Json changed = aWhole;
       changed[name] = each;
-      CHECK(aIsRefused(changed));
+      CHECK(aIsRejected(changed));
     }
   }
 }
@@ -96,29 +94,29 @@
 
 }
 
-TEST_CASE("a manifest of another writer is refused")
+TEST_CASE("a malformed manifest is rejected")
 {
   const SnapshotManifest manifest{ { Version{ 4 }, "", {}, {}, {} }, 2 };
   CheckEachField(
     Json::parse(ManifestToJson(manifest)), {}, [](const Json& aJson) {
       return !ParseManifest(aJson.dump());
     });
-  for (const std::string& each : kUnreadable) {
+  for (const std::string& each : kMalformed) {
     CHECK_FALSE(ParseManifest(each));
   }
 }
 
-TEST_CASE("a log of another writer is refused")
+TEST_CASE("a malformed log is rejected")
 {
   CheckEachField(Json::parse(LogToJson(SomeLog())), {}, [](const Json& aJson) {
     return !ParseLog(aJson.dump());
   });
-  for (const std::string& each : kUnreadable) {
+  for (const std::string& each : kMalformed) {
     CHECK_FALSE(ParseLog(each));
   }
 }
 
-TEST_CASE("decisions of another writer are refused")
+TEST_CASE("malformed decisions are rejected")
 {
   for (const bool accepted : { true, false }) {
     CheckEachField(Json::parse(DecisionToJson(SomeDecision(accepted))),
@@ -127,23 +125,23 @@
                      return !ParseDecisions(Json::array({ aJson }).dump());
                    });
   }
-  const Json refused = Json::parse(DecisionToJson(SomeDecision(false)));
+  const Json rejected = Json::parse(DecisionToJson(SomeDecision(false)));
   CheckEachField(
-    refused["reasons"][0], { "place", "detail" }, [&](const Json& aReason) {
-      Json decision = refused;
+    rejected["reasons"][0], { "place", "detail" }, [&](const Json& aReason) {
+      Json decision = rejected;
       decision["reasons"][0] = aReason;
       return !ParseDecisions(Json::array({ decision }).dump());
     });
-  for (const std::string& each : kUnreadable) {
+  for (const std::string& each : kMalformed) {
     if (each != "[]") {
       CHECK_FALSE(ParseDecisions(each));
     }
   }
 }
 
-TEST_CASE("lines of another writer in an index name no segment")
+TEST_CASE("malformed index lines are ignored")
 {
-  // The others hold: a decision that stands beside them is still found.
+  // Guards against losing the valid lines of the same bucket.
   const std::string digest = IndexDigest("p");
   const std::string good = digest + " 17\n";
   for (const std::string& bad : { digest + "\n",
@@ -162,9 +160,9 @@
   }
 }
 
-TEST_CASE("damaged entries of the store are refused or read, and end nothing")
+TEST_CASE("damaged store values cause no crash")
 {
-  // 20,000 of each, always the same ones: no exception, no endless read.
+  // Guards against exceptions and unbounded reads.
   Random random{ 17 };
   const std::string log = LogToJson(SomeLog());
   const std::string decisions =
--- a/tests/config/ready_gate.cpp
+++ b/tests/config/ready_gate.cpp
@@ -6,9 +6,8 @@
 
 TEST_CASE("one lagging peer is not enough to open")
 {
-  // A daemon restarts while the store is away. The first peer it hears was
-  // paused and is two versions behind. Opening on its word would take this
-  // slot from version 3 back to 1.
+  // A daemon restarts while the store is unavailable, and the first peer to
+  // report is out of date. Guards against taking the slot back to version 1.
   ReadyGate gate;
   gate.HeardPeer("paused", Version{ 1 }, Version{ 1 });
   gate.Joined();
@@ -19,7 +18,7 @@
   CHECK(gate.IsOpen(Version{ 3 }, 3));
 }
 
-TEST_CASE("what the slot ran is a floor, even where peers run less")
+TEST_CASE("the gate requires the slot's last version even if peers are behind")
 {
   ReadyGate gate;
   gate.Joined();
@@ -28,7 +27,7 @@
   CHECK(gate.IsOpen(Version{ 5 }, 1));
 }
 
-TEST_CASE("the store's word is enough for the first daemon")
+TEST_CASE("without peers, the store's version suffices")
 {
   ReadyGate gate;
   CHECK_FALSE(gate.IsOpen(Version{ 1 }, 0));
@@ -37,16 +36,15 @@
   CHECK(gate.IsOpen(Version{ 2 }, 0));
 }
 
-TEST_CASE("the store's word is not enough where there are peers")
+TEST_CASE("with peers, the store's version does not suffice")
 {
-  // The store was restored from a backup of version 1, the fleet runs 3. A
-  // daemon that restarts must ask its peers.
+  // Guards against opening on a store that was restored from an old backup.
   ReadyGate gate;
   gate.HeardStore(Version{ 1 });
   CHECK_FALSE(gate.IsOpen(Version{ 1 }, 2));
 }
 
-TEST_CASE("an open daemon stays open when newer versions are heard of")
+TEST_CASE("an open gate stays open when newer versions are reported")
 {
   ReadyGate gate;
   gate.HeardStore(Version{ 1 });
@@ -55,7 +53,7 @@
   CHECK(gate.IsOpen(Version{ 1 }, 1));
 }
 
-TEST_CASE("without any accepted version a daemon is not ready")
+TEST_CASE("without an accepted version the gate stays closed")
 {
   ReadyGate gate;
   gate.HeardStore(Version{});
--- a/tests/config/trace_replay.cpp
+++ b/tests/config/trace_replay.cpp
@@ -5,8 +5,8 @@
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
-// Replays recorded traces of decisions and deliveries against their stated
-// outcomes; the format is described in tests/traces/README.md.
+// Replays recorded traces of decisions and deliveries and compares the outcome
+// of each step; tests/traces/README.md describes the format.
 
 using namespace greengagehub;
 using namespace greengagehub::testkit;
@@ -26,13 +26,13 @@
     }
     if (verb == "restart") {
       m_holder = ConfigHolder{};
-      return InForce("empty");
+      return FormatActive("empty");
     }
     std::uint64_t version = 0;
     words >> version;
     VersionEntry entry = m_history.at(version - 1).m_entry;
     if (verb == "snapshot") {
-      return Told(m_holder.StageSnapshot(
+      return FormatResult(m_holder.StageSnapshot(
         entry, m_history.at(version - 1).m_content.ToJson()));
     }
     if (verb == "damaged") {
@@ -41,7 +41,7 @@
       entry.m_patch = R"({"services":{"intruder":{}}})";
       entry.m_chain = NextChain(Digest{}, entry.m_version, entry.m_patch);
     }
-    return Told(m_holder.Stage(entry));
+    return FormatResult(m_holder.Stage(entry));
   }
 
 private:
@@ -76,25 +76,25 @@
     return fmt::format("accepted {}", decision.m_entry.m_version.m_number);
   }
 
-  [[nodiscard]] std::string InForce(const char* aWhat) const
+  [[nodiscard]] std::string FormatActive(const char* aOutcome) const
   {
     return fmt::format(
-      "{}, in force {}", aWhat, m_holder.GetVersion().m_number);
+      "{}, in force {}", aOutcome, m_holder.GetVersion().m_number);
   }
 
-  [[nodiscard]] std::string Told(StageResult aResult) const
+  [[nodiscard]] std::string FormatResult(StageResult aResult) const
   {
     switch (aResult) {
       case StageResult::Applied:
-        return InForce("applied");
-      case StageResult::AlreadyHeld:
-        return InForce("held");
+        return FormatActive("applied");
+      case StageResult::NotNewer:
+        return FormatActive("held");
       case StageResult::Gap:
-        return InForce("gap");
+        return FormatActive("gap");
       case StageResult::Forked:
-        return InForce("forked");
+        return FormatActive("forked");
       case StageResult::Corrupt:
-        return InForce("corrupt");
+        return FormatActive("corrupt");
     }
     return "?";
   }
