--- a/include/greengagehub/core/clock.hpp
+++ b/include/greengagehub/core/clock.hpp
@@ -4,12 +4,12 @@
 
 namespace greengagehub {
 
-/// \brief Monotonic clock used by all decision logic; always passed in.
+/// \brief Monotonic clock. Logic receives time points as arguments.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
 
-/// \brief Wall time, only ever shown to people and recorded with decisions.
+/// \brief Wall-clock time, for records and display only.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
 }
--- a/include/greengagehub/core/compression.hpp
+++ b/include/greengagehub/core/compression.hpp
@@ -8,12 +8,13 @@
 
 namespace greengagehub {
 
-/// \brief zstd frame of the text, with its size in the header.
+/// \returns A zstd frame of the text; its header has the text's size.
 [[nodiscard]] std::string
 Compress(std::string_view aText);
 
-/// \param aMaxBytes refuse frames that claim more; guards memory against a
-/// frame from a broken peer or store.
+/// \param aMaxBytes maximum decompressed size; bounds the memory that a
+/// malformed frame can claim.
+/// \returns The text, or an error with the code Corrupt or TooLarge.
 [[nodiscard]] Outcome<std::string>
 Decompress(std::string_view aFrame, std::size_t aMaxBytes);
 
--- a/include/greengagehub/core/core.hpp
+++ b/include/greengagehub/core/core.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Everything of the core library: time, errors, digests, tables.
+/// \brief Includes the public headers of the core library.
 
 #include "greengagehub/core/clock.hpp"
 #include "greengagehub/core/compression.hpp"
--- a/include/greengagehub/core/digest.hpp
+++ b/include/greengagehub/core/digest.hpp
@@ -10,7 +10,7 @@
 
 namespace greengagehub {
 
-/// \brief A SHA-256 value.
+/// \brief A SHA-256 digest.
 struct Digest
 {
   static constexpr std::size_t kBytes = 32;
@@ -19,7 +19,7 @@
 
   [[nodiscard]] bool operator==(const Digest&) const noexcept = default;
 
-  /// \returns The 32 raw bytes, for the wire.
+  /// \returns The 32 raw bytes.
   [[nodiscard]] std::string_view View() const noexcept;
 };
 
@@ -28,11 +28,11 @@
 HashOf(std::string_view aText);
 
 /// \param aIndex 0 to 3.
-/// \returns That group of eight bytes as a number, the same on all machines.
+/// \returns The 64-bit big-endian word at this index.
 [[nodiscard]] std::uint64_t
 WordOf(const Digest& aDigest, std::size_t aIndex) noexcept;
 
-/// \returns The first eight bytes of SHA-256 of the text, never 0.
+/// \returns The first 64 bits of SHA-256 of the text; 1 if they are 0.
 [[nodiscard]] std::uint64_t
 ShortHashOf(std::string_view aText);
 
@@ -40,20 +40,18 @@
 [[nodiscard]] std::string
 ToHex(const Digest& aDigest);
 
-/// \param aHex 64 hexadecimal digits.
+/// \param aHex exactly 64 hexadecimal digits; otherwise Corrupt.
 [[nodiscard]] Outcome<Digest>
 ParseDigest(std::string_view aHex);
 
-/// \param aBytes exactly 32 raw bytes, as View() gives.
+/// \param aBytes exactly 32 raw bytes, as from View(); otherwise Corrupt.
 [[nodiscard]] Outcome<Digest>
 DigestFromBytes(std::string_view aBytes);
 
 /// \brief Adds or removes one element of an order-independent set hash.
 ///
-/// The content's digest is the lane-wise sum of its entities' digests, so that
-/// a patch costs only what it touches, whatever the size of the content. It
-/// guards against corruption and lost patches, not against a forger: whoever
-/// can write the store can write a valid digest too.
+/// The hash is the lane-wise sum of the elements, so an update does not depend
+/// on the size of the set. It detects corruption, not deliberate forgery.
 void
 AddTo(Digest& aSum, const Digest& aElement) noexcept;
 void
--- a/include/greengagehub/core/error.hpp
+++ b/include/greengagehub/core/error.hpp
@@ -6,20 +6,21 @@
 
 namespace greengagehub {
 
-/// \brief What went wrong, as a value that callers can branch on.
+/// \brief Category of an error.
 enum class ErrorCode : std::uint8_t
 {
   Invalid,
   NotFound,
   Conflict,
   Unreachable,
+  /// A request was sent, but whether it took effect is unknown.
   OutcomeUnknown,
   TooLarge,
   Corrupt,
   Io,
 };
 
-/// \brief Where in an input text a fault stands; lines and columns from 1.
+/// \brief Position in an input file; lines and columns start at 1.
 struct SourceRegion
 {
   std::string m_file;
@@ -27,7 +28,7 @@
   std::uint32_t m_column{ 0 };
 };
 
-/// \brief An error with a message for people and, for parsed text, its place.
+/// \brief An error with a readable message and, for parsed text, a position.
 struct Error
 {
   ErrorCode m_code{ ErrorCode::Invalid };
@@ -35,7 +36,7 @@
   std::optional<SourceRegion> m_source{};
 };
 
-/// \returns "file:line:column: message", or the bare message without a place.
+/// \returns "file:line:column: message", or the message without a position.
 [[nodiscard]] std::string
 Describe(const Error& aError);
 
--- a/include/greengagehub/core/field_reader.hpp
+++ b/include/greengagehub/core/field_reader.hpp
@@ -7,50 +7,49 @@
 
 namespace greengagehub {
 
-/// \brief Reads the fields of one JSON object strictly: the library itself
-/// turns 6.5, true and -1 into whole numbers. The first fault stays, with its
-/// place; what could not be read is empty.
+/// \brief Reads the fields of one JSON object with strict types. nlohmann::json
+/// alone converts 6.5, true and -1 to unsigned integers.
 ///
-/// For values that anyone may have written: a heartbeat, an entry of the store.
+/// Keeps the first error, with its place. Invalid fields read as empty or 0.
 class FieldReader
 {
 public:
   using Json = nlohmann::json;
 
-  /// \param aObject outlives the reader; one that is no object has no fields.
+  /// \param aObject must outlive the reader. Other JSON types have no fields.
   explicit FieldReader(const Json& aObject)
     : m_object(aObject)
   {
   }
 
-  /// \returns Empty while everything could be read.
+  /// \returns The first error; empty if there is none.
   [[nodiscard]] const std::string& Fault() const noexcept { return m_fault; }
   [[nodiscard]] bool Has(const char* aName) const
   {
     return m_object.contains(aName);
   }
 
-  /// \returns A whole number from 0 to `aMost`.
+  /// \returns An integer from 0 to `aMost`.
   std::uint64_t Whole(const char* aName, std::uint64_t aMost = UINT64_MAX)
   {
     const Json* found = Find(aName);
     const bool fits = found != nullptr && found->is_number_unsigned() &&
                       found->get<std::uint64_t>() <= aMost;
     if (!fits) {
-      Note(aName, fmt::format("a whole number up to {}", aMost));
+      Note(aName, fmt::format("an integer from 0 to {}", aMost));
       return 0;
     }
     return found->get<std::uint64_t>();
   }
 
-  /// \returns A number above 0 and up to `aMost`, whole or not.
+  /// \returns A number above 0, at most `aMost`.
   double Positive(const char* aName, double aMost)
   {
     const Json* found = Find(aName);
     const double value =
       found != nullptr && found->is_number() ? found->get<double>() : 0.0;
     if (!(value > 0.0) || value > aMost) {
-      Note(aName, fmt::format("a number above 0 and up to {}", aMost));
+      Note(aName, fmt::format("a number above 0, at most {}", aMost));
       return 0.0;
     }
     return value;
@@ -60,18 +59,18 @@
   {
     const Json* found = Find(aName);
     if (found == nullptr || !found->is_string()) {
-      Note(aName, "a text");
+      Note(aName, "a string");
       return {};
     }
     return found->get<std::string>();
   }
 
-  /// \returns A text that is not empty.
+  /// \returns A non-empty string.
   std::string Name(const char* aName)
   {
     std::string text = Text(aName);
     if (text.empty()) {
-      Note(aName, "a name");
+      Note(aName, "a non-empty string");
     }
     return text;
   }
@@ -91,17 +90,17 @@
     static const Json kEmpty = Json::array();
     const Json* found = Find(aName);
     if (found == nullptr || !found->is_array()) {
-      Note(aName, "a list");
+      Note(aName, "an array");
       return kEmpty;
     }
     return *found;
   }
 
-  /// \brief Notes a fault unless there is one.
+  /// \brief Records an error unless there is one already.
   void Note(std::string_view aPlace, std::string_view aExpected)
   {
     if (m_fault.empty()) {
-      m_fault = fmt::format("/{}: {} was expected", aPlace, aExpected);
+      m_fault = fmt::format("/{}: expected {}", aPlace, aExpected);
     }
   }
 
--- a/include/greengagehub/core/outcome.hpp
+++ b/include/greengagehub/core/outcome.hpp
@@ -7,7 +7,7 @@
 
 namespace greengagehub {
 
-/// \brief Result of an operation that can fail: a value or an Error.
+/// \brief A value or an Error.
 ///
 /// \code
 /// Outcome<Patch> patch = ParsePatch(text);
--- a/include/greengagehub/core/random.hpp
+++ b/include/greengagehub/core/random.hpp
@@ -6,15 +6,15 @@
 
 namespace greengagehub {
 
-/// \brief Random source of the decision logic; seeded and owned by the caller,
-/// so that a replay with the same seed takes the same steps.
+/// \brief Random number generator. The caller seeds and owns it, which makes
+/// runs reproducible.
 using Random = std::mt19937_64;
 
-/// \returns A number in [0, aBound); 0 when aBound is 0.
+/// \returns A uniform number in [0, aBound); 0 if aBound is 0.
 [[nodiscard]] std::uint64_t
 Below(Random& aRandom, std::uint64_t aBound);
 
-/// \returns A span in [aBase / 2, aBase], so that equal timers drift apart.
+/// \returns A uniform duration in [aBase / 2, aBase], to desynchronize timers.
 [[nodiscard]] std::chrono::milliseconds
 Jittered(Random& aRandom, std::chrono::milliseconds aBase);
 
--- a/include/greengagehub/core/store.hpp
+++ b/include/greengagehub/core/store.hpp
@@ -9,8 +9,8 @@
 
 using StoreDone = std::function<void(StoreReply)>;
 
-/// \brief The platform's key-value store, as the daemon uses it. Only a type
-/// that models this knows the form of an actual store.
+/// \brief Client of the platform's key-value store. Models implement the
+/// protocol of an actual store.
 template<class T>
 concept Store = requires(T aStore, StoreRequest aRequest, StoreDone aDone)
 {
--- a/include/greengagehub/core/store_message.hpp
+++ b/include/greengagehub/core/store_message.hpp
@@ -8,29 +8,31 @@
 
 namespace greengagehub {
 
-/// \brief Revision of one key, from the store; 0 stands for "no such key".
+/// \brief Revision that the store assigns to a key; 0 if the key does not
+/// exist.
 using Revision = std::uint64_t;
 
-/// \brief One call to the platform's key-value store, as a value that decision
-/// logic returns and an adapter carries out.
+/// \brief One request to the platform's key-value store. Logic without I/O
+/// returns it; a Store executes it.
 struct StoreRequest
 {
   enum class Kind : std::uint8_t
   {
     Get,
-    /// Compare-and-swap against m_expected; 0 creates.
+    /// Compare-and-swap: writes if the key is at m_expected; 0 creates the key.
     Put,
-    /// Unconditional.
+    /// Unconditional delete.
     Delete,
-    /// Answers when the key changed after the store's revision m_expected, or
-    /// with NotModified after m_wait.
+    /// Completes when the key changes after store revision m_expected, or with
+    /// NotModified after m_wait.
     Watch,
-    /// Values of all keys that begin with m_key.
+    /// Reads all keys with the prefix m_key.
     List,
     LeaseGrant,
+    /// Renews m_lease.
     LeaseKeep,
-    /// Whether the key is at revision m_expected: Ok, or Conflict with what it
-    /// holds. Writes nothing, and is decided as a write is.
+    /// Linearizable check that the key is at m_expected: Ok, or Conflict with
+    /// the current value. Writes nothing.
     Check,
   };
 
@@ -38,20 +40,19 @@
   std::string m_key{};
   std::string m_value{};
   Revision m_expected{ 0 };
-  /// Lease that the written key dies with; 0 for none. For LeaseKeep, the
-  /// lease itself.
+  /// Put: lease that the key expires with; 0 for none. LeaseKeep: the lease to
+  /// renew.
   std::uint64_t m_lease{ 0 };
-  /// Wait of a watch, or time to live of a new lease.
+  /// Watch: maximum wait. LeaseGrant: time to live.
   std::chrono::milliseconds m_wait{ 0 };
-  /// For Watch, with a prefix of m_key: changes of other keys that begin so are
-  /// told too, as m_items.
+  /// Watch: a prefix of m_key; changes of other keys with this prefix are
+  /// reported in m_items. Empty for none.
   std::string m_beside{};
-  /// For Check: a second key that must be at its revision as well; empty:
-  /// none.
+  /// Check: second key, which must be at m_alsoExpected; empty for none.
   std::string m_alsoKey{};
   Revision m_alsoExpected{ 0 };
-  /// For Get and List: what the store tells may be seconds old. Costs a tenth,
-  /// and does not count against the store's rates.
+  /// Get and List: allows a stale read, which is cheaper and does not count
+  /// against the store's rate limits.
   bool m_mayBeOld{ false };
 };
 
@@ -61,42 +62,42 @@
   std::string m_value;
 };
 
-/// \brief What is known about a call to the store.
+/// \brief Reply to a store request.
 struct StoreReply
 {
   enum class Status : std::uint8_t
   {
     Ok,
     NotFound,
-    /// The key's revision was not the expected one; nothing was written. The
-    /// reply has the key's value and revision, if it is there.
+    /// The key is at another revision; nothing was written. The reply has its
+    /// value and revision if it exists.
     Conflict,
-    /// A watch's time ran out with no change.
+    /// A watch timed out without a change.
     NotModified,
-    /// Certainly not carried out: not sent, or turned away.
+    /// Not executed: not sent, or rejected.
     Unavailable,
-    /// A watch began at a revision that the store has forgotten: read again.
+    /// The revision of a watch was compacted; read the key again.
     HistoryGone,
-    /// Sent, no answer: a write may have taken effect.
+    /// Sent without a reply; a write may have taken effect.
     Unknown,
   };
 
   Status m_status{ Status::Unknown };
-  /// The key's own.
+  /// Revision of the key.
   Revision m_revision{ 0 };
-  /// The whole store's when it answered; a watch goes on from here.
+  /// Revision of the store at the reply; the next watch continues from it.
   Revision m_storeRevision{ 0 };
   std::string m_value{};
   std::uint64_t m_lease{ 0 };
   std::vector<StoreItem> m_items{};
-  /// Rises each time that the store comes back from an older copy, with which
-  /// revisions go back; 0: not told.
+  /// Incremented when the store is restored from a backup, which sets revisions
+  /// back; 0 if unknown.
   std::uint64_t m_era{ 0 };
 };
 
 [[nodiscard]] StoreRequest
 MakeGet(std::string aKey);
-/// \brief As MakeGet, where an old value does no harm.
+/// \brief Like MakeGet, as a stale read.
 [[nodiscard]] StoreRequest
 MakeOldGet(std::string aKey);
 [[nodiscard]] StoreRequest
@@ -105,7 +106,8 @@
 MakeDelete(std::string aKey);
 [[nodiscard]] StoreRequest
 MakeWatch(std::string aKey, Revision aAfter, std::chrono::milliseconds aWait);
-/// \brief As MakeWatch, of all keys that begin with `aPrefix`, as does aKey.
+/// \brief Like MakeWatch, and also reports other keys with `aPrefix`, which
+/// must be a prefix of `aKey`.
 [[nodiscard]] StoreRequest
 MakeWatchBeside(std::string aKey,
                 std::string aPrefix,
@@ -115,7 +117,7 @@
 MakeCheck(std::string aKey, Revision aExpected);
 [[nodiscard]] StoreRequest
 MakeList(std::string aPrefix);
-/// \brief As MakeList, where old values do no harm.
+/// \brief Like MakeList, as a stale read.
 [[nodiscard]] StoreRequest
 MakeOldList(std::string aPrefix);
 
--- a/include/greengagehub/core/table.hpp
+++ b/include/greengagehub/core/table.hpp
@@ -7,17 +7,18 @@
 
 namespace greengagehub {
 
-/// \brief Rows in dense storage; systems run over them in one pass.
+/// \brief Rows in contiguous storage with stable indices.
 ///
-/// Row numbers stay valid until the row is erased; an erased row's number is
-/// given out again.
+/// An index is valid until its row is erased and is then reused.
 template<class Row>
 class Table
 {
 public:
   using Index = std::uint32_t;
 
+  /// \returns Number of rows in use.
   [[nodiscard]] std::size_t Size() const noexcept { return m_used; }
+  /// \returns Upper bound of all indices, including free ones.
   [[nodiscard]] Index Capacity() const noexcept
   {
     return static_cast<Index>(m_rows.size());
@@ -52,22 +53,22 @@
     --m_used;
   }
 
-  /// \brief Calls `aSystem(index, row)` for each row in use.
-  template<class System>
-  void Each(System&& aSystem)
+  /// \brief Calls `aVisitor(index, row)` for each row in use.
+  template<class Visitor>
+  void Each(Visitor&& aVisitor)
   {
     for (Index index = 0; index < m_rows.size(); ++index) {
       if (m_rows[index].m_inUse) {
-        aSystem(index, m_rows[index].m_row);
+        aVisitor(index, m_rows[index].m_row);
       }
     }
   }
-  template<class System>
-  void Each(System&& aSystem) const
+  template<class Visitor>
+  void Each(Visitor&& aVisitor) const
   {
     for (Index index = 0; index < m_rows.size(); ++index) {
       if (m_rows[index].m_inUse) {
-        aSystem(index, m_rows[index].m_row);
+        aVisitor(index, m_rows[index].m_row);
       }
     }
   }
--- a/include/greengagehub/core/version.hpp
+++ b/include/greengagehub/core/version.hpp
@@ -5,7 +5,7 @@
 
 namespace greengagehub {
 
-/// \brief Number of an accepted configuration; 0 is the empty one before all.
+/// \brief Number of an accepted configuration; 0 is the initial, empty one.
 struct Version
 {
   std::uint64_t m_number{ 0 };
--- a/src/core/compression.cpp
+++ b/src/core/compression.cpp
@@ -5,7 +5,7 @@
 namespace greengagehub {
 
 namespace {
-constexpr int kLevel = 3;
+constexpr int kCompressionLevel = 3;
 }
 
 std::string
@@ -13,7 +13,7 @@
 {
   std::string frame(ZSTD_compressBound(aText.size()), '\0');
   const std::size_t size = ZSTD_compress(
-    frame.data(), frame.size(), aText.data(), aText.size(), kLevel);
+    frame.data(), frame.size(), aText.data(), aText.size(), kCompressionLevel);
   frame.resize(ZSTD_isError(size) != 0U ? 0 : size);
   return frame;
 }
@@ -23,16 +23,21 @@
 {
   const auto size = ZSTD_getFrameContentSize(aFrame.data(), aFrame.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN) {
-    return Error{ ErrorCode::Corrupt, "not a zstd frame with its size" };
+    return Error{
+      ErrorCode::Corrupt,
+      "compressed value: expected a zstd frame with its content size"
+    };
   }
   if (size > aMaxBytes) {
-    return Error{ ErrorCode::TooLarge, "a compressed value is too large" };
+    return Error{ ErrorCode::TooLarge,
+                  "compressed value: the content size exceeds the limit" };
   }
   std::string text(size, '\0');
-  const std::size_t got =
+  const std::size_t written =
     ZSTD_decompress(text.data(), text.size(), aFrame.data(), aFrame.size());
-  if (ZSTD_isError(got) != 0U || got != size) {
-    return Error{ ErrorCode::Corrupt, "a cut or damaged zstd frame" };
+  if (ZSTD_isError(written) != 0U || written != size) {
+    return Error{ ErrorCode::Corrupt,
+                  "compressed value: truncated or damaged zstd frame" };
   }
   return text;
 }
--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -14,7 +14,7 @@
 using Lanes = std::array<std::uint64_t, kLanes>;
 
 Lanes
-LanesOf(const Digest& aDigest) noexcept
+ToLanes(const Digest& aDigest) noexcept
 {
   Lanes lanes{};
   std::memcpy(lanes.data(), aDigest.m_bytes.data(), Digest::kBytes);
@@ -22,7 +22,7 @@
 }
 
 void
-Store(Digest& aDigest, const Lanes& aLanes) noexcept
+SetLanes(Digest& aDigest, const Lanes& aLanes) noexcept
 {
   std::memcpy(aDigest.m_bytes.data(), aLanes.data(), Digest::kBytes);
 }
@@ -76,7 +76,8 @@
 {
   Digest digest;
   if (aHex.size() != 2 * Digest::kBytes) {
-    return Error{ ErrorCode::Corrupt, "a digest has 64 hexadecimal digits" };
+    return Error{ ErrorCode::Corrupt,
+                  "digest: expected 64 hexadecimal digits" };
   }
   for (std::size_t i = 0; i < Digest::kBytes; ++i) {
     const char* first = aHex.data() + 2 * i;
@@ -84,7 +85,7 @@
       std::from_chars(first, first + 2, digest.m_bytes[i], 16);
     if (parsed.ptr != first + 2) {
       return Error{ ErrorCode::Corrupt,
-                    "a digest has hexadecimal digits only" };
+                    "digest: expected hexadecimal digits only" };
     }
   }
   return digest;
@@ -94,7 +95,7 @@
 DigestFromBytes(std::string_view aBytes)
 {
   if (aBytes.size() != Digest::kBytes) {
-    return Error{ ErrorCode::Corrupt, "a digest has 32 bytes" };
+    return Error{ ErrorCode::Corrupt, "digest: expected 32 bytes" };
   }
   Digest digest;
   std::copy(aBytes.begin(), aBytes.end(), digest.m_bytes.begin());
@@ -104,23 +105,23 @@
 void
 AddTo(Digest& aSum, const Digest& aElement) noexcept
 {
-  Lanes sum = LanesOf(aSum);
-  const Lanes element = LanesOf(aElement);
+  Lanes sum = ToLanes(aSum);
+  const Lanes element = ToLanes(aElement);
   for (std::size_t i = 0; i < kLanes; ++i) {
     sum[i] += element[i];
   }
-  Store(aSum, sum);
+  SetLanes(aSum, sum);
 }
 
 void
 RemoveFrom(Digest& aSum, const Digest& aElement) noexcept
 {
-  Lanes sum = LanesOf(aSum);
-  const Lanes element = LanesOf(aElement);
+  Lanes sum = ToLanes(aSum);
+  const Lanes element = ToLanes(aElement);
   for (std::size_t i = 0; i < kLanes; ++i) {
     sum[i] -= element[i];
   }
-  Store(aSum, sum);
+  SetLanes(aSum, sum);
 }
 
 }
