--- a/include/greengagehub/config/config_holder.hpp
+++ b/include/greengagehub/config/config_holder.hpp
@@ -72,7 +72,7 @@
 
 private:
   StageResult Apply(const VersionEntry& aEntry);
-  StageResult ApplyChange(VersionEntry aEntry, bool aCheckDigest);
+  StageResult ApplyPatch(VersionEntry aEntry, bool aCheckDigest);
   void ApplyPending();
   void AddRecent(const VersionEntry& aEntry);
 
--- a/include/greengagehub/config/ready_gate.hpp
+++ b/include/greengagehub/config/ready_gate.hpp
@@ -32,16 +32,16 @@
     StoreFirst,
   };
 
-  explicit ReadyGate(Trust aTrust = Trust::PeersFirst) noexcept
-    : m_trust(aTrust)
+  explicit ReadyGate(Trust aAuthority = Trust::PeersFirst) noexcept
+    : m_authority(aAuthority)
   {
   }
 
   /// \brief Records a peer's report.
-  /// \param aFloor highest version that the peer saw this slot run.
-  void HeardPeer(const std::string& aSlot, Version aHead, Version aFloor)
+  /// \param aMinimum highest version that the peer saw this slot run.
+  void HeardPeer(const std::string& aSlot, Version aHead, Version aMinimum)
   {
-    m_required = std::max({ m_required, aHead, aFloor });
+    m_required = std::max({ m_required, aHead, aMinimum });
     if (m_peers.size() < kPeers) {
       m_peers.insert(aSlot);
     }
@@ -68,7 +68,7 @@
     const bool byPeers =
       aPresent > 0 && m_joined && m_peers.size() >= std::min(kPeers, aPresent);
     const bool byStore =
-      m_storeRead && (aPresent == 0 || m_trust == Trust::StoreFirst);
+      m_storeRead && (aPresent == 0 || m_authority == Trust::StoreFirst);
     const bool isConfirmed = byPeers || byStore;
     m_open =
       m_open || (isConfirmed && aInForce > Version{} && aInForce >= m_required);
@@ -76,7 +76,7 @@
   }
 
 private:
-  Trust m_trust;
+  Trust m_authority;
   std::set<std::string> m_peers;
   Version m_required;
   bool m_storeRead{ false };
--- a/include/greengagehub/core/field_reader.hpp
+++ b/include/greengagehub/core/field_reader.hpp
@@ -23,33 +23,33 @@
   }
 
   /// \returns The first error; empty if there is none.
-  [[nodiscard]] const std::string& Fault() const noexcept { return m_fault; }
+  [[nodiscard]] const std::string& Fault() const noexcept { return m_error; }
   [[nodiscard]] bool Has(const char* aName) const
   {
     return m_object.contains(aName);
   }
 
-  /// \returns An integer from 0 to `aMost`.
-  std::uint64_t Whole(const char* aName, std::uint64_t aMost = UINT64_MAX)
+  /// \returns An integer from 0 to `aMaximum`.
+  std::uint64_t Whole(const char* aName, std::uint64_t aMaximum = UINT64_MAX)
   {
     const Json* found = Find(aName);
     const bool fits = found != nullptr && found->is_number_unsigned() &&
-                      found->get<std::uint64_t>() <= aMost;
+                      found->get<std::uint64_t>() <= aMaximum;
     if (!fits) {
-      Note(aName, fmt::format("an integer from 0 to {}", aMost));
+      Note(aName, fmt::format("an integer from 0 to {}", aMaximum));
       return 0;
     }
     return found->get<std::uint64_t>();
   }
 
-  /// \returns A number above 0, at most `aMost`.
-  double Positive(const char* aName, double aMost)
+  /// \returns A number above 0, at most `aMaximum`.
+  double Positive(const char* aName, double aMaximum)
   {
     const Json* found = Find(aName);
     const double value =
       found != nullptr && found->is_number() ? found->get<double>() : 0.0;
-    if (!(value > 0.0) || value > aMost) {
-      Note(aName, fmt::format("a number above 0, at most {}", aMost));
+    if (!(value > 0.0) || value > aMaximum) {
+      Note(aName, fmt::format("a number above 0, at most {}", aMaximum));
       return 0.0;
     }
     return value;
@@ -99,8 +99,8 @@
   /// \brief Records an error unless there is one already.
   void Note(std::string_view aPlace, std::string_view aExpected)
   {
-    if (m_fault.empty()) {
-      m_fault = fmt::format("/{}: expected {}", aPlace, aExpected);
+    if (m_error.empty()) {
+      m_error = fmt::format("/{}: expected {}", aPlace, aExpected);
     }
   }
 
@@ -112,7 +112,7 @@
   }
 
   const Json& m_object;
-  std::string m_fault;
+  std::string m_error;
 };
 
 }
--- a/src/config/config_holder.cpp
+++ b/src/config/config_holder.cpp
@@ -47,7 +47,7 @@
     return forked ? StageResult::Forked : StageResult::NotNewer;
   }
   if (aEntry.m_base) {
-    return *aEntry.m_base == current ? ApplyChange(aEntry, true)
+    return *aEntry.m_base == current ? ApplyPatch(aEntry, true)
                                      : StageResult::Gap;
   }
   if (aEntry.m_version != current.Next()) {
@@ -110,11 +110,11 @@
   entry.m_version = aVersion;
   entry.m_base = GetVersion();
   entry.m_patch = std::move(aPatch);
-  return ApplyChange(std::move(entry), false);
+  return ApplyPatch(std::move(entry), false);
 }
 
 StageResult
-ConfigHolder::ApplyChange(VersionEntry aEntry, bool aCheckDigest)
+ConfigHolder::ApplyPatch(VersionEntry aEntry, bool aCheckDigest)
 {
   boost::intrusive_ptr<ActiveConfig> next{ new ActiveConfig };
   next->m_version = aEntry.m_version;
