--- a/include/greengagehub/daemon/call_gateway.hpp
+++ b/include/greengagehub/daemon/call_gateway.hpp
@@ -24,12 +24,13 @@
 
 namespace greengagehub {
 
-/// \brief The caller's side of calls, wired to sockets: takes requests over
-/// HTTP, has the dispatcher decide, and carries attempts over links, or
-/// straight to the own worker.
+/// \brief Connects the dispatcher to sockets: accepts requests of callers over
+/// HTTP and sends attempts over links to other daemons, or directly to the
+/// local worker.
 class CallGateway
 {
 public:
+  /// References must outlive the gateway.
   struct Parts
   {
     asio::io_context& m_loop;
@@ -45,7 +46,7 @@
     std::uint64_t m_process;
     std::function<void(Span)> m_trace;
     std::function<bool()> m_isReady;
-    /// Everyone known, for filling in a service on its first call.
+    /// All known members; read on the first call to a service.
     std::function<const MemberTable&()> m_members;
   };
 
@@ -64,7 +65,7 @@
   {
     return m_service.Runs();
   }
-  /// \brief What the own worker did, for who judges its version.
+  /// \returns Results of the local worker's runs since CountAnew().
   [[nodiscard]] WorkerCounts Counts() const { return m_service.Counts(); }
   void CountAnew() { m_service.CountAnew(); }
   [[nodiscard]] const Dispatcher& GetDispatcher() const noexcept
@@ -75,111 +76,116 @@
 
   [[nodiscard]] Outcome<std::uint16_t> Open();
   void OnMember(const MemberEvent& aEvent);
-  /// \brief The own worker came, changed or leaves.
+  /// \brief The local worker started, changed or is draining.
   void OnWorker(const WorkerPresence& aPresence);
-  /// \brief Asks the own worker for its id, where the configuration says how.
+  /// \brief Requests the local worker's instance id through its health check,
+  /// if the configuration names one.
   void ProbeWorker(std::function<void(std::string)> aDone);
   void OnVersion();
-  /// \brief The process was paused: what is unread on its connections is as
-  /// old as the pause, and must not be taken for fresh.
+  /// \brief The process resumed after a pause. Drops its links, whose unread
+  /// data is as old as the pause.
   void OnProcessResumed();
   void OnTick(TimePoint aNow);
   void StartLeaving();
-  /// \brief Takes no more requests from callers.
+  /// \brief Stops accepting requests from callers.
   void FinishCallers();
-  /// \returns Whether answers wait for their time on this machine's link.
+  /// \returns Whether answers wait for capacity on this machine's network link.
   [[nodiscard]] bool HasUnsentAnswers() const { return m_server.HasUnsent(); }
-  /// \returns Callers whose request is not yet answered whole.
+  /// \returns Connections whose current request is not answered completely.
   [[nodiscard]] std::size_t WaitingCallers() const noexcept
   {
     return m_http.Busy();
   }
 
 private:
-  /// A call whose caller waits.
-  struct Waiting
+  /// A call that is not answered yet.
+  struct PendingCall
   {
     HttpResponder m_responder;
     CallRequest m_request{};
     std::uint64_t m_connection{ 0 };
-    TimePoint m_since{};
-    std::chrono::sys_time<std::chrono::nanoseconds> m_start{};
+    TimePoint m_receivedAt{};
+    std::chrono::sys_time<std::chrono::nanoseconds> m_wallStart{};
     std::optional<TraceContext> m_parent{};
     TraceContext m_span{};
-    /// The version it started with, held until it ends.
+    /// The configuration that was active when the call started.
     ActiveConfigPtr m_config{};
-    /// Key of its route's figures.
-    std::string m_route{};
+    /// Key into m_routeStatistics.
+    std::string m_routeKey{};
     std::string m_id{};
     std::string m_workspace{};
-    /// Where it was sent last, and how often.
+    /// Slot of the latest attempt; empty: none.
     std::string m_slot{};
-    std::uint32_t m_sends{ 0 };
+    std::uint32_t m_attempts{ 0 };
   };
-  /// What calls of a route have shown.
-  struct RouteFigures
+  /// Measurements of the calls of one route.
+  struct RouteStatistics
   {
     CallAge m_age;
-    /// Digest of the route's key.
-    std::uint64_t m_route{ 0 };
-    /// Moving mean of the answers' bodies.
+    /// Hash of the key.
+    std::uint64_t m_routeHash{ 0 };
+    /// Moving mean of the size of answer bodies.
     double m_answerBytes{ 1024.0 };
   };
 
-  /// \brief A caller's request was read.
-  void Take(HttpRequest aRequest, HttpResponder aResponder);
-  /// \brief Lets go of what was held after this process stood still.
+  void OnCallerRequest(HttpRequest aRequest, HttpResponder aResponder);
+  /// \brief Processes the requests that the resume filter delayed.
   void ReleaseFiltered();
-  void ReleaseFilteredAt(TimePoint aWhen);
-  /// \param aCame when it was read; later than that, it was held.
-  void Serve(TimePoint aCame, HttpRequest aRequest, HttpResponder aResponder);
-  /// \brief Answers without a call having been made.
+  void ScheduleFilterRelease(TimePoint aWhen);
+  /// \brief Routes a request, or buffers it while the daemon starts.
+  void Serve(TimePoint aReceivedAt,
+             HttpRequest aRequest,
+             HttpResponder aResponder);
+  /// \brief Answers a request for which no call is started.
   void Refuse(const HttpRequest& aRequest,
               HttpResponder& aResponder,
               RefusalReason aReason,
-              std::chrono::milliseconds aRetryAfter = StartBuffer::kHoldTime,
+              std::chrono::milliseconds aRetryAfter = StartBuffer::kMaxHoldTime,
               const WorkspaceRow* aWorkspace = nullptr);
-  /// \brief Checks key and quota, and begins the call, holds or refuses it.
-  /// \param aIsNew false for a request that has waited for a token.
+  /// \brief Checks key and quota, then starts, queues or refuses the call.
+  /// \param aIsNew false for a request from the token queue.
   void Admit(const Route& aRoute,
              const std::string& aService,
-             TimePoint aCame,
+             TimePoint aReceivedAt,
              HttpRequest aRequest,
              HttpResponder aResponder,
              bool aIsNew);
-  /// \returns Whether the request's target time has passed, as far as its
-  /// deadline shows.
+  /// \returns Whether the route's target latency has passed, including the time
+  /// before arrival, which is estimated from the request's deadline.
   [[nodiscard]] bool IsLate(const Route& aRoute,
-                            TimePoint aCame,
+                            TimePoint aReceivedAt,
                             const HttpRequest& aRequest);
-  /// \brief Tries those again that wait for a token.
+  /// \brief Repeats the admission of all requests in the token queue.
   void RetryAdmissions();
-  /// \brief Serves what came before the daemon was ready, or refuses it.
-  void ReleaseHeld(TimePoint aNow);
-  void Begin(const Route& aRoute,
-             const std::string& aService,
-             TimePoint aCame,
-             const WorkspaceRow* aWorkspace,
-             HttpRequest aRequest,
-             HttpResponder aDone);
-  [[nodiscard]] std::string ServiceOf(const Route& aRoute);
-  [[nodiscard]] RouteFigures& FiguresOf(const std::string& aKey);
-  void Carry(const DispatchActions& aActions);
-  void Carry(const SendAttempt& aAttempt);
-  void Carry(const SendCancel& aCancel);
-  void Carry(const FinishCall& aFinish);
+  /// \brief Serves the buffered requests if the daemon is ready; otherwise
+  /// refuses those that have expired.
+  void ReleaseStartBuffer(TimePoint aNow);
+  void StartCall(const Route& aRoute,
+                 const std::string& aService,
+                 TimePoint aReceivedAt,
+                 const WorkspaceRow* aWorkspace,
+                 HttpRequest aRequest,
+                 HttpResponder aResponder);
+  [[nodiscard]] std::string SelectService(const Route& aRoute);
+  [[nodiscard]] RouteStatistics& StatisticsOf(const std::string& aKey);
+  void Execute(const DispatchActions& aActions);
+  void Execute(const SendAttempt& aAttempt);
+  void Execute(const SendCancel& aCancel);
+  void Execute(const FinishCall& aFinish);
   void OnServerFrame(LinkConnection& aConnection, LinkFrame aFrame);
   void OnPoolFrame(LinkFrame aFrame);
   void Deliver(CallKey aKey, CallAnswer aAnswer);
-  void OnHungUp(std::uint64_t aConnection);
-  void WantService(const std::string& aService);
+  void OnCallerConnectionClosed(std::uint64_t aConnection);
+  /// \brief Adds the workers of a service to the routing table on its first
+  /// call.
+  void TrackService(const std::string& aService);
   void PutWorker(const MemberRecord& aRecord);
-  /// \returns Up to twice the span: those refused together must not come back
-  /// together.
-  [[nodiscard]] std::chrono::milliseconds Spread(
+  /// \returns A random time of one to two times the given one, so that callers
+  /// refused together do not retry together.
+  [[nodiscard]] std::chrono::milliseconds WithJitter(
     std::chrono::milliseconds aRetryAfter);
-  void TraceEnd(const Waiting& aCall, const CallAnswer& aAnswer);
-  void Arm();
+  void RecordSpan(const PendingCall& aCall, const CallAnswer& aAnswer);
+  void ArmTimer();
   [[nodiscard]] RetryLimits RetryLimitsNow() const;
   [[nodiscard]] LinkPool::Handlers PoolHandlers();
   [[nodiscard]] LinkServer::Handlers ServerHandlers();
@@ -193,20 +199,20 @@
   LinkPool m_pool;
   HttpServer m_http;
   RouteTable m_routes;
-  /// Services that were called through this daemon. Only their workers are
-  /// kept for routing: rows for all 38,000 would take 24 MB of the 64.
-  std::set<std::string, std::less<>> m_services;
+  /// Services called through this daemon. The routing table holds only their
+  /// workers, which bounds its memory.
+  std::set<std::string, std::less<>> m_trackedServices;
   std::map<std::string, MemberAddress, std::less<>> m_addresses;
-  std::map<std::uint64_t, Waiting> m_waiting;
-  /// Calls by the caller's connection, to notice that it hung up.
-  std::map<std::uint64_t, std::uint64_t> m_byConnection;
-  std::unordered_map<std::string, RouteFigures> m_figures;
+  std::map<std::uint64_t, PendingCall> m_pending;
+  /// Latest call of each caller's connection.
+  std::map<std::uint64_t, std::uint64_t> m_callByConnection;
+  std::unordered_map<std::string, RouteStatistics> m_routeStatistics;
   std::uint64_t m_lastCall{ 0 };
   asio::steady_timer m_timer;
-  std::optional<TimePoint> m_armed;
-  bool m_leaving{ false };
-  StartBuffer m_starting;
-  TokenQueue m_awaitingTokens;
+  std::optional<TimePoint> m_timerExpiry;
+  bool m_draining{ false };
+  StartBuffer m_startBuffer;
+  TokenQueue m_tokenQueue;
   ResumeFilter m_resumeFilter;
   asio::steady_timer m_filterTimer;
 };
--- a/include/greengagehub/daemon/call_headers.hpp
+++ b/include/greengagehub/daemon/call_headers.hpp
@@ -10,52 +10,52 @@
 
 namespace greengagehub {
 
-/// Headers that callers, workers and daemons exchange.
+/// W3C trace context.
 inline constexpr std::string_view kTraceparentHeader = "traceparent";
-/// Hops behind the call; a worker passes it on with the calls it makes.
+/// Number of hops before this call. A worker copies it to the calls it makes.
 inline constexpr std::string_view kDepthHeader = "Greengagehub-Depth";
-/// Retries that the call may still use; passed on likewise.
-inline constexpr std::string_view kTriesHeader = "Greengagehub-Tries";
-/// "not-run" or "unknown" on an answer that is not the worker's.
+/// Number of retries left to the call; copied likewise.
+inline constexpr std::string_view kRetriesHeader = "Greengagehub-Tries";
+/// "not-run" or "unknown"; set on answers that a daemon generated.
 inline constexpr std::string_view kOutcomeHeader = "Greengagehub-Outcome";
 inline constexpr std::string_view kReasonHeader = "Greengagehub-Reason";
-/// As Retry-After, in milliseconds.
+/// Retry-After in milliseconds.
 inline constexpr std::string_view kRetryAfterHeader =
   "Greengagehub-Retry-After-Ms";
 
-/// \returns What makes the call the same as another one to a worker.
+/// \returns The fingerprint under which quarantine counts the call.
 [[nodiscard]] Fingerprint
-ContentOf(const CallDialect& aDialect, const CallRequest& aCall);
+CallFingerprint(const CallDialect& aDialect, const CallRequest& aCall);
 
-/// \returns Headers for the worker: the caller's, without those of the
-/// connection, and the call's own values.
-/// \param aInstance the backend server that must run it; empty: any.
+/// \returns The call's headers with the deadline, the expected instance and,
+/// where the dialect has them, the hop headers.
+/// \param aInstance the backend server that must run the call; empty: any.
 [[nodiscard]] std::vector<HttpHeader>
 HeadersToWorker(const CallDialect& aDialect,
                 const CallRequest& aCall,
-                std::chrono::milliseconds aLeft,
+                std::chrono::milliseconds aTimeLeft,
                 const TraceContext& aSpan,
                 const std::string& aInstance);
 
-/// \returns The caller's headers, without those that daemons set and those
-/// that concern only the caller's connection.
+/// \returns The caller's headers without connection headers and without those
+/// that daemons set.
 [[nodiscard]] std::vector<HttpHeader>
 HeadersFromCaller(const CallDialect& aDialect,
                   std::vector<HttpHeader> aHeaders);
 
-/// \returns A whole number from a header, or the default when it is missing
-/// or makes no sense.
+/// \returns The value of a header, or the default if it is missing or not an
+/// unsigned decimal number.
 [[nodiscard]] std::uint64_t
-NumberHeader(const std::vector<HttpHeader>& aHeaders,
-             std::string_view aName,
-             std::uint64_t aDefault);
+ParseNumberHeader(const std::vector<HttpHeader>& aHeaders,
+                  std::string_view aName,
+                  std::uint64_t aDefault);
 
-/// \returns The status that the caller gets.
+/// \returns The HTTP status of the response to the caller.
 [[nodiscard]] std::uint16_t
 StatusOf(const CallAnswer& aAnswer);
 
-/// \returns The answer for the caller: the worker's own, or a refusal with
-/// status, Retry-After, outcome header and JSON body.
+/// \returns The response to the caller: the worker's own, or a refusal with
+/// status, Retry-After, outcome headers and JSON body.
 [[nodiscard]] HttpResponse
 ResponseFor(const CallDialect& aDialect, CallAnswer aAnswer);
 
--- a/include/greengagehub/daemon/leaving.hpp
+++ b/include/greengagehub/daemon/leaving.hpp
@@ -4,22 +4,22 @@
 
 namespace greengagehub {
 
-/// \brief What a daemon that leaves a platform still does.
+/// \brief Work that a draining daemon on a platform still accepts.
 struct LeavingStep
 {
-  /// Starts calls at its worker.
+  /// Starts runs at its worker.
   bool m_servesWorker{ true };
-  /// Takes requests of callers.
+  /// Accepts requests from callers.
   bool m_takesCallers{ true };
 };
 
-/// \brief Decides it at a moment of the grace time.
+/// \brief Returns the phase of a drain.
 ///
-/// Answers the load pattern of daemons stopped in turn while load is high: what
-/// a leaving daemon no longer does, the others must, and what it takes too late
-/// is lost when it ends.
+/// The phases balance two costs: work that a draining daemon declines is load
+/// for the other daemons, and work that it accepts too late is lost when its
+/// process ends.
 ///
-/// \param aSince since the daemon was told to leave.
+/// \param aSince time since the drain started.
 [[nodiscard]] LeavingStep
 StepOfLeaving(Duration aSince) noexcept;
 
--- a/include/greengagehub/daemon/request_log.hpp
+++ b/include/greengagehub/daemon/request_log.hpp
@@ -8,63 +8,62 @@
 
 namespace greengagehub {
 
-/// \brief The lines of the log that follow one request, by its id: what was
-/// decided about it, on what grounds, and what came of it.
+/// \brief Logs the decisions about each request and its result, by request id.
 ///
 /// | event            | where               | when                           |
 /// |------------------|---------------------|--------------------------------|
-/// | request_finished | caller's daemon     | failed, refused, or retried;   |
-/// |                  |                     | one in kSampled that went well |
-/// | request_placed   | caller's daemon     | sent on after a first try      |
-/// | run_refused      | worker's daemon     | not started, and why           |
-/// | run_lost         | worker's daemon     | started, without an answer     |
-/// | request_held     | either              | its content is held            |
-/// | run_cancelled    | worker's daemon     | the caller left                |
-/// | worker_ended     | worker's daemon     | its process ended under runs   |
+/// | request_finished | caller's daemon     | failed, refused or retried; a  |
+/// |                  |                     | sample of the other requests   |
+/// | request_placed   | caller's daemon     | each retry                     |
+/// | run_refused      | worker's daemon     | run not started                |
+/// | run_lost         | worker's daemon     | run started, answer lost       |
+/// | request_held     | either              | fingerprint is quarantined     |
+/// | run_cancelled    | worker's daemon     | answer no longer needed        |
+/// | worker_ended     | worker's daemon     | process exited during runs     |
 ///
-/// All failures are kept up to a rate; what is beyond it is counted in a line
-/// `lines_left_out`.
+/// The rate of all lines but `worker_ended` is limited; a line `lines_left_out`
+/// counts the omitted ones.
 class RequestLog
 {
 public:
-  /// One in so many requests that went well.
-  static constexpr std::uint64_t kSampled = 100;
+  /// One in this many routine requests is logged: answered at the first attempt
+  /// without a server error.
+  static constexpr std::uint64_t kSampleInterval = 100;
 
   explicit RequestLog(const Log& aLog) noexcept
     : m_log(aLog)
   {
   }
 
-  struct Finished
+  struct FinishedRequest
   {
     std::string_view m_id{};
     std::string_view m_route{};
     std::string_view m_service{};
-    /// Whose key it came with; empty: none, or none that is known.
+    /// Name of the workspace; empty: no key, or an unknown one.
     std::string_view m_workspace{};
-    /// Slot of the last daemon it was sent to; empty: none.
+    /// Slot of the latest attempt; empty: none.
     std::string_view m_slot{};
     const CallAnswer& m_answer;
-    std::uint32_t m_sends{ 0 };
-    Duration m_took{};
+    std::uint32_t m_attempts{ 0 };
+    Duration m_duration{};
     Version m_version{};
   };
-  void OnFinished(TimePoint aNow, const Finished& aEnd);
+  void OnFinished(TimePoint aNow, const FinishedRequest& aRequest);
 
-  /// \param aAfter why the try before did not do.
-  void OnPlacedAgain(TimePoint aNow,
-                     std::string_view aId,
-                     std::string_view aSlot,
-                     std::uint32_t aSends,
-                     std::chrono::microseconds aTimeLeft);
+  void OnRetried(TimePoint aNow,
+                 std::string_view aId,
+                 std::string_view aSlot,
+                 std::uint32_t aAttempts,
+                 std::chrono::microseconds aTimeLeft);
 
-  /// \param aLeft how long its content is held from now on.
-  void OnHeld(TimePoint aNow,
-              std::string_view aId,
-              Fingerprint aContent,
-              Duration aLeft);
+  /// \param aTimeLeft remaining time of the quarantine.
+  void OnQuarantined(TimePoint aNow,
+                     std::string_view aId,
+                     Fingerprint aFingerprint,
+                     Duration aTimeLeft);
 
-  /// \brief What the worker's daemon knew when it decided.
+  /// \brief State of the worker at the time of a decision.
   struct WorkerState
   {
     std::string_view m_instance{};
@@ -80,28 +79,28 @@
                     const WorkerState& aState);
   void OnRunLost(TimePoint aNow,
                  std::string_view aId,
-                 Fingerprint aContent,
+                 Fingerprint aFingerprint,
                  RefusalReason aReason,
-                 Duration aRan,
+                 Duration aRunTime,
                  const WorkerState& aState);
-  /// \brief The backend server's process has ended, and what ran there; ends
-  /// are few, and each has its line.
-  void OnWorkerEnded(std::string_view aInstance,
-                     bool aIsLeaving,
-                     const WorkerEnd& aEnd);
+  /// \brief Logs the exit of the backend server's process with the fingerprints
+  /// of its runs, without a rate limit.
+  void OnWorkerExit(std::string_view aInstance,
+                    bool aIsDraining,
+                    const WorkerEnd& aExit);
   void OnRunCancelled(TimePoint aNow, std::string_view aId, bool aStarted);
 
-  /// \brief Tells how many lines were left out, if any.
+  /// \brief Logs the number of omitted lines, if any.
   void OnTick();
 
 private:
-  /// A daemon at its worst refuses about a hundred requests a second.
+  /// Twice the refusals per second of an overloaded daemon.
   static constexpr double kLinesPerSecond = 200.0;
   static constexpr double kBurst = 400.0;
 
   const Log& m_log;
   LineBudget m_budget{ kLinesPerSecond, kBurst };
-  std::uint64_t m_good{ 0 };
+  std::uint64_t m_routineRequests{ 0 };
 };
 
 }
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -21,14 +21,15 @@
 
 namespace greengagehub {
 
-/// \brief The worker's side of calls: runs attempts at the own worker as the
-/// run table allows, and answers them.
+/// \brief Runs attempts at the local worker in the order of the run table and
+/// answers them.
 class RunService
 {
 public:
-  using Answer = std::function<void(CallKey, CallAnswer)>;
-  using Trace = std::function<void(Span)>;
+  using AnswerHandler = std::function<void(CallKey, CallAnswer)>;
+  using SpanHandler = std::function<void(Span)>;
 
+  /// References must outlive the service.
   struct Parts
   {
     asio::io_context& m_loop;
@@ -39,16 +40,17 @@
     const Quarantine& m_quarantine;
     const RolloutTable& m_rollouts;
     std::uint64_t m_seed;
-    /// Delivers to the caller's daemon by whatever connection it has now.
-    Answer m_answer;
-    Trace m_trace;
-    /// The worker's process ended under these runs.
-    std::function<void(EndReport)> m_onEnd;
-    /// A run of this content ended well.
-    std::function<void(Fingerprint)> m_onRanWell;
-    /// Whether repeats may still make calls of their own.
-    std::function<bool(TimePoint)> m_mayRepeat;
-    /// Of this machine's link; nullptr: its rate is not known.
+    /// Sends an answer to the caller's daemon.
+    AnswerHandler m_deliver;
+    SpanHandler m_trace;
+    /// Called after a crash of the worker with the runs that it interrupted.
+    std::function<void(EndReport)> m_onCrash;
+    /// Called when a run was answered without a server error.
+    std::function<void(Fingerprint)> m_onSuccess;
+    /// Whether the retry budget allows another retried run, with the calls that
+    /// it makes.
+    std::function<bool(TimePoint)> m_mayRunRetry;
+    /// Pacer of this machine's network link; nullptr: none.
     const LinkPacer* m_pacer{ nullptr };
   };
 
@@ -57,123 +59,129 @@
   [[nodiscard]] const RunTable& Runs() const noexcept { return m_runs; }
 
   void OnRequest(CallKey aKey, std::uint64_t aEpoch, CallRequest aRequest);
-  /// \param aAbandon the answer is not wanted even if it started.
-  /// \returns What the caller may conclude; Finished means that the answer is
-  /// lost, unless it is still kept, when it is delivered again.
+  /// \param aAbandon the answer is not needed, even if the run has started.
+  /// \returns The state of the attempt. Running also if a kept answer has been
+  /// delivered again; Finished means that the answer is lost.
   [[nodiscard]] CancelResult OnCancel(CallKey aKey, bool aAbandon);
   void OnEpoch(std::uint64_t aProcess, std::uint64_t aEpoch);
   void StartLeaving();
-  /// \brief Looks over what waits, every so often.
+  /// \brief Refuses queued runs whose wait has become too long.
   void OnTick(TimePoint aNow);
-  /// \brief A heartbeat told what the worker is; until the first one, and once
-  /// it leaves, nothing is sent to it.
+  /// \brief Handles a heartbeat of the worker. Runs start only after the first
+  /// heartbeat and until the worker drains.
   void OnWorker(const WorkerPresence& aPresence);
-  /// \returns Share of the worker's runs, lately, that were repeats.
-  [[nodiscard]] double RepeatShareAt(TimePoint aNow) const
+  /// \returns Share of retries among the worker's recent runs.
+  [[nodiscard]] double RetriedRunShareAt(TimePoint aNow) const
   {
-    return m_repeats.At(aNow);
+    return m_retriedRuns.At(aNow);
   }
-  /// \returns What the worker did since CountAnew(); without a version if that
-  /// is not known.
+  /// \returns Results of runs since CountAnew(); the version is empty while it
+  /// is unknown.
   [[nodiscard]] WorkerCounts Counts() const;
-  void CountAnew() { m_tally.Clear(); }
-  /// \brief Asks the worker for its id by its health check.
-  /// \param aDone called with the id, if it is well and gives one.
+  void CountAnew() { m_runCounter.Clear(); }
+  /// \brief Requests the worker's instance id through its health check.
+  /// \param aDone called with the id if the check succeeds and returns one.
   void Probe(const std::string& aPath, std::function<void(std::string)> aDone);
 
 private:
-  /// A request that waits or runs.
-  struct Held
+  /// A queued or running attempt.
+  struct ActiveRun
   {
     CallRequest m_request;
-    Fingerprint m_content;
+    Fingerprint m_fingerprint;
     TimePoint m_deadline;
-    /// 0 while it waits.
+    /// 0 while the attempt is queued.
     BackendClient::Ticket m_ticket{ 0 };
-    TimePoint m_started;
-    std::chrono::sys_time<std::chrono::nanoseconds> m_start;
+    TimePoint m_startedAt;
+    /// Start of the span.
+    std::chrono::sys_time<std::chrono::nanoseconds> m_wallStart;
     std::optional<TraceContext> m_parent;
     TraceContext m_span;
   };
-  /// An answer kept for a caller whose connection may have been lost.
-  struct Kept
+  /// An answer that can be delivered again after a lost connection.
+  struct KeptAnswer
   {
     CallKey m_key;
     CallAnswer m_answer;
-    TimePoint m_since;
+    TimePoint m_finishedAt;
   };
 
-  /// \returns How long the answer of another such run would take to leave: what
-  /// waits on the link, the answers of runs under way, and its own.
-  [[nodiscard]] Duration TimeOnLink(TimePoint aNow, CallKind aKind) const;
-  /// \returns Whether the answer would leave too late to be of use.
+  /// \returns Time until the answer of another such run would be sent: the
+  /// backlog of the link, the answers of all active runs and its own.
+  [[nodiscard]] Duration AnswerSendTime(TimePoint aNow, CallKind aKind) const;
+  /// \returns Whether a large answer would be sent after the target time, or
+  /// after the deadline if the target time has passed.
   [[nodiscard]] bool IsLinkTooBusy(TimePoint aNow,
                                    const CallRequest& aRequest) const;
-  void RefuseForLink(TimePoint aNow, CallKey aKey, const CallRequest& aRequest);
-  /// Why a content is not run now.
-  struct Bar
+  void RefuseForBusyLink(TimePoint aNow,
+                         CallKey aKey,
+                         const CallRequest& aRequest);
+  /// Reason why a request may not run now.
+  struct Refusal
   {
     RefusalReason m_reason{ RefusalReason::None };
     std::chrono::milliseconds m_retryAfter{ 0 };
   };
 
-  void Run(CallKey aKey);
-  /// \returns Nothing if it may run.
-  [[nodiscard]] std::optional<Bar> BarOf(TimePoint aNow,
-                                         Fingerprint aContent) const;
-  void Tally(const Held& aHeld, const CallAnswer& aAnswer);
-  void RefuseBarred(TimePoint aNow,
-                    CallKey aKey,
-                    const CallRequest& aRequest,
-                    Fingerprint aContent,
-                    const Bar& aBar);
-  void Ended(CallKey aKey, BackendResult aResult);
-  /// \returns What the worker's answer means for the attempt.
+  void StartRun(CallKey aKey);
+  /// \returns Nothing if a request with the fingerprint may run.
+  [[nodiscard]] std::optional<Refusal> CheckRefusal(
+    TimePoint aNow,
+    Fingerprint aFingerprint) const;
+  void CountResult(const ActiveRun& aRun, const CallAnswer& aAnswer);
+  void RefuseRun(TimePoint aNow,
+                 CallKey aKey,
+                 const CallRequest& aRequest,
+                 Fingerprint aFingerprint,
+                 const Refusal& aRefusal);
+  void OnBackendResult(CallKey aKey, BackendResult aResult);
+  /// \returns The answer to the attempt.
   [[nodiscard]] CallAnswer AnswerFrom(CallKey aKey, BackendResult aResult);
   [[nodiscard]] CallAnswer AnswerFrom(CallKey aKey, HttpResponse aResponse);
-  void Carry(const RunActions& aActions);
-  /// \brief Adds what the caller's daemon learns of the worker, and answers.
+  void Execute(const RunActions& aActions);
+  /// \brief Adds the state of the worker to an answer and sends it.
   void Deliver(CallKey aKey, const CallRequest& aRequest, CallAnswer aAnswer);
-  /// \brief Another start of the worker is there: what was learnt of the one
-  /// before, or handed to it, is not this one's.
-  void TakeStart(const WorkerStart& aStart, TimePoint aFormerHeardAt);
-  /// \brief A run was lost as the worker closed its connection: the worker's
-  /// process may have ended.
-  void LookAfterLoss(CallKey aKey);
-  void OnLooked(bool aNobodyListens);
-  void ConcludeLost(CallKey aKey, bool aWorkerEnded);
-  /// \brief A run has its answer.
-  void Conclude(CallKey aKey, CallAnswer aAnswer);
-  /// \brief Keeps the answer of a call that may not be run again, for a caller
-  /// whose connection was lost with the answer on it.
-  void Keep(CallKey aKey, const CallAnswer& aAnswer);
-  [[nodiscard]] std::string_view IdOf(const CallRequest& aRequest) const;
-  [[nodiscard]] RequestLog::WorkerState StateNow(
+  /// \brief Discards the connections and run times of the previous incarnation
+  /// if this is another one.
+  void OnIncarnation(const WorkerStart& aIncarnation,
+                     TimePoint aPreviousLastReport);
+  /// \brief The worker closed the connection of a run: checks whether its
+  /// process has exited.
+  void CheckWorkerAfterLoss(CallKey aKey);
+  void OnListenCheck(bool aIsPortClosed);
+  void FinishLostRun(CallKey aKey, bool aWorkerCrashed);
+  /// \brief Removes a run, logs and counts its result, and delivers the answer.
+  void FinishRun(CallKey aKey, CallAnswer aAnswer);
+  /// \brief Keeps the answer of a call that must not run again, in case the
+  /// connection to the caller's daemon is lost before it arrives.
+  void KeepAnswer(CallKey aKey, const CallAnswer& aAnswer);
+  [[nodiscard]] std::string_view RequestIdOf(const CallRequest& aRequest) const;
+  [[nodiscard]] RequestLog::WorkerState WorkerStateFor(
     const CallRequest& aRequest) const;
-  void TraceEnd(const Held& aHeld, const CallAnswer& aAnswer);
-  void Arm();
+  void RecordSpan(const ActiveRun& aRun, const CallAnswer& aAnswer);
+  void ArmTimer();
 
   Parts m_parts;
   Random m_random;
   RunTable m_runs;
-  RepeatShare m_repeats;
+  RepeatShare m_retriedRuns;
   BackendClient m_client;
-  CrashDetector m_ends;
-  RunTally m_tally;
-  /// Of the worker's software, and until when it is slow after its start.
+  CrashDetector m_crashDetector;
+  RunTally m_runCounter;
+  /// Version of the worker's software; empty: unknown.
   std::string m_version;
-  TimePoint m_coldUntil{};
-  /// Lost, and not known yet whether the worker has ended under them.
-  std::vector<CallKey> m_doubted;
-  /// The only start that requests are for; no id: whichever is there.
-  WorkerStart m_start;
+  TimePoint m_warmUpEnd{};
+  /// Runs that wait for the result of the listen check.
+  std::vector<CallKey> m_lostRuns;
+  /// Incarnation of the worker that requests are sent to; without id: any.
+  WorkerStart m_incarnation;
   bool m_hasWorker;
-  std::map<CallKey, Held> m_held;
+  std::map<CallKey, ActiveRun> m_activeRuns;
   AnswerSizes m_answerSizes;
-  std::deque<Kept> m_kept;
+  std::deque<KeptAnswer> m_keptAnswers;
   std::size_t m_keptBytes{ 0 };
   asio::steady_timer m_timer;
-  std::optional<TimePoint> m_armed;
+  std::optional<TimePoint> m_timerExpiry;
 };
 
 }
--- a/include/greengagehub/daemon/spin_budget.hpp
+++ b/include/greengagehub/daemon/spin_budget.hpp
@@ -8,21 +8,19 @@
 
 namespace greengagehub {
 
-/// \brief How long the event loop may look for events without sleeping.
+/// \brief Limits of busy polling in the event loop.
 struct SpinSettings
 {
-  /// Longest time after an event; 0 never spins.
-  std::chrono::microseconds m_after{ 0 };
-  /// Share of one processor that spinning may use, in percent.
+  /// Longest spin after an event; 0 disables spinning.
+  std::chrono::microseconds m_maxDuration{ 0 };
+  /// Processor time for spinning, in percent of one processor.
   std::uint32_t m_percent{ 5 };
 };
 
-/// \brief Bounds spinning by a share of a processor.
+/// \brief Bounds the processor time of spinning in the event loop.
 ///
-/// At 66 calls/s the processor sleeps between a request and its answer, and the
-/// wake-up costs more than all of a daemon's work on the call. Looking for the
-/// answer for a moment saves that, for a processor share that must stay bounded
-/// whatever the load.
+/// Spinning saves the wake-up of an idle processor between a request and its
+/// answer. The budget grows with time at the configured share, up to kMaxBurst.
 class SpinBudget
 {
 public:
@@ -33,29 +31,31 @@
 
   [[nodiscard]] bool IsOn() const noexcept
   {
-    return m_settings.m_after.count() > 0 && m_settings.m_percent > 0;
+    return m_settings.m_maxDuration.count() > 0 && m_settings.m_percent > 0;
   }
 
-  /// \returns How long to spin now; zero when the budget is used up.
+  /// \returns How long to spin now; zero if the budget is used up.
   [[nodiscard]] Duration Allowed(TimePoint aNow) noexcept
   {
-    if (m_since != TimePoint{}) {
-      m_saved += (aNow - m_since) * m_settings.m_percent / 100;
+    if (m_updatedAt != TimePoint{}) {
+      m_available += (aNow - m_updatedAt) * m_settings.m_percent / 100;
     }
-    m_since = aNow;
-    m_saved = std::min<Duration>(m_saved, kMostSaved);
-    return std::clamp<Duration>(m_saved, Duration::zero(), m_settings.m_after);
+    m_updatedAt = aNow;
+    m_available = std::min<Duration>(m_available, kMaxBurst);
+    return std::clamp<Duration>(
+      m_available, Duration::zero(), m_settings.m_maxDuration);
   }
 
-  void Spent(Duration aSpan) noexcept { m_saved -= aSpan; }
+  /// \param aSpan time that was spent spinning.
+  void Spent(Duration aSpan) noexcept { m_available -= aSpan; }
 
 private:
-  /// A burst may use this much at once.
-  static constexpr auto kMostSaved = std::chrono::milliseconds{ 50 };
+  /// Largest unused budget.
+  static constexpr auto kMaxBurst = std::chrono::milliseconds{ 50 };
 
   SpinSettings m_settings;
-  Duration m_saved{ kMostSaved };
-  TimePoint m_since{};
+  Duration m_available{ kMaxBurst };
+  TimePoint m_updatedAt{};
 };
 
 }
--- a/include/greengagehub/daemon/start_buffer.hpp
+++ b/include/greengagehub/daemon/start_buffer.hpp
@@ -8,54 +8,53 @@
 
 namespace greengagehub {
 
-/// \brief Requests that came before the daemon was ready, held until it is.
+/// \brief Buffers requests that arrive before the daemon is ready.
 ///
-/// A daemon that restarts has the configuration within some tenths of a second.
-/// Refused, a caller comes back a second later and has one try less; held, it
-/// is served at once. What is held is bounded in number, bytes and time, and
-/// nothing is held once starting takes longer than it ever should.
+/// A restart normally takes less than a second, so serving a buffered request
+/// is faster than refusing it and waiting for the retry. The buffer is bounded
+/// in number, bytes and time, and closed once the start takes too long.
 class StartBuffer
 {
 public:
-  struct Held
+  struct Entry
   {
     HttpRequest m_request;
     HttpResponder m_responder;
-    TimePoint m_came;
+    TimePoint m_receivedAt;
   };
 
-  explicit StartBuffer(TimePoint aStarted) noexcept
-    : m_started(aStarted)
+  explicit StartBuffer(TimePoint aStartedAt) noexcept
+    : m_startedAt(aStartedAt)
   {
   }
 
-  [[nodiscard]] std::size_t Count() const noexcept { return m_held.size(); }
+  [[nodiscard]] std::size_t Count() const noexcept { return m_entries.size(); }
 
-  /// \param aCame when it was read; it may have been held before.
-  /// \returns Whether it was taken; else it is still the caller's.
+  /// \param aReceivedAt when the request was read from its connection.
+  /// \returns Whether the request was buffered; if so, it is moved from.
   [[nodiscard]] bool Add(TimePoint aNow,
-                         TimePoint aCame,
+                         TimePoint aReceivedAt,
                          HttpRequest& aRequest,
                          HttpResponder& aResponder);
-  /// \brief The caller hung up.
+  /// \brief Removes the requests of a closed connection.
   void Drop(std::uint64_t aConnection);
-  /// \returns All that is held, in the order in which it was added.
-  [[nodiscard]] std::vector<Held> TakeAll();
-  /// \returns Those that have been held for as long as makes sense.
-  [[nodiscard]] std::vector<Held> TakeExpired(TimePoint aNow);
-
-  /// A start from the store's copy takes 0.2 to 0.4 s on a tenth of a core;
-  /// past this the store is slow or away, and callers had better know.
-  static constexpr std::chrono::milliseconds kStartTime{ 1500 };
-  /// Longest time that one is held: after which it would come back if it were
-  /// refused at once.
-  static constexpr std::chrono::milliseconds kHoldTime{ 1000 };
-  static constexpr std::size_t kMaxHeld = 256;
+  /// \brief Removes and returns all requests, in the order of Add().
+  [[nodiscard]] std::vector<Entry> TakeAll();
+  /// \brief Removes and returns the requests that are kMaxHoldTime old.
+  [[nodiscard]] std::vector<Entry> TakeExpired(TimePoint aNow);
+
+  /// Requests are refused from this time after the start on, because the store
+  /// is slow or unavailable.
+  static constexpr std::chrono::milliseconds kMaxStartTime{ 1500 };
+  /// Longest time that a request is buffered; equal to the time after which a
+  /// refused caller retries.
+  static constexpr std::chrono::milliseconds kMaxHoldTime{ 1000 };
+  static constexpr std::size_t kMaxRequests = 256;
   static constexpr std::size_t kMaxBytes = 1024UL * 1024;
 
 private:
-  TimePoint m_started;
-  std::list<Held> m_held;
+  TimePoint m_startedAt;
+  std::list<Entry> m_entries;
   std::size_t m_bytes{ 0 };
 };
 
--- a/include/greengagehub/daemon/token_queue.hpp
+++ b/include/greengagehub/daemon/token_queue.hpp
@@ -10,49 +10,48 @@
 
 namespace greengagehub {
 
-/// \brief Requests that wait until their workspace has a token, in the order in
-/// which they came; bounded in number and time.
+/// \brief Requests that wait for a token of their workspace, in order of
+/// arrival. The caller enforces the bounds kMaxEntries and kMaxWait.
 class TokenQueue
 {
 public:
-  struct Waiting
+  struct Entry
   {
     HttpRequest m_request;
     HttpResponder m_responder;
-    TimePoint m_came;
+    TimePoint m_receivedAt;
     WorkspaceId m_workspace{ 0 };
   };
 
-  /// Longest time that a request waits for a token.
   static constexpr std::chrono::milliseconds kMaxWait{ 400 };
-  static constexpr std::size_t kMaxWaiting = 256;
+  static constexpr std::size_t kMaxEntries = 256;
 
   [[nodiscard]] bool IsFull() const noexcept
   {
-    return m_waiting.size() >= kMaxWaiting;
+    return m_entries.size() >= kMaxEntries;
   }
-  void Add(Waiting aWaiting) { m_waiting.push_back(std::move(aWaiting)); }
-  /// \brief The caller hung up.
-  /// \returns The workspaces of its requests.
+  void Add(Entry aEntry) { m_entries.push_back(std::move(aEntry)); }
+  /// \brief Removes the requests of a closed connection.
+  /// \returns The workspace of each of them.
   [[nodiscard]] std::vector<WorkspaceId> Drop(std::uint64_t aConnection)
   {
     std::vector<WorkspaceId> dropped;
-    std::erase_if(m_waiting, [&](const Waiting& aEach) {
-      const bool isTheirs = aEach.m_request.m_connection == aConnection;
-      if (isTheirs) {
+    std::erase_if(m_entries, [&](const Entry& aEach) {
+      const bool isDropped = aEach.m_request.m_connection == aConnection;
+      if (isDropped) {
         dropped.push_back(aEach.m_workspace);
       }
-      return isTheirs;
+      return isDropped;
     });
     return dropped;
   }
-  [[nodiscard]] std::vector<Waiting> TakeAll()
+  [[nodiscard]] std::vector<Entry> TakeAll()
   {
-    return std::exchange(m_waiting, {});
+    return std::exchange(m_entries, {});
   }
 
 private:
-  std::vector<Waiting> m_waiting;
+  std::vector<Entry> m_entries;
 };
 
 }
--- a/include/greengagehub/daemon/workspace_service.hpp
+++ b/include/greengagehub/daemon/workspace_service.hpp
@@ -15,23 +15,25 @@
 
 namespace greengagehub {
 
-/// \brief What becomes of a request that callers of a workspace send.
+/// \brief Result of the admission of a request by key and quota.
 struct WorkspaceAdmission
 {
-  /// None: the request is admitted, unless it waits.
+  /// None: the request is admitted, unless m_waits is set.
   RefusalReason m_refusal{ RefusalReason::None };
   std::chrono::milliseconds m_retryAfter{ 0 };
-  /// Tokens are being asked for; to be tried again when reports have come.
+  /// The request waits for tokens; to be admitted again at SetRetryHandler().
   bool m_waits{ false };
-  /// Of a request with a known key.
+  /// Workspace of the key; nullptr: the key is unknown or was not checked.
   const WorkspaceRow* m_workspace{ nullptr };
 };
 
-/// \brief Keys, freshness and quotas of workspaces, wired to the store and the
-/// other daemons. Does nothing while the configuration has no workspace.
+/// \brief Checks keys and quotas of workspaces, and exchanges quota messages
+/// with other daemons and the store. Inactive while the configuration has no
+/// workspace.
 class WorkspaceService
 {
 public:
+  /// References must outlive the service.
   struct Parts
   {
     asio::io_context& m_loop;
@@ -41,19 +43,20 @@
     const ConfigHolder& m_holder;
     std::function<Membership&()> m_members;
     std::function<bool()> m_hasJoined;
-    /// Whether any other daemon was heard lately, or none is known.
+    /// Whether another daemon was in contact lately, or none is known.
     std::function<bool()> m_hearsOthers;
     std::function<void(GossipSend)> m_send;
-    /// What was read last of the operators' configuration.
+    /// Version and revision of the configuration read last from the store.
     std::function<StoreConfig()> m_storeConfig;
-    /// A newer configuration was read.
+    /// Called with a newer configuration document from the store.
     std::function<void(StoreReply)> m_onDocument;
   };
 
   WorkspaceService(Parts aParts, std::uint64_t aProcess, std::uint64_t aSeed);
 
   [[nodiscard]] const WorkspaceTable& Table() const noexcept { return m_table; }
-  /// \returns Age of the proof on which keys are accepted, if there is one.
+  /// \returns Age of the newest proof that the active configuration is current;
+  /// keys are accepted on it.
   [[nodiscard]] std::optional<std::chrono::milliseconds> ProofAge() const;
   [[nodiscard]] bool IsCoordinator() const;
   [[nodiscard]] const std::string& Coordinator() const noexcept
@@ -61,59 +64,61 @@
     return m_coordinatorSlot;
   }
 
-  /// \returns Whether requests of the route are to be admitted here.
+  /// \returns Whether requests of the route need an API key.
   [[nodiscard]] bool NeedsKey(const Route& aRoute) const noexcept
   {
     return !m_table.IsEmpty() && !aRoute.m_public;
   }
-  /// \param aKey as the caller sent it; empty: none.
-  /// \param aIsNew false for a request that has waited.
-  /// \param aIsLate its answer would come too late to earn its full worth.
+  /// \param aKey API key from the request; empty: none.
+  /// \param aIsNew false for a request that has waited for tokens.
+  /// \param aIsLate the target time of the request has passed; while tokens are
+  /// scarce it is refused.
   [[nodiscard]] WorkspaceAdmission Admit(std::string_view aKey,
                                          bool aIsNew,
                                          bool aIsLate);
-  /// \brief A request waits for a token no more.
+  /// \brief Ends the wait of one request for a token.
   void GiveUp(WorkspaceId aWorkspace) { m_client.GiveUp(aWorkspace); }
-  /// \brief Called when requests that wait may be tried again.
-  void OnDecided(std::function<void()> aHandler)
+  /// \brief Sets the handler that is called when waiting requests are to be
+  /// admitted again.
+  void SetRetryHandler(std::function<void()> aHandler)
   {
-    m_onDecided = std::move(aHandler);
+    m_retryHandler = std::move(aHandler);
   }
 
   void OnVersion();
-  /// \param aAsked when the read was sent that shows `aConfig`.
-  void OnConfirmed(TimePoint aAsked, const StoreConfig& aConfig);
+  /// \param aReadSentAt when the read that returned `aConfig` was sent.
+  void OnConfirmed(TimePoint aReadSentAt, const StoreConfig& aConfig);
   void OnMessage(const GossipMessage& aMessage);
   void OnTick();
   void OnStoreRestored();
-  /// \brief This daemon ends soon.
+  /// \brief Gives up the coordinator role before this daemon exits.
   void Resign();
 
 private:
-  /// Which question a check answers.
-  struct Check
+  /// A revision check under way at the store.
+  struct StoreCheck
   {
-    TimePoint m_sent{};
+    TimePoint m_sentAt{};
     StoreConfig m_config{};
     bool m_isConfirm{ false };
   };
 
-  void Query();
-  void ArmTimeout();
+  void SendNextQuery();
+  void ArmQueryTimeout();
   void SendQuery(const MemberPeer& aTo, QuotaQuery aQuery);
-  [[nodiscard]] std::optional<MemberPeer> WhomToAsk();
-  [[nodiscard]] QuotaReport Answer(std::string_view aSlot,
-                                   const QuotaQuery& aQuery);
+  [[nodiscard]] std::optional<MemberPeer> SelectQueryPeer();
+  [[nodiscard]] QuotaReport AnswerQuery(std::string_view aSlot,
+                                        const QuotaQuery& aQuery);
   void OnReport(std::string_view aFrom, const QuotaReport& aReport);
-  /// \param aCoordinator who grants tokens from now on; empty: nobody.
-  void Announce(const std::string& aCoordinator);
-  void FollowRole(TimePoint aNow);
+  /// \param aCoordinator slot of the coordinator; empty: none.
+  void AnnounceCoordinator(const std::string& aCoordinator);
+  void AdvanceRole(TimePoint aNow);
   [[nodiscard]] bool IsCandidate(TimePoint aNow);
-  void ReadWhenStale(TimePoint aNow);
-  void SendCheck(bool aIsConfirm);
-  void OnChecked(const Check& aCheck, StoreReply aReply);
-  void ReadKey();
-  void Claim();
+  void CheckStoreIfStale(TimePoint aNow);
+  void SendStoreCheck(bool aIsConfirm);
+  void OnStoreCheck(const StoreCheck& aCheck, StoreReply aReply);
+  void ReadCoordinatorKey();
+  void ClaimCoordinatorKey();
   [[nodiscard]] StoreConfig KnownConfig() const;
 
   Parts m_parts;
@@ -123,19 +128,19 @@
   QuotaClient m_client;
   QuotaCoordinator m_coordinator;
   CoordinatorRole m_role;
-  std::function<void()> m_onDecided;
-  asio::steady_timer m_timeout;
-  /// Who grants tokens, as far as known.
+  std::function<void()> m_retryHandler;
+  asio::steady_timer m_queryTimeout;
+  /// Slot of the coordinator; empty: unknown.
   std::string m_coordinatorSlot;
-  TimePoint m_coordinatorHeardAt{};
-  /// As another daemon reported it.
-  StoreConfig m_reported;
-  bool m_isFirst{ false };
-  TimePoint m_nextRank{};
-  TimePoint m_nextRead{};
-  /// How much longer than the first of all this daemon waits for a coordinator
-  /// before it takes the place.
-  std::chrono::milliseconds m_patience{ 0 };
+  TimePoint m_lastCoordinatorReport{};
+  /// Configuration that another daemon reported last.
+  StoreConfig m_reportedConfig;
+  bool m_isHighestRanked{ false };
+  TimePoint m_nextRankCheck{};
+  TimePoint m_nextStoreCheck{};
+  /// Random addition to kRelaySilence and kMemberSilence, so that daemons do
+  /// not claim the role at the same time.
+  std::chrono::milliseconds m_claimDelay{ 0 };
 };
 
 }
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Weight of one answer in the mean size of a route's answers.
-constexpr double kBytesWeight = 0.05;
+/// Weight of one answer in the moving mean of a route's answer sizes.
+constexpr double kAnswerSizeWeight = 0.05;
 
 LinkHello
-Hello(const Settings& aSettings, std::uint64_t aProcess)
+MakeHello(const Settings& aSettings, std::uint64_t aProcess)
 {
   return { aSettings.m_slot, aProcess, 0, aSettings.m_domain };
 }
@@ -44,20 +44,20 @@
                 .m_quarantine = m_parts.m_quarantine.Table(),
                 .m_rollouts = m_parts.m_rollouts.Table(),
                 .m_seed = m_random(),
-                .m_answer =
+                .m_deliver =
                   [this](CallKey aKey, CallAnswer aAnswer) {
                     Deliver(aKey, std::move(aAnswer));
                   },
                 .m_trace = m_parts.m_trace,
-                .m_onEnd =
+                .m_onCrash =
                   [this](EndReport aReport) {
                     m_parts.m_quarantine.OnOwnEnd(std::move(aReport));
                   },
-                .m_onRanWell =
-                  [this](Fingerprint aContent) {
-                    m_parts.m_quarantine.OnRanWell(aContent);
+                .m_onSuccess =
+                  [this](Fingerprint aFingerprint) {
+                    m_parts.m_quarantine.OnRanWell(aFingerprint);
                   },
-                .m_mayRepeat =
+                .m_mayRunRetry =
                   [this](TimePoint aNow) {
                     return !m_dispatcher.AreRepeatsUsedUp(
                       aNow, m_parts.m_settings.m_service);
@@ -66,11 +66,11 @@
   , m_server(m_parts.m_loop,
              m_parts.m_settings.m_listen.m_host,
              m_parts.m_settings.m_listen.m_linkPort,
-             Hello(m_parts.m_settings, m_parts.m_process),
+             MakeHello(m_parts.m_settings, m_parts.m_process),
              m_parts.m_traffic,
              ServerHandlers())
   , m_pool(m_parts.m_loop,
-           Hello(m_parts.m_settings, m_parts.m_process),
+           MakeHello(m_parts.m_settings, m_parts.m_process),
            LinkPoolSettings{},
            m_parts.m_traffic,
            PoolHandlers())
@@ -78,12 +78,14 @@
       m_parts.m_loop,
       CallsEndpoint(m_parts.m_settings),
       [this](HttpRequest aRequest, HttpResponder aResponder) {
-        Take(std::move(aRequest), std::move(aResponder));
+        OnCallerRequest(std::move(aRequest), std::move(aResponder));
       },
-      [this](std::uint64_t aConnection) { OnHungUp(aConnection); })
+      [this](std::uint64_t aConnection) {
+        OnCallerConnectionClosed(aConnection);
+      })
   , m_routes(Content{})
   , m_timer(m_parts.m_loop)
-  , m_starting(Clock::now())
+  , m_startBuffer(Clock::now())
   , m_filterTimer(m_parts.m_loop)
 {
 }
@@ -114,21 +116,21 @@
     OnPoolFrame(std::move(aFrame));
   };
   handlers.m_onUp = [this](const std::string& aSlot, std::uint64_t aProcess) {
-    Carry(m_dispatcher.OnLinkUp(Clock::now(), aSlot, aProcess));
+    Execute(m_dispatcher.OnLinkUp(Clock::now(), aSlot, aProcess));
   };
   handlers.m_onLost = [this](const std::string& aSlot) {
-    Carry(m_dispatcher.OnLinkLost(Clock::now(), aSlot));
+    Execute(m_dispatcher.OnLinkLost(Clock::now(), aSlot));
   };
   handlers.m_onRefused = [this](const std::string& aSlot) {
-    // Nobody listens any more, so the process that knew is gone: no process
-    // has the number 0.
-    Carry(m_dispatcher.OnLinkUp(Clock::now(), aSlot, 0));
+    // The process that received the attempts has exited. Process number 0 is
+    // never used, so no attempt in doubt matches it and all of them fail.
+    Execute(m_dispatcher.OnLinkUp(Clock::now(), aSlot, 0));
   };
   handlers.m_onSent = [this](std::uint64_t aAttempt, std::uint64_t aProcess) {
     m_dispatcher.SentTo(aAttempt, aProcess);
   };
   handlers.m_onNotSent = [this](std::uint64_t aAttempt) {
-    Carry(m_dispatcher.OnNotSent(Clock::now(), aAttempt));
+    Execute(m_dispatcher.OnNotSent(Clock::now(), aAttempt));
   };
   return handlers;
 }
@@ -141,7 +143,7 @@
   m_dispatcher.SetDecisions(m_parts.m_settings.m_runs.m_decisions);
   m_dispatcher.SetQuarantine(m_parts.m_quarantine.Table());
   m_dispatcher.SetRollouts(m_parts.m_rollouts.Table());
-  m_parts.m_workspaces.OnDecided([this] { RetryAdmissions(); });
+  m_parts.m_workspaces.SetRetryHandler([this] { RetryAdmissions(); });
   WorkerRow own;
   own.m_slot = m_parts.m_settings.m_slot;
   own.m_service = m_parts.m_settings.m_service;
@@ -159,31 +161,31 @@
 // Actions of the dispatcher
 
 void
-CallGateway::Carry(const DispatchActions& aActions)
+CallGateway::Execute(const DispatchActions& aActions)
 {
   for (const DispatchAction& each : aActions) {
-    std::visit([this](const auto& aAction) { Carry(aAction); }, each);
+    std::visit([this](const auto& aAction) { Execute(aAction); }, each);
   }
-  Arm();
+  ArmTimer();
 }
 
 void
-CallGateway::Carry(const SendAttempt& aAttempt)
+CallGateway::Execute(const SendAttempt& aAttempt)
 {
-  const auto call = m_waiting.find(aAttempt.m_call);
-  if (call == m_waiting.end()) {
+  const auto call = m_pending.find(aAttempt.m_call);
+  if (call == m_pending.end()) {
     return;
   }
-  Waiting& waiting = call->second;
-  waiting.m_slot = aAttempt.m_slot;
-  if (++waiting.m_sends > 1) {
-    m_parts.m_requests.OnPlacedAgain(Clock::now(),
-                                     waiting.m_id,
-                                     aAttempt.m_slot,
-                                     waiting.m_sends,
-                                     aAttempt.m_timeLeft);
+  PendingCall& pending = call->second;
+  pending.m_slot = aAttempt.m_slot;
+  if (++pending.m_attempts > 1) {
+    m_parts.m_requests.OnRetried(Clock::now(),
+                                 pending.m_id,
+                                 aAttempt.m_slot,
+                                 pending.m_attempts,
+                                 aAttempt.m_timeLeft);
   }
-  CallRequest request = waiting.m_request;
+  CallRequest request = pending.m_request;
   request.m_call = aAttempt.m_attempt;
   request.m_timeLeft = aAttempt.m_timeLeft;
   request.m_targetLeft = aAttempt.m_targetLeft;
@@ -198,14 +200,14 @@
   }
   const auto address = m_addresses.find(aAttempt.m_slot);
   if (address == m_addresses.end()) {
-    Carry(m_dispatcher.OnNotSent(Clock::now(), aAttempt.m_attempt));
+    Execute(m_dispatcher.OnNotSent(Clock::now(), aAttempt.m_attempt));
     return;
   }
   m_pool.Send(aAttempt.m_slot, address->second, std::move(request));
 }
 
 void
-CallGateway::Carry(const SendCancel& aCancel)
+CallGateway::Execute(const SendCancel& aCancel)
 {
   if (aCancel.m_slot == m_parts.m_settings.m_slot) {
     const CallKey key{ m_parts.m_process, aCancel.m_attempt };
@@ -217,61 +219,63 @@
 }
 
 void
-CallGateway::Carry(const FinishCall& aFinish)
+CallGateway::Execute(const FinishCall& aFinish)
 {
-  const auto found = m_waiting.find(aFinish.m_call);
-  if (found == m_waiting.end()) {
+  const auto found = m_pending.find(aFinish.m_call);
+  if (found == m_pending.end()) {
     return;
   }
-  Waiting call = std::move(found->second);
-  m_waiting.erase(found);
-  const auto connection = m_byConnection.find(call.m_connection);
-  if (connection != m_byConnection.end() &&
+  PendingCall call = std::move(found->second);
+  m_pending.erase(found);
+  const auto connection = m_callByConnection.find(call.m_connection);
+  if (connection != m_callByConnection.end() &&
       connection->second == aFinish.m_call) {
-    m_byConnection.erase(connection);
+    m_callByConnection.erase(connection);
   }
   CallAnswer answer = aFinish.m_answer;
   if (answer.m_outcome == CallOutcome::Answered) {
-    RouteFigures& figures = FiguresOf(call.m_route);
-    figures.m_answerBytes +=
-      kBytesWeight * (static_cast<double>(answer.m_response.m_body.size()) -
-                      figures.m_answerBytes);
+    RouteStatistics& statistics = StatisticsOf(call.m_routeKey);
+    statistics.m_answerBytes +=
+      kAnswerSizeWeight *
+      (static_cast<double>(answer.m_response.m_body.size()) -
+       statistics.m_answerBytes);
   }
-  answer.m_retryAfter = Spread(answer.m_retryAfter);
+  answer.m_retryAfter = WithJitter(answer.m_retryAfter);
   m_parts.m_metrics.CountCall(NameOf(answer.m_outcome),
                               NameOf(answer.m_reason));
   m_parts.m_metrics.ObserveLatency(
-    std::chrono::duration<double>(Clock::now() - call.m_since).count());
-  TraceEnd(call, answer);
+    std::chrono::duration<double>(Clock::now() - call.m_receivedAt).count());
+  RecordSpan(call, answer);
   const TimePoint now = Clock::now();
   if (answer.m_reason == RefusalReason::Held) {
-    m_parts.m_requests.OnHeld(now,
-                              call.m_id,
-                              ContentOf(m_parts.m_dialect, call.m_request),
-                              aFinish.m_answer.m_retryAfter);
+    m_parts.m_requests.OnQuarantined(
+      now,
+      call.m_id,
+      CallFingerprint(m_parts.m_dialect, call.m_request),
+      aFinish.m_answer.m_retryAfter);
   }
   m_parts.m_requests.OnFinished(now,
                                 { .m_id = call.m_id,
-                                  .m_route = call.m_route,
+                                  .m_route = call.m_routeKey,
                                   .m_service = call.m_request.m_service,
                                   .m_workspace = call.m_workspace,
                                   .m_slot = call.m_slot,
                                   .m_answer = answer,
-                                  .m_sends = call.m_sends,
-                                  .m_took = now - call.m_since,
+                                  .m_attempts = call.m_attempts,
+                                  .m_duration = now - call.m_receivedAt,
                                   .m_version = call.m_config->m_version });
-  call.m_responder.Answer(ResponseFor(m_parts.m_dialect, answer), m_leaving);
+  call.m_responder.Answer(ResponseFor(m_parts.m_dialect, answer), m_draining);
 }
 
 std::chrono::milliseconds
-CallGateway::Spread(std::chrono::milliseconds aRetryAfter)
+CallGateway::WithJitter(std::chrono::milliseconds aRetryAfter)
 {
   return aRetryAfter +
          std::chrono::milliseconds{ Below(m_random, aRetryAfter.count()) };
 }
 
 void
-CallGateway::TraceEnd(const Waiting& aCall, const CallAnswer& aAnswer)
+CallGateway::RecordSpan(const PendingCall& aCall, const CallAnswer& aAnswer)
 {
   if (!aCall.m_span.m_sampled) {
     return;
@@ -283,7 +287,7 @@
   span.m_name = aCall.m_request.m_method;
   span.m_service = m_parts.m_settings.m_service;
   span.m_slot = m_parts.m_settings.m_slot;
-  span.m_start = aCall.m_start;
+  span.m_start = aCall.m_wallStart;
   span.m_end = WallNanos();
   span.m_outcome = std::string{ NameOf(aAnswer.m_outcome) };
   span.m_status = aAnswer.m_response.m_status;
@@ -291,40 +295,40 @@
 }
 
 // ---------------------------------------------------------------------------
-// Time and leaving
+// Timers and draining
 
 void
 CallGateway::OnTick(TimePoint aNow)
 {
   m_resumeFilter.OnTick(aNow, BootTime());
-  ReleaseHeld(aNow);
+  ReleaseStartBuffer(aNow);
   m_pool.OnTick(aNow);
   m_service.OnTick(aNow);
   m_dispatcher.SetRetryLimits(RetryLimitsNow());
 }
 
 void
-CallGateway::Arm()
+CallGateway::ArmTimer()
 {
   const auto next = m_dispatcher.NextDeadline();
-  if (!next || (m_armed && *m_armed <= *next)) {
+  if (!next || (m_timerExpiry && *m_timerExpiry <= *next)) {
     return;
   }
-  m_armed = next;
+  m_timerExpiry = next;
   m_timer.expires_at(*next);
   m_timer.async_wait([this](const asio::error_code& aError) {
     if (aError) {
       return;
     }
-    m_armed.reset();
-    Carry(m_dispatcher.OnTick(Clock::now()));
+    m_timerExpiry.reset();
+    Execute(m_dispatcher.OnTick(Clock::now()));
   });
 }
 
 void
 CallGateway::StartLeaving()
 {
-  m_leaving = true;
+  m_draining = true;
   m_dispatcher.Workers().SetLeaving(m_parts.m_settings.m_slot);
   m_service.StartLeaving();
   m_server.Broadcast(LinkLeaving{});
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -5,29 +5,29 @@
 
 #include <algorithm>
 
-// What comes from callers: which route, held or refused or begun.
+// Requests of callers: routing, admission and the start of calls.
 
 namespace greengagehub {
 
 namespace {
 
-/// Routes whose figures are kept.
-constexpr std::size_t kMaxFigures = 10'000;
-/// \returns The host without its port, in lower case.
+constexpr std::size_t kMaxRouteStatistics = 10'000;
+
+/// \returns The Host header without its port, in lower case.
 std::string
 HostOf(const std::vector<HttpHeader>& aHeaders)
 {
   const std::string_view value = HeaderValue(aHeaders, "host");
   std::string host{ value.substr(0, value.rfind(':')) };
   std::transform(host.begin(), host.end(), host.begin(), [](char aChar) {
-    const bool upper = aChar >= 'A' && aChar <= 'Z';
-    return upper ? static_cast<char>(aChar - 'A' + 'a') : aChar;
+    const bool isUpper = aChar >= 'A' && aChar <= 'Z';
+    return isUpper ? static_cast<char>(aChar - 'A' + 'a') : aChar;
   });
   return host;
 }
 
 bool
-MayRepeat(const Route& aRoute, std::string_view aMethod)
+IsIdempotent(const Route& aRoute, std::string_view aMethod)
 {
   switch (aRoute.m_idempotency) {
     case Route::Idempotency::Yes:
@@ -43,7 +43,7 @@
 }
 
 void
-CallGateway::Take(HttpRequest aRequest, HttpResponder aResponder)
+CallGateway::OnCallerRequest(HttpRequest aRequest, HttpResponder aResponder)
 {
   const TimePoint now = Clock::now();
   if (!m_resumeFilter.Holds(now, BootTime())) {
@@ -53,17 +53,17 @@
   const bool isFirst = m_resumeFilter.Add(ResumeFilter::FromCaller{
     now, std::move(aRequest), std::move(aResponder) });
   if (isFirst) {
-    ReleaseFilteredAt(m_resumeFilter.Until());
+    ScheduleFilterRelease(m_resumeFilter.Until());
   }
 }
 
 void
-CallGateway::Serve(TimePoint aCame,
+CallGateway::Serve(TimePoint aReceivedAt,
                    HttpRequest aRequest,
                    HttpResponder aResponder)
 {
   if (!m_parts.m_isReady()) {
-    if (!m_starting.Add(Clock::now(), aCame, aRequest, aResponder)) {
+    if (!m_startBuffer.Add(Clock::now(), aReceivedAt, aRequest, aResponder)) {
       Refuse(aRequest, aResponder, RefusalReason::NotReady);
     }
     return;
@@ -75,24 +75,30 @@
     return;
   }
   const Limits& limits = m_parts.m_holder.Active()->m_content.GetLimits();
-  if (NumberHeader(aRequest.m_headers, kDepthHeader, 0) >= limits.m_maxDepth) {
+  if (ParseNumberHeader(aRequest.m_headers, kDepthHeader, 0) >=
+      limits.m_maxDepth) {
     Refuse(aRequest, aResponder, RefusalReason::TooDeep);
     return;
   }
-  const std::string service = ServiceOf(*route);
-  WantService(service);
-  const bool joining = !m_dispatcher.Workers().HasUsable(service);
-  if (joining && m_starting.Add(Clock::now(), aCame, aRequest, aResponder)) {
+  const std::string service = SelectService(*route);
+  TrackService(service);
+  const bool hasNoWorker = !m_dispatcher.Workers().HasUsable(service);
+  if (hasNoWorker &&
+      m_startBuffer.Add(Clock::now(), aReceivedAt, aRequest, aResponder)) {
     return;
   }
-  Admit(
-    *route, service, aCame, std::move(aRequest), std::move(aResponder), true);
+  Admit(*route,
+        service,
+        aReceivedAt,
+        std::move(aRequest),
+        std::move(aResponder),
+        true);
 }
 
 void
 CallGateway::Admit(const Route& aRoute,
                    const std::string& aService,
-                   TimePoint aCame,
+                   TimePoint aReceivedAt,
                    HttpRequest aRequest,
                    HttpResponder aResponder,
                    bool aIsNew)
@@ -102,62 +108,63 @@
     admission = m_parts.m_workspaces.Admit(
       HeaderValue(aRequest.m_headers, m_parts.m_dialect.m_apiKey),
       aIsNew,
-      IsLate(aRoute, aCame, aRequest));
+      IsLate(aRoute, aReceivedAt, aRequest));
   }
   if (admission.m_waits) {
-    const bool hasWaited = Clock::now() - aCame >= TokenQueue::kMaxWait;
-    if (hasWaited || m_awaitingTokens.IsFull()) {
+    const bool hasWaited = Clock::now() - aReceivedAt >= TokenQueue::kMaxWait;
+    if (hasWaited || m_tokenQueue.IsFull()) {
       m_parts.m_workspaces.GiveUp(admission.m_workspace->m_id);
       Refuse(aRequest,
              aResponder,
              RefusalReason::NoCoordinator,
-             Spread(TokenQueue::kMaxWait),
+             WithJitter(TokenQueue::kMaxWait),
              admission.m_workspace);
       return;
     }
-    m_awaitingTokens.Add({ std::move(aRequest),
-                           std::move(aResponder),
-                           aCame,
-                           admission.m_workspace->m_id });
+    m_tokenQueue.Add({ std::move(aRequest),
+                       std::move(aResponder),
+                       aReceivedAt,
+                       admission.m_workspace->m_id });
     return;
   }
   if (admission.m_refusal != RefusalReason::None) {
     Refuse(aRequest,
            aResponder,
            admission.m_refusal,
-           Spread(admission.m_retryAfter),
+           WithJitter(admission.m_retryAfter),
            admission.m_workspace);
     return;
   }
-  Begin(aRoute,
-        aService,
-        aCame,
-        admission.m_workspace,
-        std::move(aRequest),
-        std::move(aResponder));
+  StartCall(aRoute,
+            aService,
+            aReceivedAt,
+            admission.m_workspace,
+            std::move(aRequest),
+            std::move(aResponder));
 }
 
 bool
 CallGateway::IsLate(const Route& aRoute,
-                    TimePoint aCame,
+                    TimePoint aReceivedAt,
                     const HttpRequest& aRequest)
 {
   if (aRoute.m_targetLatency.count() == 0) {
     return false;
   }
-  const auto asked = std::chrono::milliseconds{ NumberHeader(
+  const auto requestedDeadline = std::chrono::milliseconds{ ParseNumberHeader(
     aRequest.m_headers,
     m_parts.m_dialect.m_deadline,
     static_cast<std::uint64_t>(aRoute.m_deadline.count())) };
-  const auto age = FiguresOf(aRoute.m_host + aRoute.m_path)
-                     .m_age.Of(asked, aRequest.m_isFirstOnConnection);
-  return age + (Clock::now() - aCame) >= aRoute.m_targetLatency;
+  const auto callAge =
+    StatisticsOf(aRoute.m_host + aRoute.m_path)
+      .m_age.Of(requestedDeadline, aRequest.m_isFirstOnConnection);
+  return callAge + (Clock::now() - aReceivedAt) >= aRoute.m_targetLatency;
 }
 
 void
 CallGateway::RetryAdmissions()
 {
-  for (TokenQueue::Waiting& each : m_awaitingTokens.TakeAll()) {
+  for (TokenQueue::Entry& each : m_tokenQueue.TakeAll()) {
     m_parts.m_workspaces.GiveUp(each.m_workspace);
     const Route* route = m_routes.Find(HostOf(each.m_request.m_headers),
                                        PathOf(each.m_request.m_target));
@@ -166,8 +173,8 @@
       continue;
     }
     Admit(*route,
-          ServiceOf(*route),
-          each.m_came,
+          SelectService(*route),
+          each.m_receivedAt,
           std::move(each.m_request),
           std::move(each.m_responder),
           false);
@@ -197,88 +204,91 @@
 }
 
 void
-CallGateway::ReleaseHeld(TimePoint aNow)
+CallGateway::ReleaseStartBuffer(TimePoint aNow)
 {
-  if (m_starting.Count() == 0) {
+  if (m_startBuffer.Count() == 0) {
     return;
   }
   if (m_parts.m_isReady()) {
-    for (StartBuffer::Held& each : m_starting.TakeAll()) {
-      Serve(
-        each.m_came, std::move(each.m_request), std::move(each.m_responder));
+    for (StartBuffer::Entry& each : m_startBuffer.TakeAll()) {
+      Serve(each.m_receivedAt,
+            std::move(each.m_request),
+            std::move(each.m_responder));
     }
     return;
   }
-  for (StartBuffer::Held& each : m_starting.TakeExpired(aNow)) {
+  for (StartBuffer::Entry& each : m_startBuffer.TakeExpired(aNow)) {
     Refuse(each.m_request, each.m_responder, RefusalReason::NotReady);
   }
 }
 
 void
-CallGateway::Begin(const Route& aRoute,
-                   const std::string& aService,
-                   TimePoint aCame,
-                   const WorkspaceRow* aWorkspace,
-                   HttpRequest aRequest,
-                   HttpResponder aDone)
+CallGateway::StartCall(const Route& aRoute,
+                       const std::string& aService,
+                       TimePoint aReceivedAt,
+                       const WorkspaceRow* aWorkspace,
+                       HttpRequest aRequest,
+                       HttpResponder aResponder)
 {
   const TimePoint now = Clock::now();
   const DecisionSettings& decisions = m_parts.m_settings.m_runs.m_decisions;
   const auto& headers = aRequest.m_headers;
-  const auto asked = std::chrono::milliseconds{ NumberHeader(
+  const auto requestedDeadline = std::chrono::milliseconds{ ParseNumberHeader(
     headers,
     m_parts.m_dialect.m_deadline,
     static_cast<std::uint64_t>(aRoute.m_deadline.count())) };
-  const std::uint32_t tries = aRoute.m_attempts > 0
-                                ? aRoute.m_attempts - 1
-                                : m_parts.m_settings.m_calls.m_tries;
+  const std::uint32_t retries = aRoute.m_attempts > 0
+                                  ? aRoute.m_attempts - 1
+                                  : m_parts.m_settings.m_calls.m_tries;
   CallPlan plan;
   plan.m_service = aService;
   plan.m_class = aRoute.m_class;
-  plan.m_idempotent = MayRepeat(aRoute, aRequest.m_method);
-  plan.m_deadline = aCame + std::min(asked, aRoute.m_deadline);
+  plan.m_idempotent = IsIdempotent(aRoute, aRequest.m_method);
+  plan.m_deadline =
+    aReceivedAt + std::min(requestedDeadline, aRoute.m_deadline);
   const std::string routeKey = aRoute.m_host + aRoute.m_path;
-  RouteFigures& figures = FiguresOf(routeKey);
+  RouteStatistics& statistics = StatisticsOf(routeKey);
   if (aRoute.m_targetLatency.count() > 0) {
     const bool isFirst = aRequest.m_isFirstOnConnection;
-    const auto age = decisions.m_weighsAge ? figures.m_age.Of(asked, isFirst)
-                                           : std::chrono::milliseconds::zero();
-    figures.m_age.Note(asked, isFirst);
-    plan.m_target = aCame + aRoute.m_targetLatency - age;
+    const auto callAge = decisions.m_weighsAge
+                           ? statistics.m_age.Of(requestedDeadline, isFirst)
+                           : std::chrono::milliseconds::zero();
+    statistics.m_age.Note(requestedDeadline, isFirst);
+    plan.m_target = aReceivedAt + aRoute.m_targetLatency - callAge;
   }
-  plan.m_kind = { aRoute.m_targetLatency, figures.m_route };
+  plan.m_kind = { aRoute.m_targetLatency, statistics.m_routeHash };
   plan.m_crossing = CrossingPrice(decisions,
                                   static_cast<double>(aRequest.m_body.size()),
-                                  figures.m_answerBytes);
+                                  statistics.m_answerBytes);
   plan.m_priority =
     aWorkspace != nullptr
       ? m_parts.m_workspaces.Table().RankOf(*aWorkspace, aRoute.m_priority)
       : aRoute.m_priority;
   if (plan.m_service != m_parts.m_settings.m_service) {
-    // It may come from the own worker.
-    plan.m_inherited = m_service.RepeatShareAt(now);
+    // The caller may be the local worker, in one of its retried runs.
+    plan.m_inherited = m_service.RetriedRunShareAt(now);
   }
-  plan.m_triesLeft = static_cast<std::uint32_t>(
-    std::min<std::uint64_t>(tries, NumberHeader(headers, kTriesHeader, tries)));
+  plan.m_triesLeft = static_cast<std::uint32_t>(std::min<std::uint64_t>(
+    retries, ParseNumberHeader(headers, kRetriesHeader, retries)));
 
-  Waiting call{ .m_responder = std::move(aDone),
-                .m_connection = aRequest.m_connection,
-                .m_since = aCame,
-                .m_config = m_parts.m_holder.Active(),
-                .m_route = routeKey,
-                .m_id = std::string{
-                  HeaderValue(headers, m_parts.m_dialect.m_requestId) } };
+  PendingCall call{ .m_responder = std::move(aResponder),
+                    .m_connection = aRequest.m_connection,
+                    .m_receivedAt = aReceivedAt,
+                    .m_config = m_parts.m_holder.Active(),
+                    .m_routeKey = routeKey,
+                    .m_id = std::string{
+                      HeaderValue(headers, m_parts.m_dialect.m_requestId) } };
   call.m_parent = ParseTraceparent(HeaderValue(headers, kTraceparentHeader));
-  const bool sample =
+  const bool isSampled =
     Below(m_random, 100) < m_parts.m_settings.m_log.m_tracePercent;
-  call.m_span = NewSpan(call.m_parent, sample, m_random);
-  call.m_start = WallNanos();
+  call.m_span = NewSpan(call.m_parent, isSampled, m_random);
+  call.m_wallStart = WallNanos();
   CallRequest& request = call.m_request;
   request.m_service = plan.m_service;
   request.m_method = std::move(aRequest.m_method);
   request.m_target = std::move(aRequest.m_target);
   request.m_depth =
-    static_cast<std::uint32_t>(NumberHeader(headers, kDepthHeader, 0));
+    static_cast<std::uint32_t>(ParseNumberHeader(headers, kDepthHeader, 0));
   request.m_headers =
     HeadersFromCaller(m_parts.m_dialect, std::move(aRequest.m_headers));
   if (m_parts.m_dialect.m_tracesHops) {
@@ -300,30 +310,30 @@
   request.m_body = std::move(aRequest.m_body);
   request.m_class = plan.m_class;
   request.m_idempotent = plan.m_idempotent;
-  plan.m_content = ContentOf(m_parts.m_dialect, request);
+  plan.m_content = CallFingerprint(m_parts.m_dialect, request);
 
   const std::uint64_t id = ++m_lastCall;
-  m_byConnection[call.m_connection] = id;
-  m_waiting.emplace(id, std::move(call));
-  Carry(m_dispatcher.Begin(now, id, std::move(plan)));
+  m_callByConnection[call.m_connection] = id;
+  m_pending.emplace(id, std::move(call));
+  Execute(m_dispatcher.Begin(now, id, std::move(plan)));
 }
 
-CallGateway::RouteFigures&
-CallGateway::FiguresOf(const std::string& aKey)
+CallGateway::RouteStatistics&
+CallGateway::StatisticsOf(const std::string& aKey)
 {
-  if (m_figures.size() > kMaxFigures) {
-    // Mostly of routes that are gone; the others are learned again at once.
-    m_figures.clear();
+  if (m_routeStatistics.size() > kMaxRouteStatistics) {
+    // Most entries belong to removed routes; the others refill quickly.
+    m_routeStatistics.clear();
   }
-  const auto [found, isNew] = m_figures.try_emplace(aKey);
+  const auto [found, isNew] = m_routeStatistics.try_emplace(aKey);
   if (isNew) {
-    found->second.m_route = ShortHashOf(aKey);
+    found->second.m_routeHash = ShortHashOf(aKey);
   }
   return found->second;
 }
 
 std::string
-CallGateway::ServiceOf(const Route& aRoute)
+CallGateway::SelectService(const Route& aRoute)
 {
   if (aRoute.m_split.empty()) {
     return aRoute.m_service;
@@ -332,31 +342,31 @@
   for (const RouteShare& each : aRoute.m_split) {
     total += each.m_weight;
   }
-  std::uint64_t drawn = Below(m_random, total);
+  std::uint64_t remaining = Below(m_random, total);
   for (const RouteShare& each : aRoute.m_split) {
-    if (drawn < each.m_weight) {
+    if (remaining < each.m_weight) {
       return each.m_service;
     }
-    drawn -= each.m_weight;
+    remaining -= each.m_weight;
   }
   return aRoute.m_split.front().m_service;
 }
 
 void
-CallGateway::OnHungUp(std::uint64_t aConnection)
+CallGateway::OnCallerConnectionClosed(std::uint64_t aConnection)
 {
-  m_starting.Drop(aConnection);
-  for (const WorkspaceId each : m_awaitingTokens.Drop(aConnection)) {
+  m_startBuffer.Drop(aConnection);
+  for (const WorkspaceId each : m_tokenQueue.Drop(aConnection)) {
     m_parts.m_workspaces.GiveUp(each);
   }
   m_resumeFilter.HungUp(aConnection);
-  const auto found = m_byConnection.find(aConnection);
-  if (found == m_byConnection.end()) {
+  const auto found = m_callByConnection.find(aConnection);
+  if (found == m_callByConnection.end()) {
     return;
   }
   const std::uint64_t call = found->second;
-  m_byConnection.erase(found);
-  Carry(m_dispatcher.OnCallerGone(Clock::now(), call));
+  m_callByConnection.erase(found);
+  Execute(m_dispatcher.OnCallerGone(Clock::now(), call));
 }
 
 }
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -5,35 +5,36 @@
 #include <algorithm>
 #include <asio/post.hpp>
 
-// What comes from links, members, the own worker and the configuration.
+// Events from links, membership, the local worker and the configuration.
 
 namespace greengagehub {
 
 namespace {
 
-/// Part of the fleet's retry budget that daemons use. The rest is for what they
-/// cannot count: what daemons used that have died since they were counted, and
-/// the error of the share of repeats among a worker's runs.
-constexpr double kRetryReserve = 0.85;
+/// Share of the fleet's retry budget that daemons spend. The rest covers
+/// retries of daemons that have died since and errors in the estimated share of
+/// retried runs.
+constexpr double kRetryBudgetShare = 0.85;
 
-/// \returns What the configuration says, and the settings where it is silent.
+/// \returns The limits of the configuration; where it sets none, those of the
+/// settings or the defaults.
 HttpServerLimits
-LimitsFrom(const CallSettings& aSettings, const Limits& aGiven)
+MergedLimits(const CallSettings& aSettings, const Limits& aConfigured)
 {
-  HttpServerLimits own{ .m_maxBodyBytes = aSettings.m_maxBodyBytes };
-  if (aGiven.m_maxHeadBytes > 0) {
-    own.m_maxHeadBytes = aGiven.m_maxHeadBytes;
+  HttpServerLimits limits{ .m_maxBodyBytes = aSettings.m_maxBodyBytes };
+  if (aConfigured.m_maxHeadBytes > 0) {
+    limits.m_maxHeadBytes = aConfigured.m_maxHeadBytes;
   }
-  if (aGiven.m_maxBodyBytes > 0) {
-    own.m_maxBodyBytes = aGiven.m_maxBodyBytes;
+  if (aConfigured.m_maxBodyBytes > 0) {
+    limits.m_maxBodyBytes = aConfigured.m_maxBodyBytes;
   }
-  if (aGiven.m_headTimeout.count() > 0) {
-    own.m_headTimeout = aGiven.m_headTimeout;
+  if (aConfigured.m_headTimeout.count() > 0) {
+    limits.m_headTimeout = aConfigured.m_headTimeout;
   }
-  if (aGiven.m_idleTimeout.count() > 0) {
-    own.m_idleTimeout = aGiven.m_idleTimeout;
+  if (aConfigured.m_idleTimeout.count() > 0) {
+    limits.m_idleTimeout = aConfigured.m_idleTimeout;
   }
-  return own;
+  return limits;
 }
 
 AttemptState
@@ -67,7 +68,7 @@
       const bool isFirst = m_resumeFilter.Add(ResumeFilter::FromLink{
         now, key, aConnection.m_peer.m_epoch, std::move(*request) });
       if (isFirst) {
-        ReleaseFilteredAt(m_resumeFilter.Until());
+        ScheduleFilterRelease(m_resumeFilter.Until());
       }
       return;
     }
@@ -88,11 +89,11 @@
 CallGateway::OnPoolFrame(LinkFrame aFrame)
 {
   if (auto* answer = std::get_if<CallAnswer>(&aFrame)) {
-    Carry(m_dispatcher.OnAnswer(Clock::now(), std::move(*answer)));
+    Execute(m_dispatcher.OnAnswer(Clock::now(), std::move(*answer)));
     return;
   }
   if (const auto* result = std::get_if<LinkCancelResult>(&aFrame)) {
-    Carry(m_dispatcher.OnCancelResult(
+    Execute(m_dispatcher.OnCancelResult(
       Clock::now(), result->m_call, StateOf(*result)));
   }
 }
@@ -101,9 +102,9 @@
 CallGateway::Deliver(CallKey aKey, CallAnswer aAnswer)
 {
   if (aKey.m_process == m_parts.m_process) {
-    // Posted, as the dispatcher may be under way further up the stack.
+    // Posted, because the dispatcher may be active further up the stack.
     asio::post(m_parts.m_loop, [this, answer = std::move(aAnswer)]() mutable {
-      Carry(m_dispatcher.OnAnswer(Clock::now(), std::move(answer)));
+      Execute(m_dispatcher.OnAnswer(Clock::now(), std::move(answer)));
     });
     return;
   }
@@ -121,10 +122,10 @@
     m_addresses.erase(record.m_slot);
     return;
   }
-  if (m_services.contains(record.m_service)) {
+  if (m_trackedServices.contains(record.m_service)) {
     PutWorker(record);
   } else {
-    // Its slot may have belonged to another service before.
+    // The slot may have belonged to a tracked service before.
     m_dispatcher.Workers().Remove(record.m_slot);
   }
 }
@@ -140,7 +141,7 @@
   own.m_slots = aPresence.Current()->m_slots;
   own.m_start = TagOf(aPresence.Current()->m_start);
   own.m_version = aPresence.Current()->m_version;
-  own.m_leaving = !aPresence.TakesCalls() || m_leaving;
+  own.m_leaving = !aPresence.TakesCalls() || m_draining;
   m_dispatcher.Workers().Put(std::move(own));
   if (!aPresence.TakesCalls()) {
     m_server.Broadcast(LinkLeaving{});
@@ -173,9 +174,9 @@
 }
 
 void
-CallGateway::WantService(const std::string& aService)
+CallGateway::TrackService(const std::string& aService)
 {
-  if (!m_services.insert(aService).second) {
+  if (!m_trackedServices.insert(aService).second) {
     return;
   }
   m_parts.m_members().Rows().Each(
@@ -193,9 +194,10 @@
   const Content& content = m_parts.m_holder.Active()->m_content;
   m_routes = RouteTable{ content };
   m_dispatcher.SetRetryLimits(RetryLimitsNow());
-  m_http.SetLimits(LimitsFrom(m_parts.m_settings.m_calls, content.GetLimits()));
-  // Posted, as whoever brought the version says next that it is the newest.
-  asio::post(m_parts.m_loop, [this] { ReleaseHeld(Clock::now()); });
+  m_http.SetLimits(
+    MergedLimits(m_parts.m_settings.m_calls, content.GetLimits()));
+  // Posted, because the caller marks the version as current only after this.
+  asio::post(m_parts.m_loop, [this] { ReleaseStartBuffer(Clock::now()); });
 }
 
 RetryLimits
@@ -209,11 +211,11 @@
     limits.m_share = content.GetLimits().m_retryPercent / kPercent;
     return limits;
   }
-  // The limit is the fleet's. A share of calls adds up over daemons by itself;
-  // the slack is divided among them.
+  // The limits apply to the whole fleet. The share is relative to each daemon's
+  // calls; the slack is absolute and divided among the daemons.
   const auto daemons = static_cast<double>(m_parts.m_members().Present() + 1);
-  limits.m_share = kRetryReserve * platform.m_retryShare;
-  limits.m_slack = kRetryReserve * platform.m_retrySlack / daemons;
+  limits.m_share = kRetryBudgetShare * platform.m_retryShare;
+  limits.m_slack = kRetryBudgetShare * platform.m_retrySlack / daemons;
   limits.m_window = platform.m_retryWindow;
   return limits;
 }
@@ -226,7 +228,7 @@
 }
 
 void
-CallGateway::ReleaseFilteredAt(TimePoint aWhen)
+CallGateway::ScheduleFilterRelease(TimePoint aWhen)
 {
   m_filterTimer.expires_at(aWhen);
   m_filterTimer.async_wait([this](const asio::error_code& aError) {
@@ -242,10 +244,10 @@
   const TimePoint now = Clock::now();
   ResumeFilter::Held held = m_resumeFilter.TakeAll();
   for (ResumeFilter::FromLink& each : held.m_links) {
-    const auto waited =
+    const auto heldFor =
       std::chrono::duration_cast<std::chrono::microseconds>(now - each.m_read);
-    each.m_request.m_timeLeft -= waited;
-    each.m_request.m_targetLeft -= waited;
+    each.m_request.m_timeLeft -= heldFor;
+    each.m_request.m_targetLeft -= heldFor;
     m_service.OnRequest(each.m_key, each.m_epoch, std::move(each.m_request));
   }
   for (ResumeFilter::FromCaller& each : held.m_callers) {
--- a/src/daemon/call_headers.cpp
+++ b/src/daemon/call_headers.cpp
@@ -13,9 +13,9 @@
   "connection", "keep-alive", "transfer-encoding", "content-length", "te",
   "trailer",    "upgrade",    "proxy-connection",  "expect"
 };
-constexpr std::array<std::string_view, 3> kOwnHeaders{ kTraceparentHeader,
-                                                       kDepthHeader,
-                                                       kTriesHeader };
+constexpr std::array<std::string_view, 3> kDaemonHeaders{ kTraceparentHeader,
+                                                          kDepthHeader,
+                                                          kRetriesHeader };
 
 template<std::size_t Count>
 bool
@@ -29,9 +29,9 @@
 }
 
 /// \returns Whether a comma-separated list, such as the value of Connection,
-/// names a header.
+/// contains a header name.
 bool
-IsInList(std::string_view aList, std::string_view aName)
+ListContains(std::string_view aList, std::string_view aName)
 {
   while (!aList.empty()) {
     const std::size_t comma = std::min(aList.find(','), aList.size());
@@ -55,7 +55,7 @@
   constexpr std::uint16_t kBadGateway = 502;
   constexpr std::uint16_t kUnavailable = 503;
   constexpr std::uint16_t kTimeout = 504;
-  constexpr std::uint16_t kLoop = 508;
+  constexpr std::uint16_t kLoopDetected = 508;
   if (aAnswer.m_outcome == CallOutcome::Unknown) {
     return aAnswer.m_reason == RefusalReason::DeadlinePassed ? kTimeout
                                                              : kBadGateway;
@@ -64,7 +64,7 @@
     case RefusalReason::NoRoute:
       return kNotFound;
     case RefusalReason::TooDeep:
-      return kLoop;
+      return kLoopDetected;
     case RefusalReason::UnknownKey:
       return kUnauthorized;
     case RefusalReason::OverQuota:
@@ -75,7 +75,7 @@
 }
 
 std::string
-RetryAfterText(const CallDialect& aDialect, std::chrono::milliseconds aSpan)
+FormatRetryAfter(const CallDialect& aDialect, std::chrono::milliseconds aSpan)
 {
   if (aDialect.m_fractionalRetryAfter) {
     const std::chrono::duration<double> seconds = aSpan;
@@ -93,7 +93,7 @@
 }
 
 Fingerprint
-ContentOf(const CallDialect& aDialect, const CallRequest& aCall)
+CallFingerprint(const CallDialect& aDialect, const CallRequest& aCall)
 {
   return FingerprintOf(
     { .m_caller = HeaderValue(aCall.m_headers, aDialect.m_callerService),
@@ -106,7 +106,7 @@
 std::vector<HttpHeader>
 HeadersToWorker(const CallDialect& aDialect,
                 const CallRequest& aCall,
-                std::chrono::milliseconds aLeft,
+                std::chrono::milliseconds aTimeLeft,
                 const TraceContext& aSpan,
                 const std::string& aInstance)
 {
@@ -114,14 +114,16 @@
   std::erase_if(headers, [](const HttpHeader& aHeader) {
     return SameHeader(aHeader.m_name, kTraceparentHeader);
   });
-  headers.push_back(Header(aDialect.m_deadline, std::to_string(aLeft.count())));
+  headers.push_back(
+    Header(aDialect.m_deadline, std::to_string(aTimeLeft.count())));
   if (!aInstance.empty()) {
     headers.push_back(Header(aDialect.m_expectInstance, aInstance));
   }
   if (aDialect.m_tracesHops) {
     headers.push_back(Header(kTraceparentHeader, FormatTraceparent(aSpan)));
     headers.push_back(Header(kDepthHeader, std::to_string(aCall.m_depth + 1)));
-    headers.push_back(Header(kTriesHeader, std::to_string(aCall.m_triesLeft)));
+    headers.push_back(
+      Header(kRetriesHeader, std::to_string(aCall.m_triesLeft)));
   }
   return headers;
 }
@@ -129,15 +131,16 @@
 std::vector<HttpHeader>
 HeadersFromCaller(const CallDialect& aDialect, std::vector<HttpHeader> aHeaders)
 {
-  const std::string named{ HeaderValue(aHeaders, "connection") };
+  const std::string connectionHeaders{ HeaderValue(aHeaders, "connection") };
   std::erase_if(aHeaders, [&](const HttpHeader& aHeader) {
     const std::string& name = aHeader.m_name;
-    return IsOneOf(name, kConnectionHeaders) || IsOneOf(name, kOwnHeaders) ||
+    return IsOneOf(name, kConnectionHeaders) || IsOneOf(name, kDaemonHeaders) ||
            SameHeader(name, aDialect.m_deadline) ||
            SameHeader(name, aDialect.m_callerService) ||
            SameHeader(name, aDialect.m_apiKey) ||
            SameHeader(name, aDialect.m_workspace) ||
-           SameHeader(name, aDialect.m_expectInstance) || IsInList(named, name);
+           SameHeader(name, aDialect.m_expectInstance) ||
+           ListContains(connectionHeaders, name);
   });
   return aHeaders;
 }
@@ -151,17 +154,17 @@
 }
 
 std::uint64_t
-NumberHeader(const std::vector<HttpHeader>& aHeaders,
-             std::string_view aName,
-             std::uint64_t aDefault)
+ParseNumberHeader(const std::vector<HttpHeader>& aHeaders,
+                  std::string_view aName,
+                  std::uint64_t aDefault)
 {
   const std::string_view text = HeaderValue(aHeaders, aName);
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
   const auto parsed = std::from_chars(text.data(), end, number);
-  const bool whole =
+  const bool isValid =
     !text.empty() && parsed.ec == std::errc{} && parsed.ptr == end;
-  return whole ? number : aDefault;
+  return isValid ? number : aDefault;
 }
 
 HttpResponse
@@ -184,7 +187,7 @@
     Header(kReasonHeader, std::string{ NameOf(aAnswer.m_reason) }));
   if (aAnswer.m_retryAfter.count() > 0) {
     response.m_headers.push_back(
-      Header("Retry-After", RetryAfterText(aDialect, aAnswer.m_retryAfter)));
+      Header("Retry-After", FormatRetryAfter(aDialect, aAnswer.m_retryAfter)));
     response.m_headers.push_back(
       Header(kRetryAfterHeader, std::to_string(aAnswer.m_retryAfter.count())));
   }
--- a/src/daemon/leaving.cpp
+++ b/src/daemon/leaving.cpp
@@ -4,21 +4,20 @@
 
 namespace {
 
-/// How long a leaving daemon starts calls at its worker, which mostly runs on:
-/// the rest of the time until it takes no callers is enough for them to end.
-constexpr auto kServesWorker = std::chrono::milliseconds{ 1500 };
-/// How long it takes requests. The platform asks for readiness once a second
-/// and takes callers away after two misses, and a caller may be under way with
-/// its next request by then. What it takes later than 3 s it must end within
-/// the grace time, however long that waits at a worker: seen with 1.7 s.
-constexpr auto kTakesCallers = std::chrono::milliseconds{ 2900 };
+/// Runs are started for this long; the time up to the end of kAcceptTime is
+/// left for them to finish.
+constexpr auto kRunStartTime = std::chrono::milliseconds{ 1500 };
+/// Requests are accepted for this long. The platform probes readiness once a
+/// second and redirects callers after two failed probes. A request accepted
+/// much later may not finish within the grace time.
+constexpr auto kAcceptTime = std::chrono::milliseconds{ 2900 };
 
 }
 
 LeavingStep
 StepOfLeaving(Duration aSince) noexcept
 {
-  return { aSince < kServesWorker, aSince < kTakesCallers };
+  return { aSince < kRunStartTime, aSince < kAcceptTime };
 }
 
 }
--- a/src/daemon/request_log.cpp
+++ b/src/daemon/request_log.cpp
@@ -17,13 +17,13 @@
 }
 
 void
-RequestLog::OnFinished(TimePoint aNow, const Finished& aEnd)
+RequestLog::OnFinished(TimePoint aNow, const FinishedRequest& aRequest)
 {
-  const CallAnswer& answer = aEnd.m_answer;
-  const bool good = answer.m_outcome == CallOutcome::Answered &&
-                    answer.m_response.m_status < kFirstServerError &&
-                    aEnd.m_sends <= 1;
-  if (good && ++m_good % kSampled != 0) {
+  const CallAnswer& answer = aRequest.m_answer;
+  const bool isRoutine = answer.m_outcome == CallOutcome::Answered &&
+                         answer.m_response.m_status < kFirstServerError &&
+                         aRequest.m_attempts <= 1;
+  if (isRoutine && ++m_routineRequests % kSampleInterval != 0) {
     return;
   }
   if (!m_budget.Take(aNow)) {
@@ -31,41 +31,41 @@
   }
   m_log.Info(kComponent,
              "request_finished",
-             { { "request", aEnd.m_id },
-               { "route", aEnd.m_route },
-               { "service", aEnd.m_service },
-               { "workspace", aEnd.m_workspace },
+             { { "request", aRequest.m_id },
+               { "route", aRequest.m_route },
+               { "service", aRequest.m_service },
+               { "workspace", aRequest.m_workspace },
                { "outcome", NameOf(answer.m_outcome) },
                { "reason", NameOf(answer.m_reason) },
                { "status", std::uint64_t{ StatusOf(answer) } },
-               { "last_slot", aEnd.m_slot },
-               { "sends", std::uint64_t{ aEnd.m_sends } },
-               { "took_us", Micros(aEnd.m_took) },
+               { "last_slot", aRequest.m_slot },
+               { "sends", std::uint64_t{ aRequest.m_attempts } },
+               { "took_us", Micros(aRequest.m_duration) },
                { "retry_after_ms", answer.m_retryAfter.count() },
-               { "version", aEnd.m_version.m_number } });
+               { "version", aRequest.m_version.m_number } });
 }
 
 void
-RequestLog::OnHeld(TimePoint aNow,
-                   std::string_view aId,
-                   Fingerprint aContent,
-                   Duration aLeft)
+RequestLog::OnQuarantined(TimePoint aNow,
+                          std::string_view aId,
+                          Fingerprint aFingerprint,
+                          Duration aTimeLeft)
 {
   if (m_budget.Take(aNow)) {
     m_log.Info(kComponent,
                "request_held",
                { { "request", aId },
-                 { "content", ToHex(aContent) },
-                 { "left_us", Micros(aLeft) } });
+                 { "content", ToHex(aFingerprint) },
+                 { "left_us", Micros(aTimeLeft) } });
   }
 }
 
 void
-RequestLog::OnPlacedAgain(TimePoint aNow,
-                          std::string_view aId,
-                          std::string_view aSlot,
-                          std::uint32_t aSends,
-                          std::chrono::microseconds aTimeLeft)
+RequestLog::OnRetried(TimePoint aNow,
+                      std::string_view aId,
+                      std::string_view aSlot,
+                      std::uint32_t aAttempts,
+                      std::chrono::microseconds aTimeLeft)
 {
   if (!m_budget.Take(aNow)) {
     return;
@@ -74,7 +74,7 @@
              "request_placed",
              { { "request", aId },
                { "slot", aSlot },
-               { "sends", std::uint64_t{ aSends } },
+               { "sends", std::uint64_t{ aAttempts } },
                { "left_us", aTimeLeft.count() } });
 }
 
@@ -103,9 +103,9 @@
 void
 RequestLog::OnRunLost(TimePoint aNow,
                       std::string_view aId,
-                      Fingerprint aContent,
+                      Fingerprint aFingerprint,
                       RefusalReason aReason,
-                      Duration aRan,
+                      Duration aRunTime,
                       const WorkerState& aState)
 {
   if (!m_budget.Take(aNow)) {
@@ -114,30 +114,30 @@
   m_log.Info(kComponent,
              "run_lost",
              { { "request", aId },
-               { "content", ToHex(aContent) },
+               { "content", ToHex(aFingerprint) },
                { "reason", NameOf(aReason) },
-               { "ran_us", Micros(aRan) },
+               { "ran_us", Micros(aRunTime) },
                { "instance", aState.m_instance },
                { "running", std::uint64_t{ aState.m_running } } });
 }
 
 void
-RequestLog::OnWorkerEnded(std::string_view aInstance,
-                          bool aIsLeaving,
-                          const WorkerEnd& aEnd)
+RequestLog::OnWorkerExit(std::string_view aInstance,
+                         bool aIsDraining,
+                         const WorkerEnd& aExit)
 {
-  std::string contents;
-  for (const Witness& each : aEnd.m_runs) {
-    contents += contents.empty() ? "" : " ";
-    contents += ToHex(each.m_content);
+  std::string fingerprints;
+  for (const Witness& each : aExit.m_runs) {
+    fingerprints += fingerprints.empty() ? "" : " ";
+    fingerprints += ToHex(each.m_content);
   }
   m_log.Warning("worker",
                 "worker_ended",
                 { { "instance", aInstance },
-                  { "leaving", aIsLeaving },
-                  { "number", aEnd.m_number },
-                  { "runs", std::uint64_t{ aEnd.m_runs.size() } },
-                  { "contents", contents } });
+                  { "leaving", aIsDraining },
+                  { "number", aExit.m_number },
+                  { "runs", std::uint64_t{ aExit.m_runs.size() } },
+                  { "contents", fingerprints } });
 }
 
 void
@@ -153,8 +153,8 @@
 void
 RequestLog::OnTick()
 {
-  if (const std::uint64_t left = m_budget.TakeLeftOut(); left > 0) {
-    m_log.Warning(kComponent, "lines_left_out", { { "count", left } });
+  if (const std::uint64_t omitted = m_budget.TakeLeftOut(); omitted > 0) {
+    m_log.Warning(kComponent, "lines_left_out", { { "count", omitted } });
   }
 }
 
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-constexpr auto kKeepAnswers = std::chrono::seconds{ 5 };
-/// A content that is kept apart from others close to being held comes back
-/// after the time in which such a run ends its worker or does not.
-constexpr auto kApartFor = std::chrono::milliseconds{ 100 };
+/// How long answers of non-idempotent calls are kept.
+constexpr auto kAnswerRetention = std::chrono::seconds{ 5 };
+/// Retry time of a request that may not run beside another suspect one; long
+/// enough for that run to crash the worker or succeed.
+constexpr auto kSuspectRetryAfter = std::chrono::milliseconds{ 100 };
 constexpr std::size_t kMaxKeptBytes = 2UL * 1024 * 1024;
-/// A request that may run only once goes on a connection that was used just
-/// now or on a new one: on one that the worker has forgotten it would be
-/// reset, with no way to tell whether it ran.
-constexpr auto kMaxIdleOnce = std::chrono::milliseconds{ 250 };
+/// Longest idle time of a connection before it is reused. A non-idempotent call
+/// needs a fresh one: if the worker has closed it, the reset does not show
+/// whether the call ran.
+constexpr auto kMaxIdleNonIdempotent = std::chrono::milliseconds{ 250 };
 constexpr auto kMaxIdle = std::chrono::seconds{ 5 };
-/// The worker ends a request at its deadline by itself; this much later its
-/// connection is dropped.
+/// The worker aborts a request at its deadline; its connection is closed this
+/// much later.
 constexpr auto kDeadlineGrace = std::chrono::milliseconds{ 20 };
 
 BackendClientSettings
@@ -62,8 +63,8 @@
 {
   const TimePoint now = Clock::now();
   if (aRequest.m_service != m_parts.m_settings.m_service) {
-    // Sent to the instance that had this address before: the worker here is
-    // another service's, and would run whatever it is given.
+    // Meant for the instance that used this address before; the local worker
+    // would run the request although it is for another service.
     Deliver(
       aKey,
       aRequest,
@@ -76,33 +77,34 @@
             Refuse(aKey.m_call, CallOutcome::NotRun, RefusalReason::NoWorker));
     return;
   }
-  if (aRequest.m_isRepeat && !m_parts.m_mayRepeat(now)) {
+  if (aRequest.m_isRepeat && !m_parts.m_mayRunRetry(now)) {
     const auto reason = RefusalReason::NoRepeats;
     m_parts.m_metrics.CountRun(NameOf(reason));
     Deliver(aKey, aRequest, Refuse(aKey.m_call, CallOutcome::NotRun, reason));
     return;
   }
   if (IsLinkTooBusy(now, aRequest)) {
-    RefuseForLink(now, aKey, aRequest);
+    RefuseForBusyLink(now, aKey, aRequest);
     return;
   }
-  m_tally.Arrived();
-  const Fingerprint content = ContentOf(m_parts.m_dialect, aRequest);
-  if (const auto bar = BarOf(now, content)) {
-    RefuseBarred(now, aKey, aRequest, content, *bar);
+  m_runCounter.Arrived();
+  const Fingerprint fingerprint = CallFingerprint(m_parts.m_dialect, aRequest);
+  if (const auto refusal = CheckRefusal(now, fingerprint)) {
+    RefuseRun(now, aKey, aRequest, fingerprint, *refusal);
     return;
   }
-  RunActions pushedOut;
+  RunActions evictions;
   const Admission admission =
-    m_runs.Admit(now, aKey, aEpoch, DemandOf(aRequest), pushedOut);
+    m_runs.Admit(now, aKey, aEpoch, DemandOf(aRequest), evictions);
   if (admission.m_kind == Admission::Kind::Refused) {
     if (admission.m_reason != RefusalReason::Busy) {
-      // The caller's daemon just asks another: no line for each.
+      // Busy is frequent and harmless: the caller's daemon selects another
+      // worker, so it is not logged.
       m_parts.m_requests.OnRunRefused(now,
-                                      IdOf(aRequest),
+                                      RequestIdOf(aRequest),
                                       admission.m_reason,
                                       aRequest.m_timeLeft,
-                                      StateNow(aRequest));
+                                      WorkerStateFor(aRequest));
     }
     m_parts.m_metrics.CountRun(NameOf(admission.m_reason));
     Deliver(aKey,
@@ -112,41 +114,42 @@
                    admission.m_reason,
                    admission.m_retryAfter));
   } else if (admission.m_kind != Admission::Kind::Repeated) {
-    Held held;
-    held.m_deadline = now + aRequest.m_timeLeft;
-    held.m_content = content;
-    held.m_request = std::move(aRequest);
-    m_held.emplace(aKey, std::move(held));
+    ActiveRun run;
+    run.m_deadline = now + aRequest.m_timeLeft;
+    run.m_fingerprint = fingerprint;
+    run.m_request = std::move(aRequest);
+    m_activeRuns.emplace(aKey, std::move(run));
   }
   if (admission.m_kind == Admission::Kind::Start) {
-    Run(aKey);
+    StartRun(aKey);
   }
-  Carry(pushedOut);
+  Execute(evictions);
 }
 
 void
-RunService::Run(CallKey aKey)
+RunService::StartRun(CallKey aKey)
 {
-  Held& held = m_held.at(aKey);
-  const CallRequest& call = held.m_request;
+  ActiveRun& run = m_activeRuns.at(aKey);
+  const CallRequest& call = run.m_request;
   const TimePoint now = Clock::now();
-  // While it waited here, others may have ended under such a request.
-  if (const auto bar = BarOf(now, held.m_content)) {
-    const CallRequest request = std::move(held.m_request);
-    const Fingerprint content = held.m_content;
-    m_held.erase(aKey);
-    RefuseBarred(now, aKey, request, content, *bar);
-    Carry(m_runs.Finish(now, aKey));
+  // The request may have become refusable while it was queued, such as by a
+  // quarantine of its fingerprint.
+  if (const auto refusal = CheckRefusal(now, run.m_fingerprint)) {
+    const CallRequest request = std::move(run.m_request);
+    const Fingerprint fingerprint = run.m_fingerprint;
+    m_activeRuns.erase(aKey);
+    RefuseRun(now, aKey, request, fingerprint, *refusal);
+    Execute(m_runs.Finish(now, aKey));
     return;
   }
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-    held.m_deadline - now);
-  held.m_started = now;
-  m_repeats.Note(now, call.m_isRepeat);
-  held.m_start = WallNanos();
-  held.m_parent =
+  const auto left =
+    std::chrono::duration_cast<std::chrono::milliseconds>(run.m_deadline - now);
+  run.m_startedAt = now;
+  m_retriedRuns.Note(now, call.m_isRepeat);
+  run.m_wallStart = WallNanos();
+  run.m_parent =
     ParseTraceparent(HeaderValue(call.m_headers, kTraceparentHeader));
-  held.m_span = NewSpan(held.m_parent, false, m_random);
+  run.m_span = NewSpan(run.m_parent, false, m_random);
   BackendRequest request;
   request.m_method = call.m_method;
   request.m_target = call.m_target;
@@ -154,88 +157,90 @@
     HeadersToWorker(m_parts.m_dialect,
                     call,
                     std::max(left, std::chrono::milliseconds{ 1 }),
-                    held.m_span,
-                    m_start.m_id);
+                    run.m_span,
+                    m_incarnation.m_id);
   request.m_body = call.m_body;
   request.m_echoHeader = m_parts.m_dialect.m_requestId;
   request.m_echo = HeaderValue(call.m_headers, m_parts.m_dialect.m_requestId);
-  request.m_deadline = held.m_deadline + kDeadlineGrace;
-  request.m_maxIdle = call.m_idempotent ? kMaxIdle : kMaxIdleOnce;
-  held.m_ticket =
+  request.m_deadline = run.m_deadline + kDeadlineGrace;
+  request.m_maxIdle = call.m_idempotent ? kMaxIdle : kMaxIdleNonIdempotent;
+  run.m_ticket =
     m_client.Send(std::move(request), [this, aKey](BackendResult aResult) {
-      Ended(aKey, std::move(aResult));
+      OnBackendResult(aKey, std::move(aResult));
     });
 }
 
-std::optional<RunService::Bar>
-RunService::BarOf(TimePoint aNow, Fingerprint aContent) const
+std::optional<RunService::Refusal>
+RunService::CheckRefusal(TimePoint aNow, Fingerprint aFingerprint) const
 {
   if (!m_parts.m_rollouts.MayRun(
         aNow, m_parts.m_settings.m_service, m_version)) {
-    return Bar{ RefusalReason::NotInService, {} };
+    return Refusal{ RefusalReason::NotInService, {} };
   }
   const Quarantine& quarantine = m_parts.m_quarantine;
-  if (const auto left = quarantine.HeldFor(aNow, aContent)) {
-    return Bar{ RefusalReason::Held, *left };
+  if (const auto left = quarantine.HeldFor(aNow, aFingerprint)) {
+    return Refusal{ RefusalReason::Held, *left };
   }
-  const bool besideSuspect =
-    quarantine.IsSuspect(aContent) &&
-    std::ranges::any_of(m_held, [&](const auto& aEach) {
-      const Held& held = aEach.second;
-      return held.m_ticket != 0 && quarantine.IsSuspect(held.m_content);
+  const bool runsBesideSuspect =
+    quarantine.IsSuspect(aFingerprint) &&
+    std::ranges::any_of(m_activeRuns, [&](const auto& aEach) {
+      const ActiveRun& run = aEach.second;
+      return run.m_ticket != 0 && quarantine.IsSuspect(run.m_fingerprint);
     });
-  if (besideSuspect) {
-    // For a moment: tried elsewhere, it would run side by side all the same.
-    return Bar{ RefusalReason::Held, kApartFor };
+  if (runsBesideSuspect) {
+    // Held makes the caller retry later instead of at another worker, where the
+    // request could run beside a suspect one as well.
+    return Refusal{ RefusalReason::Held, kSuspectRetryAfter };
   }
   return std::nullopt;
 }
 
 void
-RunService::RefuseBarred(TimePoint aNow,
-                         CallKey aKey,
-                         const CallRequest& aRequest,
-                         Fingerprint aContent,
-                         const Bar& aBar)
+RunService::RefuseRun(TimePoint aNow,
+                      CallKey aKey,
+                      const CallRequest& aRequest,
+                      Fingerprint aFingerprint,
+                      const Refusal& aRefusal)
 {
-  if (aBar.m_reason == RefusalReason::Held) {
-    m_parts.m_requests.OnHeld(
-      aNow, IdOf(aRequest), aContent, aBar.m_retryAfter);
+  if (aRefusal.m_reason == RefusalReason::Held) {
+    m_parts.m_requests.OnQuarantined(
+      aNow, RequestIdOf(aRequest), aFingerprint, aRefusal.m_retryAfter);
   }
   m_parts.m_requests.OnRunRefused(aNow,
-                                  IdOf(aRequest),
-                                  aBar.m_reason,
+                                  RequestIdOf(aRequest),
+                                  aRefusal.m_reason,
                                   aRequest.m_timeLeft,
-                                  StateNow(aRequest));
-  m_parts.m_metrics.CountRun(NameOf(aBar.m_reason));
-  Deliver(
-    aKey,
-    aRequest,
-    Refuse(aKey.m_call, CallOutcome::NotRun, aBar.m_reason, aBar.m_retryAfter));
+                                  WorkerStateFor(aRequest));
+  m_parts.m_metrics.CountRun(NameOf(aRefusal.m_reason));
+  Deliver(aKey,
+          aRequest,
+          Refuse(aKey.m_call,
+                 CallOutcome::NotRun,
+                 aRefusal.m_reason,
+                 aRefusal.m_retryAfter));
 }
 
 CallAnswer
 RunService::AnswerFrom(CallKey aKey, HttpResponse aResponse)
 {
-  constexpr std::uint16_t kMisdirected = 421;
+  constexpr std::uint16_t kMisdirectedRequest = 421;
   const auto& headers = aResponse.m_headers;
-  if (aResponse.m_status == kMisdirected) {
+  if (aResponse.m_status == kMisdirectedRequest) {
     return Refuse(
       aKey.m_call, CallOutcome::NotRun, RefusalReason::WorkerReplaced);
   }
-  const bool notExecuted =
+  const bool isMarkedNotExecuted =
     !m_parts.m_dialect.m_notExecuted.empty() &&
     !HeaderValue(headers, m_parts.m_dialect.m_notExecuted).empty();
-  if (notExecuted) {
+  if (isMarkedNotExecuted) {
     return Refuse(
       aKey.m_call, CallOutcome::NotRun, RefusalReason::WorkerRefused);
   }
-  // A success without the signature is not the worker's, whatever it looks
-  // like.
-  const bool lacksSeal = IsSuccess(aResponse.m_status) &&
-                         !m_parts.m_dialect.m_seal.empty() &&
-                         HeaderValue(headers, m_parts.m_dialect.m_seal).empty();
-  if (lacksSeal) {
+  // A success without the signature header was not sent by the worker.
+  const bool isUnsigned =
+    IsSuccess(aResponse.m_status) && !m_parts.m_dialect.m_seal.empty() &&
+    HeaderValue(headers, m_parts.m_dialect.m_seal).empty();
+  if (isUnsigned) {
     return Refuse(aKey.m_call, CallOutcome::Unknown, RefusalReason::AnswerLost);
   }
   CallAnswer answer;
@@ -270,64 +275,66 @@
 }
 
 void
-RunService::Ended(CallKey aKey, BackendResult aResult)
+RunService::OnBackendResult(CallKey aKey, BackendResult aResult)
 {
   const RunActions next = m_runs.Finish(Clock::now(), aKey);
-  if (m_held.contains(aKey)) {
+  if (m_activeRuns.contains(aKey)) {
     if (aResult.m_kind == BackendResult::Kind::Answered) {
-      m_ends.OnAlive();
+      m_crashDetector.OnAlive();
     }
     if (aResult.m_closed) {
-      // Told once it is known whether the worker has ended under it: its
-      // caller would try the next one first, and hear of the end then.
-      LookAfterLoss(aKey);
+      // Answered after the check, so that the caller's daemon learns of a crash
+      // before it retries at another worker.
+      CheckWorkerAfterLoss(aKey);
     } else {
-      Conclude(aKey, AnswerFrom(aKey, std::move(aResult)));
+      FinishRun(aKey, AnswerFrom(aKey, std::move(aResult)));
     }
   }
-  Carry(next);
+  Execute(next);
 }
 
 void
-RunService::Conclude(CallKey aKey, CallAnswer aAnswer)
+RunService::FinishRun(CallKey aKey, CallAnswer aAnswer)
 {
-  const auto found = m_held.find(aKey);
-  const Held held = std::move(found->second);
-  m_held.erase(found);
+  const auto found = m_activeRuns.find(aKey);
+  const ActiveRun run = std::move(found->second);
+  m_activeRuns.erase(found);
   m_parts.m_metrics.CountRun(NameOf(aAnswer.m_outcome));
-  TraceEnd(held, aAnswer);
-  Tally(held, aAnswer);
+  RecordSpan(run, aAnswer);
+  CountResult(run, aAnswer);
   if (aAnswer.m_outcome != CallOutcome::Answered) {
     const TimePoint now = Clock::now();
     m_parts.m_requests.OnRunLost(now,
-                                 IdOf(held.m_request),
-                                 held.m_content,
+                                 RequestIdOf(run.m_request),
+                                 run.m_fingerprint,
                                  aAnswer.m_reason,
-                                 now - held.m_started,
-                                 StateNow(held.m_request));
+                                 now - run.m_startedAt,
+                                 WorkerStateFor(run.m_request));
   } else if (aAnswer.m_response.m_status < kFirstServerError) {
-    // The worker came through the run; a failure may have ended it sooner.
-    m_parts.m_onRanWell(held.m_content);
+    // Server errors do not count: the run may have stopped before the point of
+    // a crash.
+    m_parts.m_onSuccess(run.m_fingerprint);
   }
   if (aAnswer.m_outcome == CallOutcome::Answered) {
-    m_answerSizes.Note(held.m_request.m_kind, aAnswer.m_response.m_body.size());
+    m_answerSizes.Note(run.m_request.m_kind, aAnswer.m_response.m_body.size());
   }
-  if (!held.m_request.m_idempotent) {
-    Keep(aKey, aAnswer);
+  if (!run.m_request.m_idempotent) {
+    KeepAnswer(aKey, aAnswer);
   }
-  Deliver(aKey, held.m_request, std::move(aAnswer));
+  Deliver(aKey, run.m_request, std::move(aAnswer));
 }
 
 void
-RunService::Keep(CallKey aKey, const CallAnswer& aAnswer)
+RunService::KeepAnswer(CallKey aKey, const CallAnswer& aAnswer)
 {
   const TimePoint now = Clock::now();
-  m_kept.push_back({ aKey, aAnswer, now });
+  m_keptAnswers.push_back({ aKey, aAnswer, now });
   m_keptBytes += aAnswer.m_response.m_body.size();
-  while (!m_kept.empty() && (now - m_kept.front().m_since > kKeepAnswers ||
-                             m_keptBytes > kMaxKeptBytes)) {
-    m_keptBytes -= m_kept.front().m_answer.m_response.m_body.size();
-    m_kept.pop_front();
+  while (!m_keptAnswers.empty() &&
+         (now - m_keptAnswers.front().m_finishedAt > kAnswerRetention ||
+          m_keptBytes > kMaxKeptBytes)) {
+    m_keptBytes -= m_keptAnswers.front().m_answer.m_response.m_body.size();
+    m_keptAnswers.pop_front();
   }
 }
 
@@ -345,28 +352,28 @@
     duration_cast<microseconds>(m_runs.ServiceTime(Clock::now(), kind));
   aAnswer.m_wait = duration_cast<microseconds>(
     m_runs.WaitOf(Clock::now(), aRequest.m_priority, kind));
-  m_parts.m_answer(aKey, std::move(aAnswer));
+  m_parts.m_deliver(aKey, std::move(aAnswer));
 }
 
 void
-RunService::Carry(const RunActions& aActions)
+RunService::Execute(const RunActions& aActions)
 {
   for (const RefusedRun& each : aActions.m_refused) {
     m_parts.m_metrics.CountRun(NameOf(each.m_reason));
-    const auto held = m_held.find(each.m_key);
-    if (held == m_held.end()) {
+    const auto run = m_activeRuns.find(each.m_key);
+    if (run == m_activeRuns.end()) {
       continue;
     }
-    const CallRequest request = std::move(held->second.m_request);
+    const CallRequest request = std::move(run->second.m_request);
     const TimePoint now = Clock::now();
     m_parts.m_requests.OnRunRefused(
       now,
-      IdOf(request),
+      RequestIdOf(request),
       each.m_reason,
       std::chrono::duration_cast<std::chrono::microseconds>(
-        held->second.m_deadline - now),
-      StateNow(request));
-    m_held.erase(held);
+        run->second.m_deadline - now),
+      WorkerStateFor(request));
+    m_activeRuns.erase(run);
     Deliver(each.m_key,
             request,
             Refuse(each.m_key.m_call,
@@ -375,9 +382,9 @@
                    each.m_retryAfter));
   }
   for (const CallKey& each : aActions.m_start) {
-    Run(each);
+    StartRun(each);
   }
-  Arm();
+  ArmTimer();
 }
 
 CancelResult
@@ -385,26 +392,26 @@
 {
   const CancelResult result = m_runs.Cancel(Clock::now(), aKey);
   if (result == CancelResult::NotStarted) {
-    m_held.erase(aKey);
+    m_activeRuns.erase(aKey);
     return result;
   }
   if (result == CancelResult::Running && aAbandon) {
-    const auto held = m_held.find(aKey);
-    // One that may run only once is left to end: breaking it off would leave
-    // the caller's next question without an answer.
-    if (held != m_held.end() && held->second.m_request.m_idempotent) {
+    const auto run = m_activeRuns.find(aKey);
+    // A non-idempotent run continues: if it were aborted, a later cancellation
+    // could not return its answer.
+    if (run != m_activeRuns.end() && run->second.m_request.m_idempotent) {
       m_parts.m_requests.OnRunCancelled(
-        Clock::now(), IdOf(held->second.m_request), true);
-      // Closing the connection tells the worker that nobody waits.
-      m_client.Abandon(held->second.m_ticket);
-      m_held.erase(held);
-      Carry(m_runs.Finish(Clock::now(), aKey));
+        Clock::now(), RequestIdOf(run->second.m_request), true);
+      // Closes the connection, which cancels the request at the worker.
+      m_client.Abandon(run->second.m_ticket);
+      m_activeRuns.erase(run);
+      Execute(m_runs.Finish(Clock::now(), aKey));
     }
   }
   if (result == CancelResult::Finished && !aAbandon) {
-    for (const Kept& each : m_kept) {
+    for (const KeptAnswer& each : m_keptAnswers) {
       if (each.m_key == aKey) {
-        m_parts.m_answer(aKey, each.m_answer);
+        m_parts.m_deliver(aKey, each.m_answer);
         return CancelResult::Running;
       }
     }
@@ -421,19 +428,19 @@
 void
 RunService::StartLeaving()
 {
-  Carry(m_runs.StartLeaving(Clock::now()));
+  Execute(m_runs.StartLeaving(Clock::now()));
 }
 
 std::string_view
-RunService::IdOf(const CallRequest& aRequest) const
+RunService::RequestIdOf(const CallRequest& aRequest) const
 {
   return HeaderValue(aRequest.m_headers, m_parts.m_dialect.m_requestId);
 }
 
 RequestLog::WorkerState
-RunService::StateNow(const CallRequest& aRequest) const
+RunService::WorkerStateFor(const CallRequest& aRequest) const
 {
-  return { .m_instance = m_start.m_id,
+  return { .m_instance = m_incarnation.m_id,
            .m_running = m_runs.Running(),
            .m_queued = m_runs.Queued(),
            .m_slots = m_hasWorker ? m_runs.Slots() : 0,
@@ -443,19 +450,19 @@
 }
 
 void
-RunService::TraceEnd(const Held& aHeld, const CallAnswer& aAnswer)
+RunService::RecordSpan(const ActiveRun& aRun, const CallAnswer& aAnswer)
 {
-  if (!aHeld.m_span.m_sampled) {
+  if (!aRun.m_span.m_sampled) {
     return;
   }
   Span span;
-  span.m_context = aHeld.m_span;
-  span.m_parent = aHeld.m_parent ? aHeld.m_parent->m_span : 0;
+  span.m_context = aRun.m_span;
+  span.m_parent = aRun.m_parent ? aRun.m_parent->m_span : 0;
   span.m_kind = Span::Kind::Client;
-  span.m_name = aHeld.m_request.m_method;
+  span.m_name = aRun.m_request.m_method;
   span.m_service = m_parts.m_settings.m_service;
   span.m_slot = m_parts.m_settings.m_slot;
-  span.m_start = aHeld.m_start;
+  span.m_start = aRun.m_wallStart;
   span.m_end = WallNanos();
   span.m_outcome = std::string{ NameOf(aAnswer.m_outcome) };
   span.m_status = aAnswer.m_response.m_status;
@@ -466,25 +473,25 @@
 RunService::OnTick(TimePoint aNow)
 {
   if (m_runs.Queued() > 0) {
-    Carry(m_runs.OnTick(aNow));
+    Execute(m_runs.OnTick(aNow));
   }
 }
 
 void
-RunService::Arm()
+RunService::ArmTimer()
 {
   const auto next = m_runs.NextExpiry();
-  if (!next || (m_armed && *m_armed <= *next)) {
+  if (!next || (m_timerExpiry && *m_timerExpiry <= *next)) {
     return;
   }
-  m_armed = next;
+  m_timerExpiry = next;
   m_timer.expires_at(*next);
   m_timer.async_wait([this](const asio::error_code& aError) {
     if (aError) {
       return;
     }
-    m_armed.reset();
-    Carry(m_runs.OnTick(Clock::now()));
+    m_timerExpiry.reset();
+    Execute(m_runs.OnTick(Clock::now()));
   });
 }
 
--- a/src/daemon/run_service_link.cpp
+++ b/src/daemon/run_service_link.cpp
@@ -1,15 +1,15 @@
 #include "greengagehub/daemon/run_service.hpp"
 
-// Large answers and the link of this machine.
+// Admission of runs with large answers to the network link of this machine.
 
 namespace greengagehub {
 
 Duration
-RunService::TimeOnLink(TimePoint aNow, CallKind aKind) const
+RunService::AnswerSendTime(TimePoint aNow, CallKind aKind) const
 {
   std::size_t bytes = m_answerSizes.Of(aKind);
-  for (const auto& [key, held] : m_held) {
-    bytes += m_answerSizes.Of(held.m_request.m_kind);
+  for (const auto& [key, run] : m_activeRuns) {
+    bytes += m_answerSizes.Of(run.m_request.m_kind);
   }
   return m_parts.m_pacer->Backlog(aNow) + m_parts.m_pacer->TimeOf(bytes);
 }
@@ -21,22 +21,25 @@
       m_answerSizes.Of(aRequest.m_kind) <= LinkPacer::kPart) {
     return false;
   }
-  const bool isInTime = aRequest.m_targetLeft.count() > 0;
-  return TimeOnLink(aNow, aRequest.m_kind) >
-         (isInTime ? aRequest.m_targetLeft : aRequest.m_timeLeft);
+  const bool isBeforeTarget = aRequest.m_targetLeft.count() > 0;
+  return AnswerSendTime(aNow, aRequest.m_kind) >
+         (isBeforeTarget ? aRequest.m_targetLeft : aRequest.m_timeLeft);
 }
 
 void
-RunService::RefuseForLink(TimePoint aNow,
-                          CallKey aKey,
-                          const CallRequest& aRequest)
+RunService::RefuseForBusyLink(TimePoint aNow,
+                              CallKey aKey,
+                              const CallRequest& aRequest)
 {
   const auto reason = RefusalReason::Overloaded;
-  // Half of what is before it now: by then there is room again for some.
+  // By then half of the data before the answer has been sent.
   const auto retryAfter = std::chrono::ceil<std::chrono::milliseconds>(
-    TimeOnLink(aNow, aRequest.m_kind) / 2);
-  m_parts.m_requests.OnRunRefused(
-    aNow, IdOf(aRequest), reason, aRequest.m_timeLeft, StateNow(aRequest));
+    AnswerSendTime(aNow, aRequest.m_kind) / 2);
+  m_parts.m_requests.OnRunRefused(aNow,
+                                  RequestIdOf(aRequest),
+                                  reason,
+                                  aRequest.m_timeLeft,
+                                  WorkerStateFor(aRequest));
   m_parts.m_metrics.CountRun(NameOf(reason));
   Deliver(aKey,
           aRequest,
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -4,22 +4,21 @@
 
 #include <fmt/format.h>
 
-// The backend server's process: its starts and its ends.
+// Incarnations and crashes of the backend server's process.
 
 namespace greengagehub {
 
 namespace {
 
-/// Calls that wait here for each slot of the worker.
+/// Limit of queued calls per slot of the worker.
 constexpr std::uint32_t kQueuePerSlot = 4;
-/// A worker that does not tell its id within this will report by itself.
 constexpr auto kProbeTimeout = std::chrono::milliseconds{ 1000 };
-/// A worker that has started again cannot answer what its former start was
-/// given, but for answers that are on their way within this machine.
-constexpr auto kFormerAnswers = std::chrono::milliseconds{ 100 };
-/// A connection within one instance is taken or refused at once; one that is
-/// neither after this says nothing of the worker.
-constexpr auto kLookTime = std::chrono::milliseconds{ 20 };
+/// Time for answers of the previous incarnation that are still in transit on
+/// this machine.
+constexpr auto kPreviousAnswerGrace = std::chrono::milliseconds{ 100 };
+/// Within an instance a connection is accepted or refused at once; a timeout
+/// leaves the state of the worker undecided.
+constexpr auto kListenCheckTimeout = std::chrono::milliseconds{ 20 };
 
 asio::ip::tcp::endpoint
 WorkerAddress(const Settings& aSettings)
@@ -31,62 +30,63 @@
 }
 
 void
-RunService::LookAfterLoss(CallKey aKey)
+RunService::CheckWorkerAfterLoss(CallKey aKey)
 {
-  const Held& held = m_held.at(aKey);
-  m_doubted.push_back(aKey);
-  const Witness lost{ held.m_content,
-                      Clock::now() - held.m_started,
+  const ActiveRun& run = m_activeRuns.at(aKey);
+  m_lostRuns.push_back(aKey);
+  const Witness lost{ run.m_fingerprint,
+                      Clock::now() - run.m_startedAt,
                       std::nullopt };
-  if (!m_ends.OnLost(lost)) {
+  if (!m_crashDetector.OnLost(lost)) {
     return;
   }
   CheckListening(
     m_parts.m_loop,
     WorkerAddress(m_parts.m_settings),
-    kLookTime,
-    [this](Listening aShown) { OnLooked(aShown == Listening::No); });
+    kListenCheckTimeout,
+    [this](Listening aResult) { OnListenCheck(aResult == Listening::No); });
 }
 
 void
-RunService::OnLooked(bool aNobodyListens)
+RunService::OnListenCheck(bool aIsPortClosed)
 {
-  auto end = m_ends.OnLooked(aNobodyListens);
+  auto end = m_crashDetector.OnLooked(aIsPortClosed);
   if (end) {
-    m_parts.m_requests.OnWorkerEnded(m_start.m_id, m_runs.IsLeaving(), *end);
+    m_parts.m_requests.OnWorkerExit(
+      m_incarnation.m_id, m_runs.IsLeaving(), *end);
     m_parts.m_metrics.CountWorkerEnd();
   }
-  // One that leaves ends by itself.
-  const bool counts = end && !m_runs.IsLeaving();
-  if (counts) {
+  // A draining worker exits on its own.
+  const bool isCrash = end && !m_runs.IsLeaving();
+  if (isCrash) {
     const std::string name = fmt::format(
       "{}/{}/{}", m_parts.m_settings.m_slot, m_parts.m_seed, end->m_number);
-    m_parts.m_onEnd({ .m_id = ShortHashOf(name),
-                      .m_slot = m_parts.m_settings.m_slot,
-                      .m_service = m_parts.m_settings.m_service,
-                      .m_ran = std::move(end->m_runs) });
+    m_parts.m_onCrash({ .m_id = ShortHashOf(name),
+                        .m_slot = m_parts.m_settings.m_slot,
+                        .m_service = m_parts.m_settings.m_service,
+                        .m_ran = std::move(end->m_runs) });
   }
-  for (const CallKey& each : std::exchange(m_doubted, {})) {
-    ConcludeLost(each, counts);
+  for (const CallKey& each : std::exchange(m_lostRuns, {})) {
+    FinishLostRun(each, isCrash);
   }
 }
 
 void
-RunService::ConcludeLost(CallKey aKey, bool aWorkerEnded)
+RunService::FinishLostRun(CallKey aKey, bool aWorkerCrashed)
 {
-  const auto held = m_held.find(aKey);
-  if (held == m_held.end()) {
+  const auto run = m_activeRuns.find(aKey);
+  if (run == m_activeRuns.end()) {
     return;
   }
   CallAnswer answer = Refuse(aKey.m_call,
                              CallOutcome::Unknown,
-                             aWorkerEnded ? RefusalReason::WorkerEnded
-                                          : RefusalReason::AnswerLost);
+                             aWorkerCrashed ? RefusalReason::WorkerEnded
+                                            : RefusalReason::AnswerLost);
   answer.m_reachedWorker = true;
-  if (aWorkerEnded) {
-    answer.m_ends = m_parts.m_quarantine.EndsUnder(held->second.m_content);
+  if (aWorkerCrashed) {
+    answer.m_ends = m_parts.m_quarantine.EndsUnder(run->second.m_fingerprint);
   }
-  Conclude(aKey, std::move(answer));
+  FinishRun(aKey, std::move(answer));
 }
 
 void
@@ -100,12 +100,12 @@
   m_client.Send(std::move(request),
                 [this, done = std::move(aDone)](const BackendResult& aResult) {
                   const HttpResponse& response = aResult.m_response;
-                  const bool well =
+                  const bool isHealthy =
                     aResult.m_kind == BackendResult::Kind::Answered &&
                     IsSuccess(response.m_status);
                   const std::string_view id = HeaderValue(
                     response.m_headers, m_parts.m_dialect.m_instance);
-                  if (well && !id.empty()) {
+                  if (isHealthy && !id.empty()) {
                     done(std::string{ id });
                   }
                 });
@@ -121,9 +121,9 @@
     }
     return;
   }
-  TakeStart(worker->m_start, aPresence.FormerHeardAt());
+  OnIncarnation(worker->m_start, aPresence.FormerHeardAt());
   m_version = worker->m_version;
-  m_coldUntil = Clock::now() + worker->m_coldLeft;
+  m_warmUpEnd = Clock::now() + worker->m_coldLeft;
   m_hasWorker = true;
   m_runs.Reopen();
   m_runs.SetLimits(worker->m_slots, kQueuePerSlot * worker->m_slots);
@@ -138,13 +138,13 @@
   counts.m_service = m_parts.m_settings.m_service;
   counts.m_version = m_hasWorker ? m_version : std::string{};
   counts.m_atWork = m_runs.Load();
-  counts.m_arrived = m_tally.CountArrived();
-  counts.m_routes = m_tally.Routes();
+  counts.m_arrived = m_runCounter.CountArrived();
+  counts.m_routes = m_runCounter.Routes();
   return counts;
 }
 
 void
-RunService::Tally(const Held& aHeld, const CallAnswer& aAnswer)
+RunService::CountResult(const ActiveRun& aRun, const CallAnswer& aAnswer)
 {
   constexpr std::uint16_t kGatewayTimeout = 504;
   RunTally::Result result = RunTally::Result::Good;
@@ -161,23 +161,25 @@
     result = RunTally::Result::Failed;
   }
   const TimePoint now = Clock::now();
-  m_tally.Ended(aHeld.m_request.m_kind.m_route,
-                result,
-                now - aHeld.m_started,
-                now < m_coldUntil);
+  m_runCounter.Ended(aRun.m_request.m_kind.m_route,
+                     result,
+                     now - aRun.m_startedAt,
+                     now < m_warmUpEnd);
 }
 
 void
-RunService::TakeStart(const WorkerStart& aStart, TimePoint aFormerHeardAt)
+RunService::OnIncarnation(const WorkerStart& aIncarnation,
+                          TimePoint aPreviousLastReport)
 {
-  if (!MayBeSame(m_start, aStart)) {
+  if (!MayBeSame(m_incarnation, aIncarnation)) {
     m_client.CloseIdle();
-    // A crash that closed no connection leaves its requests without an answer
-    // up to their deadlines, in slots that the new start has free.
-    m_client.LimitBusy(aFormerHeardAt, Clock::now() + kFormerAnswers);
+    // If a crash closed no connection, its requests would occupy slots of the
+    // new incarnation until their deadlines.
+    m_client.LimitBusy(aPreviousLastReport,
+                       Clock::now() + kPreviousAnswerGrace);
     m_runs.OnWorkerRestarted();
   }
-  m_start = aStart;
+  m_incarnation = aIncarnation;
 }
 
 }
--- a/src/daemon/start_buffer.cpp
+++ b/src/daemon/start_buffer.cpp
@@ -6,50 +6,52 @@
 
 bool
 StartBuffer::Add(TimePoint aNow,
-                 TimePoint aCame,
+                 TimePoint aReceivedAt,
                  HttpRequest& aRequest,
                  HttpResponder& aResponder)
 {
   const std::size_t bytes = m_bytes + aRequest.m_body.size();
-  const bool holds = aNow - m_started < kStartTime &&
-                     aNow - aCame < kHoldTime && m_held.size() < kMaxHeld &&
-                     bytes <= kMaxBytes;
-  if (!holds) {
+  const bool isAccepted = aNow - m_startedAt < kMaxStartTime &&
+                          aNow - aReceivedAt < kMaxHoldTime &&
+                          m_entries.size() < kMaxRequests && bytes <= kMaxBytes;
+  if (!isAccepted) {
     return false;
   }
   m_bytes = bytes;
-  m_held.push_back({ std::move(aRequest), std::move(aResponder), aCame });
+  m_entries.push_back(
+    { std::move(aRequest), std::move(aResponder), aReceivedAt });
   return true;
 }
 
 void
 StartBuffer::Drop(std::uint64_t aConnection)
 {
-  m_held.remove_if([&](const Held& aHeld) {
-    const bool gone = aHeld.m_request.m_connection == aConnection;
-    m_bytes -= gone ? aHeld.m_request.m_body.size() : 0;
-    return gone;
+  m_entries.remove_if([&](const Entry& aEntry) {
+    const bool isDropped = aEntry.m_request.m_connection == aConnection;
+    m_bytes -= isDropped ? aEntry.m_request.m_body.size() : 0;
+    return isDropped;
   });
 }
 
-std::vector<StartBuffer::Held>
+std::vector<StartBuffer::Entry>
 StartBuffer::TakeAll()
 {
-  std::vector<Held> taken{ std::make_move_iterator(m_held.begin()),
-                           std::make_move_iterator(m_held.end()) };
-  m_held.clear();
+  std::vector<Entry> taken{ std::make_move_iterator(m_entries.begin()),
+                            std::make_move_iterator(m_entries.end()) };
+  m_entries.clear();
   m_bytes = 0;
   return taken;
 }
 
-std::vector<StartBuffer::Held>
+std::vector<StartBuffer::Entry>
 StartBuffer::TakeExpired(TimePoint aNow)
 {
-  std::vector<Held> expired;
-  while (!m_held.empty() && aNow - m_held.front().m_came >= kHoldTime) {
-    m_bytes -= m_held.front().m_request.m_body.size();
-    expired.push_back(std::move(m_held.front()));
-    m_held.pop_front();
+  std::vector<Entry> expired;
+  while (!m_entries.empty() &&
+         aNow - m_entries.front().m_receivedAt >= kMaxHoldTime) {
+    m_bytes -= m_entries.front().m_request.m_body.size();
+    expired.push_back(std::move(m_entries.front()));
+    m_entries.pop_front();
   }
   return expired;
 }
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -10,30 +10,30 @@
 
 namespace {
 
-/// Without a coordinator for so long, the first daemon of the fleet becomes it.
-constexpr std::chrono::milliseconds kSilentForFirst{ 600 };
-/// The same for a speaker of a domain, and for any other daemon; the first may
-/// be turned away by the store.
-constexpr std::chrono::milliseconds kSilentForSpeaker{ 800 };
-constexpr std::chrono::milliseconds kSilentForAny{ 6000 };
-/// Between two looks at whether this daemon is the first, which pass over all
-/// members.
-constexpr std::chrono::milliseconds kRankEvery{ 500 };
-/// A daemon whose proof is older than one part in so many of the bound reads
-/// the store itself.
-constexpr int kStalePart = 3;
-constexpr std::chrono::milliseconds kReadEvery{ 1000 };
-/// Proofs are accepted for this much less than the bound: what a request takes
-/// from its caller to here.
-constexpr std::chrono::milliseconds kBoundMargin{ 200 };
-/// A caller refused for want of a proof may come back after this.
-constexpr std::chrono::milliseconds kNotCurrentRetry{ 1000 };
+/// Time without a coordinator after which the highest-ranked daemon claims the
+/// role.
+constexpr std::chrono::milliseconds kHighestRankedSilence{ 600 };
+/// The same for the relay of a domain and for any other daemon, in case the
+/// store rejects the highest-ranked one.
+constexpr std::chrono::milliseconds kRelaySilence{ 800 };
+constexpr std::chrono::milliseconds kMemberSilence{ 6000 };
+/// Interval of the rank check, which iterates over all members.
+constexpr std::chrono::milliseconds kRankCheckInterval{ 500 };
+/// A daemon checks the store itself once its proof is older than the bound
+/// divided by this.
+constexpr int kStaleDivisor = 3;
+constexpr std::chrono::milliseconds kStoreCheckInterval{ 1000 };
+/// Subtracted from the bound: the time that a request takes from its caller to
+/// this daemon.
+constexpr std::chrono::milliseconds kProofMargin{ 200 };
+/// Retry time of requests refused because keys are not current.
+constexpr std::chrono::milliseconds kStaleKeysRetryAfter{ 1000 };
 
 std::chrono::milliseconds
 ProofBound(const Settings& aSettings)
 {
   const auto bound = aSettings.m_workspaces.m_revokeWithin;
-  return bound > 2 * kBoundMargin ? bound - kBoundMargin : bound;
+  return bound > 2 * kProofMargin ? bound - kProofMargin : bound;
 }
 
 }
@@ -47,9 +47,9 @@
   , m_client(m_parts.m_settings.m_workspaces.m_quota, m_random())
   , m_coordinator(m_parts.m_settings.m_workspaces.m_quota)
   , m_role(m_parts.m_settings.m_slot, aProcess, BootNow(), m_random())
-  , m_timeout(m_parts.m_loop)
-  , m_coordinatorHeardAt(BootNow())
-  , m_patience(Below(m_random, kSilentForSpeaker.count()))
+  , m_queryTimeout(m_parts.m_loop)
+  , m_lastCoordinatorReport(BootNow())
+  , m_claimDelay(Below(m_random, kRelaySilence.count()))
 {
 }
 
@@ -76,7 +76,7 @@
 WorkspaceService::KnownConfig() const
 {
   const StoreConfig read = m_parts.m_storeConfig();
-  return m_reported.m_version > read.m_version ? m_reported : read;
+  return m_reportedConfig.m_version > read.m_version ? m_reportedConfig : read;
 }
 
 // ---------------------------------------------------------------------------
@@ -88,7 +88,7 @@
   const TimePoint now = BootNow();
   if (!m_freshness.IsFresh(now)) {
     return { .m_refusal = RefusalReason::KeysNotCurrent,
-             .m_retryAfter = kNotCurrentRetry };
+             .m_retryAfter = kStaleKeysRetryAfter };
   }
   const WorkspaceRow* workspace =
     aKey.empty() ? nullptr : m_table.FindByKey(aKey);
@@ -104,7 +104,7 @@
     case QuotaDecision::Kind::Admitted:
       break;
     case QuotaDecision::Kind::Waiting:
-      Query();
+      SendNextQuery();
       return { .m_waits = true, .m_workspace = workspace };
     case QuotaDecision::Kind::OverQuota:
       return { .m_refusal = RefusalReason::OverQuota,
@@ -127,27 +127,27 @@
 }
 
 void
-WorkspaceService::OnConfirmed(TimePoint aAsked, const StoreConfig& aConfig)
+WorkspaceService::OnConfirmed(TimePoint aReadSentAt, const StoreConfig& aConfig)
 {
-  m_freshness.OnProof({ aAsked, aConfig.m_version });
+  m_freshness.OnProof({ aReadSentAt, aConfig.m_version });
 }
 
 // ---------------------------------------------------------------------------
-// Questions and reports
+// Quota queries and reports
 
 std::optional<MemberPeer>
-WorkspaceService::WhomToAsk()
+WorkspaceService::SelectQueryPeer()
 {
   Membership& members = m_parts.m_members();
-  const bool asksKnown =
+  const bool usesKnownCoordinator =
     !m_client.IsCoordinatorSilent(BootNow()) || Below(m_random, 2) == 0;
-  if (!m_coordinatorSlot.empty() && asksKnown) {
+  if (!m_coordinatorSlot.empty() && usesKnownCoordinator) {
     const auto index = members.Members().Find(m_coordinatorSlot);
     if (index) {
       return members.PeerOf(members.Members().At(*index).m_record);
     }
   }
-  // Anybody may know who it is.
+  // Every daemon reports the coordinator that it knows.
   if (auto first = members.FirstOfAll(); first && Below(m_random, 2) == 0) {
     return first;
   }
@@ -156,7 +156,7 @@
 }
 
 void
-WorkspaceService::Query()
+WorkspaceService::SendNextQuery()
 {
   const TimePoint now = BootNow();
   auto query = m_client.NextQuery(now);
@@ -164,27 +164,28 @@
     return;
   }
   if (m_role.IsLeading(now)) {
-    const QuotaReport report = Answer(m_parts.m_settings.m_slot, *query);
-    // Not from within the request that asks.
+    const QuotaReport report = AnswerQuery(m_parts.m_settings.m_slot, *query);
+    // Posted, because the report may call back into the admission under way.
     asio::post(m_parts.m_loop,
                [this, report] { OnReport(m_parts.m_settings.m_slot, report); });
     return;
   }
-  ArmTimeout();
-  if (const auto peer = WhomToAsk()) {
+  ArmQueryTimeout();
+  if (const auto peer = SelectQueryPeer()) {
     SendQuery(*peer, std::move(*query));
   }
 }
 
 void
-WorkspaceService::ArmTimeout()
+WorkspaceService::ArmQueryTimeout()
 {
-  m_timeout.expires_after(QuotaClient::kAnswerTime);
-  m_timeout.async_wait([this](const asio::error_code& aError) {
-    if (!aError && m_onDecided) {
-      // An answer is late: what waits is asked for again, or decided without.
-      m_onDecided();
-      Query();
+  m_queryTimeout.expires_after(QuotaClient::kAnswerTime);
+  m_queryTimeout.async_wait([this](const asio::error_code& aError) {
+    if (!aError && m_retryHandler) {
+      // The answer is late: waiting requests are decided without it, or queried
+      // again.
+      m_retryHandler();
+      SendNextQuery();
     }
   });
 }
@@ -199,7 +200,7 @@
 }
 
 QuotaReport
-WorkspaceService::Answer(std::string_view aSlot, const QuotaQuery& aQuery)
+WorkspaceService::AnswerQuery(std::string_view aSlot, const QuotaQuery& aQuery)
 {
   const TimePoint now = BootNow();
   QuotaReport report{ .m_sequence = aQuery.m_sequence,
@@ -231,7 +232,7 @@
     GossipMessage answer;
     answer.m_kind = GossipMessage::Kind::Quota;
     answer.m_quotaReport =
-      Answer(aMessage.m_sender.m_slot, *aMessage.m_quotaQuery);
+      AnswerQuery(aMessage.m_sender.m_slot, *aMessage.m_quotaQuery);
     m_parts.m_send(
       { m_parts.m_members().PeerOf(aMessage.m_sender), std::move(answer) });
   }
@@ -248,34 +249,34 @@
   if (!aReport.m_coordinator.empty()) {
     m_coordinatorSlot = aReport.m_coordinator;
   } else if (aFrom == m_coordinatorSlot) {
-    // It has resigned, was deposed or is not confirmed any more.
+    // The sender has resigned, was replaced or is no longer confirmed.
     m_coordinatorSlot.clear();
-    m_coordinatorHeardAt = now - kSilentForSpeaker;
+    m_lastCoordinatorReport = now - kRelaySilence;
     m_role.OnStoodDown(aReport.m_term);
   }
   if (isFromCoordinator) {
-    m_coordinatorHeardAt = now;
+    m_lastCoordinatorReport = now;
     m_role.OnTerm(aReport.m_term);
   }
   if (aReport.m_isGranting && aReport.m_sequence == 0) {
     m_client.OnGranting();
-    Query();
+    SendNextQuery();
     return;
   }
-  const auto asked = m_client.OnReport(now, aReport);
-  if (!asked) {
+  const auto askedAt = m_client.OnReport(now, aReport);
+  if (!askedAt) {
     return;
   }
-  m_timeout.cancel();
+  m_queryTimeout.cancel();
   if (aReport.m_proofAge) {
     m_freshness.OnProof(
-      { *asked - *aReport.m_proofAge, aReport.m_config.m_version });
-    m_reported = aReport.m_config;
+      { *askedAt - *aReport.m_proofAge, aReport.m_config.m_version });
+    m_reportedConfig = aReport.m_config;
   }
-  if (m_onDecided) {
-    m_onDecided();
+  if (m_retryHandler) {
+    m_retryHandler();
   }
-  Query();
+  SendNextQuery();
 }
 
 // ---------------------------------------------------------------------------
@@ -286,12 +287,12 @@
 {
   const TimePoint now = BootNow();
   if (m_table.IsEmpty() || !m_parts.m_settings.m_platform.m_enabled) {
-    m_coordinatorHeardAt = now;
+    m_lastCoordinatorReport = now;
     return;
   }
-  FollowRole(now);
-  ReadWhenStale(now);
-  Query();
+  AdvanceRole(now);
+  CheckStoreIfStale(now);
+  SendNextQuery();
 }
 
 bool
@@ -301,30 +302,30 @@
     return false;
   }
   const Membership& members = m_parts.m_members();
-  if (aNow >= m_nextRank) {
-    m_nextRank = aNow + kRankEvery;
-    m_isFirst = members.IsFirstOfAll();
+  if (aNow >= m_nextRankCheck) {
+    m_nextRankCheck = aNow + kRankCheckInterval;
+    m_isHighestRanked = members.IsFirstOfAll();
   }
-  const auto silent = aNow - m_coordinatorHeardAt;
-  return m_isFirst ||
+  const auto silence = aNow - m_lastCoordinatorReport;
+  return m_isHighestRanked ||
          (members.SpeaksForDomain() &&
-          silent >= kSilentForSpeaker + m_patience) ||
-         silent >= kSilentForAny + m_patience;
+          silence >= kRelaySilence + m_claimDelay) ||
+         silence >= kMemberSilence + m_claimDelay;
 }
 
 void
-WorkspaceService::FollowRole(TimePoint aNow)
+WorkspaceService::AdvanceRole(TimePoint aNow)
 {
-  const bool isSilent = aNow - m_coordinatorHeardAt >= kSilentForFirst;
+  const bool isSilent = aNow - m_lastCoordinatorReport >= kHighestRankedSilence;
   switch (m_role.OnTick(aNow, IsCandidate(aNow), isSilent)) {
     case CoordinatorRole::Step::Read:
-      ReadKey();
+      ReadCoordinatorKey();
       break;
     case CoordinatorRole::Step::Claim:
-      Claim();
+      ClaimCoordinatorKey();
       break;
     case CoordinatorRole::Step::Confirm:
-      SendCheck(true);
+      SendStoreCheck(true);
       break;
     case CoordinatorRole::Step::None:
     case CoordinatorRole::Step::Release:
@@ -333,12 +334,12 @@
   if (m_role.TakeStarted(aNow)) {
     m_parts.m_log.Info("workspaces", "coordinator_started");
     m_coordinator.Start(aNow);
-    Announce(m_parts.m_settings.m_slot);
+    AnnounceCoordinator(m_parts.m_settings.m_slot);
   }
 }
 
 void
-WorkspaceService::Announce(const std::string& aCoordinator)
+WorkspaceService::AnnounceCoordinator(const std::string& aCoordinator)
 {
   m_coordinatorSlot = aCoordinator;
   GossipMessage message;
@@ -354,15 +355,16 @@
 }
 
 void
-WorkspaceService::ReadWhenStale(TimePoint aNow)
+WorkspaceService::CheckStoreIfStale(TimePoint aNow)
 {
   const auto provenAt = m_freshness.ProvenAt();
   const auto bound = m_parts.m_settings.m_workspaces.m_revokeWithin;
-  const bool isStale = !provenAt || aNow - *provenAt > bound / kStalePart;
-  const bool reads = m_freshness.IsEnforced() && isStale && aNow >= m_nextRead;
-  if (reads) {
-    m_nextRead = aNow + Jittered(m_random, kReadEvery);
-    SendCheck(false);
+  const bool isStale = !provenAt || aNow - *provenAt > bound / kStaleDivisor;
+  const bool isCheckDue =
+    m_freshness.IsEnforced() && isStale && aNow >= m_nextStoreCheck;
+  if (isCheckDue) {
+    m_nextStoreCheck = aNow + Jittered(m_random, kStoreCheckInterval);
+    SendStoreCheck(false);
   }
 }
 
@@ -370,9 +372,9 @@
 // The store
 
 void
-WorkspaceService::SendCheck(bool aIsConfirm)
+WorkspaceService::SendStoreCheck(bool aIsConfirm)
 {
-  const Check check{ BootNow(), KnownConfig(), aIsConfirm };
+  const StoreCheck check{ BootNow(), KnownConfig(), aIsConfirm };
   StoreRequest request =
     MakeCheck(std::string{ platform::kConfigKey }, check.m_config.m_revision);
   if (aIsConfirm) {
@@ -380,12 +382,12 @@
     request.m_alsoExpected = m_role.Expected();
   }
   m_parts.m_store.Carry(std::move(request), [this, check](StoreReply aReply) {
-    OnChecked(check, std::move(aReply));
+    OnStoreCheck(check, std::move(aReply));
   });
 }
 
 void
-WorkspaceService::OnChecked(const Check& aCheck, StoreReply aReply)
+WorkspaceService::OnStoreCheck(const StoreCheck& aCheck, StoreReply aReply)
 {
   using Status = StoreReply::Status;
   const TimePoint now = BootNow();
@@ -394,50 +396,50 @@
   const bool configDiffers =
     isConflict && aReply.m_revision != aCheck.m_config.m_revision;
   if (isOk) {
-    m_freshness.OnProof({ aCheck.m_sent, aCheck.m_config.m_version });
+    m_freshness.OnProof({ aCheck.m_sentAt, aCheck.m_config.m_version });
   }
   if (aCheck.m_isConfirm && m_role.HoldsKey()) {
     if (isOk) {
-      m_role.OnConfirmed(now, aCheck.m_sent, true);
-      m_coordinatorHeardAt = now;
+      m_role.OnConfirmed(now, aCheck.m_sentAt, true);
+      m_lastCoordinatorReport = now;
     } else if (isConflict && !configDiffers) {
       m_parts.m_log.Info("workspaces", "coordinator_deposed");
-      m_role.OnConfirmed(now, aCheck.m_sent, false);
+      m_role.OnConfirmed(now, aCheck.m_sentAt, false);
     } else {
       m_role.OnFailed(now);
     }
     if (m_role.StandDownIfFailing(now)) {
       m_parts.m_log.Warning("workspaces", "coordinator_stood_down");
-      Announce({});
+      AnnounceCoordinator({});
     }
   }
   if (configDiffers && !aReply.m_value.empty()) {
     m_parts.m_onDocument(std::move(aReply));
     const StoreConfig read = m_parts.m_storeConfig();
-    m_freshness.OnProof({ aCheck.m_sent, read.m_version });
+    m_freshness.OnProof({ aCheck.m_sentAt, read.m_version });
   }
 }
 
 void
-WorkspaceService::ReadKey()
+WorkspaceService::ReadCoordinatorKey()
 {
   m_parts.m_store.Carry(MakeGet(std::string{ kCoordinatorKey }),
                         [this](const StoreReply& aReply) {
                           m_role.OnRead(BootNow(), aReply);
-                          FollowRole(BootNow());
+                          AdvanceRole(BootNow());
                         });
 }
 
 void
-WorkspaceService::Claim()
+WorkspaceService::ClaimCoordinatorKey()
 {
   m_parts.m_store.Carry(
     MakePut(std::string{ kCoordinatorKey }, m_role.Value(), m_role.Expected()),
-    [this, sent = BootNow()](const StoreReply& aReply) {
-      m_role.OnClaimed(BootNow(), sent, aReply);
+    [this, sentAt = BootNow()](const StoreReply& aReply) {
+      m_role.OnClaimed(BootNow(), sentAt, aReply);
       if (m_role.HoldsKey()) {
         m_parts.m_log.Info("workspaces", "coordinator_claimed");
-        Announce(m_parts.m_settings.m_slot);
+        AnnounceCoordinator(m_parts.m_settings.m_slot);
       }
     });
 }
@@ -445,7 +447,7 @@
 void
 WorkspaceService::OnStoreRestored()
 {
-  m_reported = {};
+  m_reportedConfig = {};
   m_role.OnStoreRestored(BootNow());
 }
 
@@ -455,7 +457,7 @@
   if (m_role.Resign() == CoordinatorRole::Step::Release) {
     m_parts.m_store.Carry(
       MakePut(std::string{ kCoordinatorKey }, {}, m_role.Expected()),
-      [this](const StoreReply&) { Announce({}); });
+      [this](const StoreReply&) { AnnounceCoordinator({}); });
   }
 }
 
--- a/tests/daemon/leaving.cpp
+++ b/tests/daemon/leaving.cpp
@@ -5,18 +5,16 @@
 using namespace greengagehub;
 using namespace std::chrono_literals;
 
-TEST_CASE("a request that a leaving daemon could not end is not taken")
+TEST_CASE("a draining daemon stops accepting requests it could not finish")
 {
-  // Callers went on to come to a daemon 3.3 s after it was told to leave, as
-  // most of its domain left with it. It took an export, which waited for 1.7 s
-  // at a full worker elsewhere, and gave it up when its grace time ended, while
-  // the worker ran it.
+  // Guards against calls that are abandoned when the grace time ends while a
+  // worker still runs them.
   CHECK_FALSE(StepOfLeaving(3300ms).m_takesCallers);
-  // The platform needs two misses, a second apart, to notice.
+  // The platform redirects callers after two failed probes, a second apart.
   CHECK(StepOfLeaving(2500ms).m_takesCallers);
 }
 
-TEST_CASE("a leaving daemon's worker is left in time for its calls to end")
+TEST_CASE("a draining daemon stops starting runs early enough to finish them")
 {
   CHECK(StepOfLeaving(1400ms).m_servesWorker);
   CHECK_FALSE(StepOfLeaving(1500ms).m_servesWorker);
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -18,36 +18,39 @@
                                 .m_seal = "Seal",
                                 .m_tracesHops = false };
 
-/// A daemon's side beside a worker whose answers the test gives.
-class WorkerSide
+/// A run service beside an HTTP server that plays the worker.
+class RunServiceFixture
 {
 public:
-  explicit WorkerSide(HttpServer::Handler aWorker, std::uint32_t aSlots = 20)
+  explicit RunServiceFixture(HttpServer::Handler aWorker,
+                             std::uint32_t aSlots = 20)
     : m_worker(std::make_unique<HttpServer>(m_loop,
                                             HttpServerSettings{},
                                             std::move(aWorker)))
-    , m_service(
-        { .m_loop = m_loop,
-          .m_settings = MakeSettings(aSlots),
-          .m_dialect = kDialect,
-          .m_metrics = m_metrics,
-          .m_requests = m_requests,
-          .m_quarantine = m_quarantine,
-          .m_rollouts = m_rollouts,
-          .m_seed = 1,
-          .m_answer =
-            [this](CallKey, CallAnswer aAnswer) {
-              m_answers.push_back(std::move(aAnswer));
-            },
-          .m_trace = [](const Span&) {},
-          .m_onEnd =
-            [this](EndReport aReport) { m_ends.push_back(std::move(aReport)); },
-          .m_onRanWell = [](Fingerprint) {},
-          .m_mayRepeat = [](TimePoint) { return true; } })
+    , m_service({ .m_loop = m_loop,
+                  .m_settings = MakeSettings(aSlots),
+                  .m_dialect = kDialect,
+                  .m_metrics = m_metrics,
+                  .m_requests = m_requests,
+                  .m_quarantine = m_quarantine,
+                  .m_rollouts = m_rollouts,
+                  .m_seed = 1,
+                  .m_deliver =
+                    [this](CallKey, CallAnswer aAnswer) {
+                      m_answers.push_back(std::move(aAnswer));
+                    },
+                  .m_trace = [](const Span&) {},
+                  .m_onCrash =
+                    [this](EndReport aReport) {
+                      m_crashReports.push_back(std::move(aReport));
+                    },
+                  .m_onSuccess = [](Fingerprint) {},
+                  .m_mayRunRetry = [](TimePoint) { return true; } })
   {
   }
 
-  CallAnswer Ask(CallRequest aRequest)
+  /// Sends a request and waits for its answer.
+  CallAnswer Call(CallRequest aRequest)
   {
     const std::size_t before = m_answers.size();
     m_service.OnRequest({ 1, ++m_lastCall }, 0, std::move(aRequest));
@@ -58,8 +61,8 @@
     return m_answers.back();
   }
 
-  /// Sends several, and waits for as many answers.
-  std::vector<CallAnswer> AskAll(std::vector<CallRequest> aRequests)
+  /// Sends requests and waits for all answers.
+  std::vector<CallAnswer> CallAll(std::vector<CallRequest> aRequests)
   {
     const std::size_t before = m_answers.size();
     const std::size_t count = aRequests.size();
@@ -74,37 +77,40 @@
              m_answers.end() };
   }
 
-  /// Sends one without waiting for its answer.
+  /// Sends a request without waiting for its answer.
   void Send(CallRequest aRequest)
   {
     m_service.OnRequest({ 1, ++m_lastCall }, 0, std::move(aRequest));
   }
 
-  void Leave() { m_service.StartLeaving(); }
-  /// The content has ended three workers elsewhere.
-  void Hold(Fingerprint aContent)
+  void DrainWorker() { m_service.StartLeaving(); }
+  /// Reports the fingerprint as quarantined by another daemon.
+  void QuarantineRequests(Fingerprint aFingerprint)
   {
     ContentVerdict verdict;
-    verdict.m_content = aContent;
+    verdict.m_content = aFingerprint;
     verdict.m_generation = 1;
     verdict.m_isHeld = true;
     static_cast<void>(m_quarantine.OnNews(Clock::now(), { {}, { verdict } }));
   }
 
-  /// The worker's process ends: its connections close, nobody listens.
-  void EndWorker()
+  /// Simulates a crash of the worker: closes its connections and its port.
+  void StopWorker()
   {
     asio::post(m_loop, [this] { m_worker.reset(); });
   }
-  Quarantine& Held() { return m_quarantine; }
-  [[nodiscard]] const std::vector<EndReport>& Ends() const { return m_ends; }
+  Quarantine& GetQuarantine() { return m_quarantine; }
+  [[nodiscard]] const std::vector<EndReport>& CrashReports() const
+  {
+    return m_crashReports;
+  }
 
-  static Fingerprint ContentOfRelease()
+  static Fingerprint ReleaseFingerprint()
   {
-    return ContentOf(kDialect, Release());
+    return CallFingerprint(kDialect, ReleaseRequest());
   }
 
-  static CallRequest Release()
+  static CallRequest ReleaseRequest()
   {
     CallRequest request;
     request.m_service = "locker-app";
@@ -133,7 +139,7 @@
   std::vector<CallAnswer> m_answers;
   Quarantine m_quarantine;
   RolloutTable m_rollouts;
-  std::vector<EndReport> m_ends;
+  std::vector<EndReport> m_crashReports;
   std::uint64_t m_lastCall{ 0 };
   RunService m_service;
 };
@@ -142,165 +148,171 @@
 
 TEST_CASE("a request for another service does not reach the worker")
 {
-  // The caller's daemon has old news: the instance that had this address
-  // before ran another service. Whatever is handed to the worker here is run.
-  int seen = 0;
-  WorkerSide side{ [&](const HttpRequest&, HttpResponder aResponder) {
-    ++seen;
+  // Guards against runs at the wrong service when the caller's daemon has an
+  // outdated member table.
+  int seenRequests = 0;
+  RunServiceFixture fixture{ [&](const HttpRequest&, HttpResponder aResponder) {
+    ++seenRequests;
     aResponder.Answer({ 200, { { "Seal", "s" }, { "Id", "r1" } } });
   } };
-  CallRequest request = WorkerSide::Release();
+  CallRequest request = RunServiceFixture::ReleaseRequest();
   request.m_service = "ledger";
-  const CallAnswer answer = side.Ask(std::move(request));
+  const CallAnswer answer = fixture.Call(std::move(request));
   CHECK(answer.m_outcome == CallOutcome::NotRun);
   CHECK(answer.m_reason == RefusalReason::WorkerReplaced);
   CHECK_FALSE(answer.m_reachedWorker);
-  CHECK(seen == 0);
+  CHECK(seenRequests == 0);
 }
 
-TEST_CASE("what a worker's answer says of the run")
+TEST_CASE("a worker's response determines the outcome of the run")
 {
-  HttpResponse given;
-  WorkerSide side{ [&](const HttpRequest&, HttpResponder aResponder) {
-    aResponder.Answer(given);
+  HttpResponse workerResponse;
+  RunServiceFixture fixture{ [&](const HttpRequest&, HttpResponder aResponder) {
+    aResponder.Answer(workerResponse);
   } };
-  SUBCASE("a signed success is the answer")
+  SUBCASE("a signed success is returned as the answer")
   {
-    given = { 200, { { "Seal", "s" }, { "Id", "r1" } }, "body" };
-    const CallAnswer answer = side.Ask(WorkerSide::Release());
+    workerResponse = { 200, { { "Seal", "s" }, { "Id", "r1" } }, "body" };
+    const CallAnswer answer = fixture.Call(RunServiceFixture::ReleaseRequest());
     CHECK(answer.m_outcome == CallOutcome::Answered);
     CHECK(answer.m_response.m_body == "body");
   }
-  SUBCASE("an unsigned success may have run, and is no answer")
+  SUBCASE("an unsigned success leaves the outcome unknown")
   {
-    given = { 200, { { "Id", "r1" } }, "body" };
-    const CallAnswer answer = side.Ask(WorkerSide::Release());
+    workerResponse = { 200, { { "Id", "r1" } }, "body" };
+    const CallAnswer answer = fixture.Call(RunServiceFixture::ReleaseRequest());
     CHECK(answer.m_outcome == CallOutcome::Unknown);
   }
-  SUBCASE("a marked refusal did not run, though it reached the worker")
+  SUBCASE("a refusal marked as not executed counts as not run")
   {
-    given = { 503, { { "Not-Executed", "1" }, { "Id", "r1" } } };
-    const CallAnswer answer = side.Ask(WorkerSide::Release());
+    workerResponse = { 503, { { "Not-Executed", "1" }, { "Id", "r1" } } };
+    const CallAnswer answer = fixture.Call(RunServiceFixture::ReleaseRequest());
     CHECK(answer.m_outcome == CallOutcome::NotRun);
     CHECK(answer.m_reachedWorker);
   }
-  SUBCASE("a refusal without the mark is the worker's own failure")
+  SUBCASE("a refusal without the mark is returned as the answer")
   {
-    given = { 503, { { "Id", "r1" } } };
-    const CallAnswer answer = side.Ask(WorkerSide::Release());
+    workerResponse = { 503, { { "Id", "r1" } } };
+    const CallAnswer answer = fixture.Call(RunServiceFixture::ReleaseRequest());
     CHECK(answer.m_outcome == CallOutcome::Answered);
     CHECK(answer.m_response.m_status == 503);
   }
 }
 
-TEST_CASE("an end of the worker is told with all that ran there")
+TEST_CASE("a crash of the worker is reported with all its runs")
 {
-  // Two requests run as the process ends; a third waits for a slot.
-  WorkerSide* side = nullptr;
-  std::vector<HttpResponder> kept;
-  WorkerSide worker{ [&](const HttpRequest&, HttpResponder aResponder) {
-    kept.push_back(std::move(aResponder));
-    if (kept.size() == 2) {
-      side->EndWorker();
+  // Guards against a crash report that lacks one of several concurrent runs.
+  RunServiceFixture* fixturePtr = nullptr;
+  std::vector<HttpResponder> responders;
+  RunServiceFixture fixture{ [&](const HttpRequest&, HttpResponder aResponder) {
+    responders.push_back(std::move(aResponder));
+    if (responders.size() == 2) {
+      fixturePtr->StopWorker();
     }
   } };
-  side = &worker;
-  CallRequest other = WorkerSide::Release();
+  fixturePtr = &fixture;
+  CallRequest other = RunServiceFixture::ReleaseRequest();
   other.m_target = "/release/2";
-  const auto answers = worker.AskAll({ WorkerSide::Release(), other });
+  const auto answers =
+    fixture.CallAll({ RunServiceFixture::ReleaseRequest(), other });
   for (const CallAnswer& each : answers) {
     CHECK(each.m_outcome == CallOutcome::Unknown);
     CHECK(each.m_reason == RefusalReason::WorkerEnded);
     CHECK(each.m_reachedWorker);
   }
-  REQUIRE(worker.Ends().size() == 1);
-  REQUIRE(worker.Ends()[0].m_ran.size() == 2);
-  CHECK(worker.Ends()[0].m_ran[0].m_content == WorkerSide::ContentOfRelease());
-  CHECK(worker.Ends()[0].m_ran[1].m_content == ContentOf(kDialect, other));
+  REQUIRE(fixture.CrashReports().size() == 1);
+  REQUIRE(fixture.CrashReports()[0].m_ran.size() == 2);
+  CHECK(fixture.CrashReports()[0].m_ran[0].m_content ==
+        RunServiceFixture::ReleaseFingerprint());
+  CHECK(fixture.CrashReports()[0].m_ran[1].m_content ==
+        CallFingerprint(kDialect, other));
 }
 
-TEST_CASE("a connection that a living worker closes is not taken for an end")
+TEST_CASE("a connection closed by a running worker is not a crash")
 {
-  // A reset of its connections, a limit on them, or an answer broken off.
-  WorkerSide worker{ [](const HttpRequest&, HttpResponder aResponder) {
-    // Without a length and closed at once: cut off.
+  // Guards against crash reports for resets, connection limits and truncated
+  // answers.
+  RunServiceFixture fixture{ [](const HttpRequest&, HttpResponder aResponder) {
+    // Has no length and closes the connection, so it is truncated.
     aResponder.Answer({ 101, {} }, true);
   } };
-  const CallAnswer answer = worker.Ask(WorkerSide::Release());
+  const CallAnswer answer = fixture.Call(RunServiceFixture::ReleaseRequest());
   CHECK(answer.m_outcome == CallOutcome::Unknown);
   CHECK(answer.m_reason == RefusalReason::AnswerLost);
-  CHECK(worker.Ends().empty());
+  CHECK(fixture.CrashReports().empty());
 }
 
-TEST_CASE("an end of a worker that said that it leaves is nobody's fault")
+TEST_CASE("the exit of a draining worker is not a crash")
 {
-  WorkerSide* side = nullptr;
-  std::vector<HttpResponder> kept;
-  WorkerSide worker{ [&](const HttpRequest&, HttpResponder aResponder) {
-    kept.push_back(std::move(aResponder));
-    side->Leave();
-    side->EndWorker();
+  RunServiceFixture* fixturePtr = nullptr;
+  std::vector<HttpResponder> responders;
+  RunServiceFixture fixture{ [&](const HttpRequest&, HttpResponder aResponder) {
+    responders.push_back(std::move(aResponder));
+    fixturePtr->DrainWorker();
+    fixturePtr->StopWorker();
   } };
-  side = &worker;
-  const CallAnswer answer = worker.Ask(WorkerSide::Release());
+  fixturePtr = &fixture;
+  const CallAnswer answer = fixture.Call(RunServiceFixture::ReleaseRequest());
   CHECK(answer.m_reason == RefusalReason::AnswerLost);
-  CHECK(worker.Ends().empty());
+  CHECK(fixture.CrashReports().empty());
 }
 
-TEST_CASE(
-  "a request that is held does not reach the worker, nor from the queue")
+TEST_CASE("a quarantined request does not reach the worker, even if queued")
 {
-  // One slot. A request waits behind another as the news comes that such
-  // requests have ended three workers.
-  std::vector<std::string> seen;
-  WorkerSide* side = nullptr;
-  WorkerSide worker{
+  // Guards against running a request that is quarantined while it is queued for
+  // the only slot.
+  std::vector<std::string> seenRequests;
+  RunServiceFixture* fixturePtr = nullptr;
+  RunServiceFixture fixture{
     [&](const HttpRequest& aRequest, HttpResponder aResponder) {
-      seen.push_back(aRequest.m_target);
-      side->Hold(WorkerSide::ContentOfRelease());
+      seenRequests.push_back(aRequest.m_target);
+      fixturePtr->QuarantineRequests(RunServiceFixture::ReleaseFingerprint());
       aResponder.Answer({ 200, { { "Seal", "s" }, { "Id", "r1" } } });
     },
     1
   };
-  side = &worker;
-  CallRequest first = WorkerSide::Release();
+  fixturePtr = &fixture;
+  CallRequest first = RunServiceFixture::ReleaseRequest();
   first.m_target = "/other";
-  const auto answers = worker.AskAll({ first, WorkerSide::Release() });
-  CHECK(seen == std::vector<std::string>{ "/other" });
+  const auto answers =
+    fixture.CallAll({ first, RunServiceFixture::ReleaseRequest() });
+  CHECK(seenRequests == std::vector<std::string>{ "/other" });
   CHECK(answers[1].m_outcome == CallOutcome::NotRun);
   CHECK(answers[1].m_reason == RefusalReason::Held);
-  const CallAnswer next = worker.Ask(WorkerSide::Release());
+  const CallAnswer next = fixture.Call(RunServiceFixture::ReleaseRequest());
   CHECK(next.m_reason == RefusalReason::Held);
   CHECK(next.m_retryAfter > 9min);
-  CHECK(seen.size() == 1);
+  CHECK(seenRequests.size() == 1);
 }
 
-TEST_CASE("contents close to being held do not run side by side")
+TEST_CASE("requests close to quarantine do not run concurrently")
 {
-  // Both have run at the same two ends. Side by side again, the third would
-  // have both held; apart, it shows which of them did it. A copy waits too: it
-  // would end the next worker with what it learns nothing from.
-  WorkerSide* side = nullptr;
-  std::vector<HttpResponder> kept;
-  WorkerSide worker{ [&](const HttpRequest&, HttpResponder aResponder) {
-    kept.push_back(std::move(aResponder));
+  // Guards against a third crash under two suspect fingerprints, which would
+  // quarantine both although one caused it.
+  RunServiceFixture* fixturePtr = nullptr;
+  std::vector<HttpResponder> responders;
+  RunServiceFixture fixture{ [&](const HttpRequest&, HttpResponder aResponder) {
+    responders.push_back(std::move(aResponder));
   } };
-  side = &worker;
-  CallRequest other = WorkerSide::Release();
+  fixturePtr = &fixture;
+  CallRequest other = RunServiceFixture::ReleaseRequest();
   other.m_target = "/release/2";
   for (std::uint64_t i = 1; i <= 2; ++i) {
     EndReport end{ i, "lockers-9", "locker-app", {}, {} };
-    for (const CallRequest& each : { WorkerSide::Release(), other }) {
-      end.m_ran.push_back({ ContentOf(kDialect, each), 5ms, std::nullopt });
+    for (const CallRequest& each :
+         { RunServiceFixture::ReleaseRequest(), other }) {
+      end.m_ran.push_back(
+        { CallFingerprint(kDialect, each), 5ms, std::nullopt });
     }
-    static_cast<void>(side->Held().OnNews(
+    static_cast<void>(fixturePtr->GetQuarantine().OnNews(
       Clock::now() - 10s + std::chrono::seconds{ i }, { { end }, {} }));
   }
-  worker.Send(WorkerSide::Release());
-  const CallAnswer answer = worker.Ask(other);
+  fixture.Send(RunServiceFixture::ReleaseRequest());
+  const CallAnswer answer = fixture.Call(other);
   CHECK(answer.m_outcome == CallOutcome::NotRun);
-  // Not to be tried at another worker.
+  // Held prevents a retry at another worker.
   CHECK(answer.m_reason == RefusalReason::Held);
   CHECK(answer.m_retryAfter == 100ms);
-  CHECK(worker.Ask(WorkerSide::Release()).m_reason == RefusalReason::Held);
+  CHECK(fixture.Call(RunServiceFixture::ReleaseRequest()).m_reason ==
+        RefusalReason::Held);
 }
--- a/tests/daemon/start_buffer.cpp
+++ b/tests/daemon/start_buffer.cpp
@@ -24,10 +24,10 @@
 
 }
 
-TEST_CASE("what comes while a daemon starts is served when it is ready")
+TEST_CASE("requests that arrive during the start are served when ready")
 {
-  // A daemon restarts in 0.4 s. A tenant who asks in that time was told to come
-  // back after a second, and stood at the door for it.
+  // Guards against refusals, and a retry a second later, for a restart that
+  // takes less than half a second.
   StartBuffer buffer{ kStart };
   CHECK(Add(buffer, kStart, 1));
   CHECK(Add(buffer, kStart + 100ms, 2));
@@ -38,10 +38,11 @@
   CHECK(buffer.Count() == 0);
 }
 
-TEST_CASE("nobody waits long for a start that takes too long")
+TEST_CASE("a slow start refuses requests after a bounded time")
 {
-  // The store is away. Whoever came is told after a second at the latest, and
-  // whoever comes 1.5 s after the start at once.
+  // Guards against callers that wait for an unavailable store: buffered
+  // requests expire after kMaxHoldTime, and none is buffered after
+  // kMaxStartTime.
   StartBuffer buffer{ kStart };
   CHECK(Add(buffer, kStart, 1));
   CHECK(Add(buffer, kStart + 500ms, 2));
@@ -51,26 +52,26 @@
   CHECK_FALSE(Add(buffer, kStart + 1500ms, 3));
 }
 
-TEST_CASE("a request that is held twice is held no longer for it")
+TEST_CASE("buffering a request again does not extend its hold time")
 {
-  // Ready, but no worker of its service is known yet: it goes back, and its
-  // time counts from when it came.
+  // A request is buffered again if the daemon is ready but knows no worker of
+  // its service yet.
   StartBuffer buffer{ kStart };
   REQUIRE(Add(buffer, kStart, 1));
   auto held = buffer.TakeAll();
   REQUIRE(held.size() == 1);
-  StartBuffer::Held& first = held.front();
+  StartBuffer::Entry& first = held.front();
   CHECK(buffer.Add(
-    kStart + 500ms, first.m_came, first.m_request, first.m_responder));
+    kStart + 500ms, first.m_receivedAt, first.m_request, first.m_responder));
   CHECK(buffer.TakeExpired(kStart + 1s).size() == 1);
-  CHECK_FALSE(
-    buffer.Add(kStart + 1s, first.m_came, first.m_request, first.m_responder));
+  CHECK_FALSE(buffer.Add(
+    kStart + 1s, first.m_receivedAt, first.m_request, first.m_responder));
 }
 
-TEST_CASE("what is held is bounded, and goes with its caller")
+TEST_CASE("the buffer is bounded and drops requests of closed connections")
 {
   StartBuffer buffer{ kStart };
-  for (std::uint64_t i = 0; i < StartBuffer::kMaxHeld; ++i) {
+  for (std::uint64_t i = 0; i < StartBuffer::kMaxRequests; ++i) {
     CHECK(Add(buffer, kStart, i));
   }
   CHECK_FALSE(Add(buffer, kStart, 1000));
