--- a/include/greengagehub/daemon/leaving.hpp
+++ b/include/greengagehub/daemon/leaving.hpp
@@ -13,12 +13,8 @@
   bool m_takesCallers{ true };
 };
 
-/// \brief Returns the phase of a drain.
-///
-/// The phases balance two costs: work that a draining daemon declines is load
-/// for the other daemons, and work that it accepts too late is lost when its
-/// process ends.
-///
+/// \brief Returns the phase of a drain: work declined early is load for other
+/// daemons, work accepted late is lost when the process exits.
 /// \param aSince time since the drain started.
 [[nodiscard]] LeavingStep
 StepOfLeaving(Duration aSince) noexcept;
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -242,15 +242,15 @@
 CallGateway::ReleaseFiltered()
 {
   const TimePoint now = Clock::now();
-  ResumeFilter::Held held = m_resumeFilter.TakeAll();
-  for (ResumeFilter::FromLink& each : held.m_links) {
-    const auto heldFor =
+  ResumeFilter::Held delayed = m_resumeFilter.TakeAll();
+  for (ResumeFilter::FromLink& each : delayed.m_links) {
+    const auto delay =
       std::chrono::duration_cast<std::chrono::microseconds>(now - each.m_read);
-    each.m_request.m_timeLeft -= heldFor;
-    each.m_request.m_targetLeft -= heldFor;
+    each.m_request.m_timeLeft -= delay;
+    each.m_request.m_targetLeft -= delay;
     m_service.OnRequest(each.m_key, each.m_epoch, std::move(each.m_request));
   }
-  for (ResumeFilter::FromCaller& each : held.m_callers) {
+  for (ResumeFilter::FromCaller& each : delayed.m_callers) {
     Serve(each.m_came, std::move(each.m_request), std::move(each.m_responder));
   }
 }
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -132,8 +132,7 @@
   ActiveRun& run = m_activeRuns.at(aKey);
   const CallRequest& call = run.m_request;
   const TimePoint now = Clock::now();
-  // The request may have become refusable while it was queued, such as by a
-  // quarantine of its fingerprint.
+  // The check at admission is outdated after a wait in the queue.
   if (const auto refusal = CheckRefusal(now, run.m_fingerprint)) {
     const CallRequest request = std::move(run.m_request);
     const Fingerprint fingerprint = run.m_fingerprint;
--- a/tests/daemon/start_buffer.cpp
+++ b/tests/daemon/start_buffer.cpp
@@ -32,9 +32,9 @@
   CHECK(Add(buffer, kStart, 1));
   CHECK(Add(buffer, kStart + 100ms, 2));
   CHECK(buffer.TakeExpired(kStart + 400ms).empty());
-  const auto held = buffer.TakeAll();
-  REQUIRE(held.size() == 2);
-  CHECK(held[0].m_request.m_connection == 1);
+  const auto buffered = buffer.TakeAll();
+  REQUIRE(buffered.size() == 2);
+  CHECK(buffered[0].m_request.m_connection == 1);
   CHECK(buffer.Count() == 0);
 }
 
@@ -58,9 +58,9 @@
   // its service yet.
   StartBuffer buffer{ kStart };
   REQUIRE(Add(buffer, kStart, 1));
-  auto held = buffer.TakeAll();
-  REQUIRE(held.size() == 1);
-  StartBuffer::Entry& first = held.front();
+  auto buffered = buffer.TakeAll();
+  REQUIRE(buffered.size() == 1);
+  StartBuffer::Entry& first = buffered.front();
   CHECK(buffer.Add(
     kStart + 500ms, first.m_receivedAt, first.m_request, first.m_responder));
   CHECK(buffer.TakeExpired(kStart + 1s).size() == 1);
