--- a/include/greengagehub/daemon/config_feed.hpp
+++ b/include/greengagehub/daemon/config_feed.hpp
@@ -15,50 +15,49 @@
 
 namespace greengagehub {
 
-/// \brief Follows the one key of the store in which operators keep the whole
-/// configuration: reads it, waits for its next change, and brings each newer
-/// version into force.
+/// \brief Keeps this daemon's configuration up to date with the store key that
+/// holds the operators' whole configuration document.
 ///
-/// A daemon on a slow link reads the compressed copy instead, and asks the
-/// store whether the original is still what it was made from. One daemon of the
-/// fleet keeps the copy.
+/// Reads the key, waits for its next change, and brings each newer version into
+/// force. On a slow link it reads the compressed copy instead and checks with
+/// the store that the copy is current. One daemon of the fleet maintains the
+/// copy.
 template<Store StoreType>
 class ConfigFeed
 {
 public:
-  /// Documents below this take no longer than the two calls of a copy: at
-  /// 5 Mbit/s 13 KiB are 20 ms.
-  static constexpr std::size_t kWorthACopy = 16UL * 1024;
+  /// Smallest document that is copied; below it, reading the original is as
+  /// fast as reading the copy and checking it.
+  static constexpr std::size_t kMinCopiedBytes = 16UL * 1024;
 
   struct Handlers
   {
     /// A newer version is in force.
     std::function<void(Version aBefore)> m_onAdvanced;
-    /// The key was read, not from a copy that may be old.
+    /// The newest version was read, or a copy of it was confirmed.
     std::function<void(Version aHead)> m_onHead;
-    /// A read that was sent at the first moment shows this configuration, and
-    /// none that was newer then.
-    std::function<void(TimePoint aAsked, const StoreConfig&)> m_onConfirmed{};
-    /// Other keys beside it have changed.
-    std::function<void(const std::vector<StoreItem>&)> m_onBeside{};
-    /// Changes of those may have been missed.
-    std::function<void()> m_onMissed{};
+    /// A linearizable read sent at `aRequestedAt` returned this configuration;
+    /// no newer one was acknowledged before that time.
+    std::function<void(TimePoint aRequestedAt, const StoreConfig&)>
+      m_onConfirmed{};
+    /// Other keys with the watched prefix have changed.
+    std::function<void(const std::vector<StoreItem>&)> m_onPrefixChanged{};
+    /// Changes of those keys may have been missed.
+    std::function<void()> m_onChangesMissed{};
   };
 
   struct Times
   {
-    /// How long one watch waits.
+    /// Longest wait of one watch.
     std::chrono::milliseconds m_watch;
-    /// Between a change and the next watch: changes that follow one another
-    /// closely cost one call for all of them, and come into force well within
-    /// the time that a configuration may take.
-    std::chrono::milliseconds m_settle;
+    /// Pause between a change and the next watch, so that one call to the store
+    /// covers a burst of changes.
+    std::chrono::milliseconds m_coalesceDelay;
     std::chrono::milliseconds m_firstBackoff{ 50 };
     std::chrono::milliseconds m_maxBackoff;
-    /// Between two copies, the first of which is made at once: in a storm of
-    /// changes a copy of each would cost a call each and be old before it is
-    /// read.
-    std::chrono::milliseconds m_copyEvery{ 500 };
+    /// Shortest time between two writes of the copy; the first one is not
+    /// delayed.
+    std::chrono::milliseconds m_copyInterval{ 500 };
   };
 
   ConfigFeed(asio::io_context& aLoop,
@@ -66,7 +65,7 @@
              ConfigHolder& aHolder,
              const Log& aLog,
              std::string aKey,
-             std::string aBeside,
+             std::string aWatchPrefix,
              Times aTimes,
              std::uint64_t aSeed,
              Handlers aHandlers)
@@ -74,7 +73,7 @@
     , m_holder(aHolder)
     , m_log(aLog)
     , m_key(std::move(aKey))
-    , m_beside(std::move(aBeside))
+    , m_beside(std::move(aWatchPrefix))
     , m_times(aTimes)
     , m_random(aSeed)
     , m_handlers(std::move(aHandlers))
@@ -84,46 +83,49 @@
   {
   }
 
-  /// \brief Whether to wait for changes; else others of the failure domain do,
-  /// and tell.
+  /// \brief Sets whether this daemon waits for changes itself, rather than
+  /// receiving them from peers.
   void SetWatching(bool aWatching)
   {
-    m_watching = aWatching;
-    if (m_watching && m_idle) {
-      // Goes on from what was read last; where that is too long ago, the store
-      // says so and all is read again.
+    m_isWatching = aWatching;
+    if (m_isWatching && m_isIdle) {
+      // Resumes at the last revision that was read. If the store no longer has
+      // the history since then, OnWatch() reads everything again.
       Watch();
     }
   }
-  [[nodiscard]] bool IsWatching() const noexcept { return m_watching; }
+  [[nodiscard]] bool IsWatching() const noexcept { return m_isWatching; }
 
-  /// \brief Whether this daemon keeps the copy.
-  void SetKeepingCopy(bool aKeeping)
+  /// \brief Sets whether this daemon maintains the compressed copy.
+  void SetMaintainsCopy(bool aMaintains)
   {
-    const bool begins = aKeeping && !m_keepsCopy;
-    m_keepsCopy = aKeeping;
-    if (begins && m_document.empty()) {
-      Begin();
+    const bool isStart = aMaintains && !m_maintainsCopy;
+    m_maintainsCopy = aMaintains;
+    if (isStart && m_document.empty()) {
+      StartRound();
       ReadOriginal();
-    } else if (begins) {
-      CopyLater();
+    } else if (isStart) {
+      ScheduleCopy();
     }
   }
 
-  /// \returns What was read last of the configuration.
-  [[nodiscard]] const StoreConfig& Known() const noexcept { return m_known; }
-  /// \brief Takes in a configuration that another call to the store returned.
-  void Offer(StoreReply aReply) { Take(aReply); }
+  /// \returns The last configuration that was read.
+  [[nodiscard]] const StoreConfig& LastRead() const noexcept
+  {
+    return m_lastRead;
+  }
+  /// \brief Applies a configuration that another request to the store returned.
+  void OnStoreReply(StoreReply aReply) { ApplyReply(aReply); }
 
-  /// \brief Whether to read the copy first.
-  void SetSlowLink(bool aSlow) noexcept { m_readsCopy = aSlow; }
+  /// \brief Sets whether to read the compressed copy first.
+  void SetSlowLink(bool aSlow) noexcept { m_prefersCopy = aSlow; }
 
-  /// \brief Reads now, whatever is under way: at the start, and after a pause
-  /// in which changes may have been missed.
+  /// \brief Reads now and drops requests in progress. Used at the start and
+  /// after a pause of the process, in which changes may have been missed.
   void Read()
   {
-    Begin();
-    if (m_readsCopy) {
+    StartRound();
+    if (m_prefersCopy) {
       ReadCopy();
     } else {
       ReadOriginal();
@@ -134,15 +136,15 @@
   using Status = StoreReply::Status;
   using SteadyClock = asio::steady_timer::clock_type;
 
-  /// Begins a round; what is under way in others no longer counts.
-  void Begin()
+  /// Starts a new round. Replies to requests of earlier rounds are dropped.
+  void StartRound()
   {
-    m_idle = false;
+    m_isIdle = false;
     ++m_round;
     m_timer.cancel();
   }
 
-  /// Carries a request whose answer counts in this round only.
+  /// Executes a request; the reply is dropped if a new round has begun.
   template<class Next>
   void Carry(StoreRequest aRequest, Next aNext)
   {
@@ -157,14 +159,14 @@
 
   void ReadOriginal()
   {
-    m_asked = BootNow();
+    m_requestedAt = BootNow();
     Carry(MakeGet(m_key),
           [this](StoreReply aReply) { OnRead(std::move(aReply)); });
   }
 
   void ReadCopy()
   {
-    // An old copy does no harm: the store is asked whether it is the newest.
+    // A stale read is enough: CheckOriginal() detects an outdated copy.
     Carry(MakeOldGet(std::string{ kConfigCopyKey }), [this](StoreReply aReply) {
       if (aReply.m_status != Status::Ok) {
         ReadOriginal();
@@ -179,94 +181,97 @@
         return;
       }
       const ConfigCopy& read = copy.value();
-      Confirm(read.m_original, aReply);
-      // Already in force while the store is asked: where it turns out to be
-      // old, peers bring what is missing sooner than the store the whole.
-      TakeDocument(read.m_document, read.m_original, aReply.m_era);
+      CheckOriginal(read.m_original, aReply);
+      // The copy takes effect before the check is answered. If it is outdated,
+      // peers send the missing versions.
+      ApplyDocument(read.m_document, read.m_original, aReply.m_era);
     });
   }
 
-  /// Only the store can tell that the copy is not an old one; and only if it
-  /// has not gone back meanwhile, and given its revision to something else.
-  void Confirm(Revision aOriginal, const StoreReply& aCopy)
+  /// Checks that the original still has the revision the copy was made from.
+  /// The answer counts only if the store has not been restored in between,
+  /// since a restored store may reuse revisions.
+  void CheckOriginal(Revision aOriginal, const StoreReply& aCopy)
   {
-    m_asked = BootNow();
+    m_requestedAt = BootNow();
     Carry(MakeCheck(m_key, aOriginal),
           [this, aStoreRevision = aCopy.m_storeRevision, era = aCopy.m_era](
             StoreReply aReply) {
             const bool changed =
               aReply.m_status == Status::Conflict && !aReply.m_value.empty();
             const bool isUsable = aReply.m_status == Status::Ok || changed;
-            if (!isUsable || IsOfAnotherEra(aReply.m_era, era)) {
+            if (!isUsable || IsDifferentEra(aReply.m_era, era)) {
               ReadOriginal();
               return;
             }
             if (changed) {
-              Take(aReply);
+              ApplyReply(aReply);
             }
-            // What came after the copy was read is seen by the next watch.
-            Follow(aStoreRevision, era);
+            // The next watch covers changes made after the copy was read.
+            OnNewestKnown(aStoreRevision, era);
           });
   }
 
-  void CopyLater()
+  void ScheduleCopy()
   {
-    if (!m_keepsCopy || m_copyPending || m_document.size() < kWorthACopy) {
+    if (!m_maintainsCopy || m_isCopyScheduled ||
+        m_document.size() < kMinCopiedBytes) {
       return;
     }
-    m_copyPending = true;
+    m_isCopyScheduled = true;
     const auto now = SteadyClock::now();
     m_nextCopy = std::max(m_nextCopy, now);
     m_copyTimer.expires_at(m_nextCopy);
-    m_nextCopy += m_times.m_copyEvery;
+    m_nextCopy += m_times.m_copyInterval;
     m_copyTimer.async_wait([this](const asio::error_code& aError) {
-      m_copyPending = false;
-      if (!aError && m_keepsCopy) {
-        PutCopy(true);
+      m_isCopyScheduled = false;
+      if (!aError && m_maintainsCopy) {
+        WriteCopy(true);
       }
     });
   }
 
-  /// \param aAgain whether to try once more with what a conflict tells.
-  void PutCopy(bool aAgain)
+  /// \param aRetryOnConflict whether to write once more with the revision that
+  /// a conflict reports.
+  void WriteCopy(bool aRetryOnConflict)
   {
     m_store.Carry(MakePut(std::string{ kConfigCopyKey },
                           FormatConfigCopy(m_documentRevision, m_document),
                           m_copyRevision),
-                  [this, aAgain](const StoreReply& aReply) {
+                  [this, aRetryOnConflict](const StoreReply& aReply) {
                     const bool conflict = aReply.m_status == Status::Conflict;
                     if (!conflict && aReply.m_status != Status::Ok) {
-                      CopyLater();
+                      ScheduleCopy();
                       return;
                     }
                     m_copyRevision = aReply.m_revision;
-                    if (conflict && aAgain) {
-                      PutCopy(false);
+                    if (conflict && aRetryOnConflict) {
+                      WriteCopy(false);
                     }
                   });
   }
 
   void OnRead(StoreReply aReply)
   {
-    NoteReachable(aReply.m_status);
+    UpdateReachable(aReply.m_status);
     if (aReply.m_status == Status::Ok) {
-      Take(aReply);
+      ApplyReply(aReply);
     } else if (aReply.m_status != Status::NotFound) {
-      Later(m_backoff, [this] { Read(); });
+      ScheduleInRound(m_backoff, [this] { Read(); });
       m_backoff = std::min(2 * m_backoff, m_times.m_maxBackoff);
       return;
     }
-    Follow(aReply.m_storeRevision, aReply.m_era);
+    OnNewestKnown(aReply.m_storeRevision, aReply.m_era);
   }
 
-  /// The newest was read; there may be no configuration yet, and that, too, is
-  /// the store's word.
-  void Follow(Revision aStoreRevision, std::uint64_t aEra)
+  /// Records that the newest state was read, even if no configuration exists
+  /// yet, and waits for changes.
+  void OnNewestKnown(Revision aStoreRevision, std::uint64_t aEra)
   {
     m_era = aEra;
     m_handlers.m_onHead(m_holder.GetVersion());
-    if (m_isReadable && m_handlers.m_onConfirmed) {
-      m_handlers.m_onConfirmed(m_asked, m_known);
+    if (m_isLastReadValid && m_handlers.m_onConfirmed) {
+      m_handlers.m_onConfirmed(m_requestedAt, m_lastRead);
     }
     m_backoff = m_times.m_firstBackoff;
     m_revision = aStoreRevision;
@@ -275,8 +280,8 @@
 
   void Watch()
   {
-    m_idle = !m_watching;
-    if (m_idle) {
+    m_isIdle = !m_isWatching;
+    if (m_isIdle) {
       return;
     }
     Carry(MakeWatchBeside(m_key, m_beside, m_revision, m_times.m_watch),
@@ -285,71 +290,71 @@
 
   void OnWatch(StoreReply aReply)
   {
-    NoteReachable(aReply.m_status);
-    if (IsOfAnotherEra(aReply.m_era, m_era)) {
-      // Revisions have gone back and are given out anew: what lies between says
-      // nothing of what was missed.
-      Missed();
+    UpdateReachable(aReply.m_status);
+    if (IsDifferentEra(aReply.m_era, m_era)) {
+      // A restored store reuses revisions, so missed changes cannot be derived
+      // from them.
+      OnChangesMissed();
       return;
     }
-    if (!aReply.m_items.empty() && m_handlers.m_onBeside) {
-      m_handlers.m_onBeside(aReply.m_items);
+    if (!aReply.m_items.empty() && m_handlers.m_onPrefixChanged) {
+      m_handlers.m_onPrefixChanged(aReply.m_items);
     }
     switch (aReply.m_status) {
       case Status::Ok:
-        Take(aReply);
+        ApplyReply(aReply);
         break;
       case Status::NotModified:
         if (aReply.m_storeRevision < m_revision) {
-          // The store has gone back: no change would be told until it has
-          // caught up.
-          Missed();
+          // The store has been restored. It would report no change until its
+          // revision exceeds the watched one.
+          OnChangesMissed();
           return;
         }
         break;
       default:
-        // Cut, turned away, or the history is gone: only a read tells what
-        // was missed.
-        Missed();
+        // The connection failed, the request was rejected or the history was
+        // compacted: changes may have been missed.
+        OnChangesMissed();
         return;
     }
     m_revision = aReply.m_storeRevision;
-    Later(m_times.m_settle, [this] { Watch(); });
+    ScheduleInRound(m_times.m_coalesceDelay, [this] { Watch(); });
   }
 
-  /// An answer that tells no era, or none at all, says nothing of it.
-  [[nodiscard]] static bool IsOfAnotherEra(std::uint64_t aEra,
-                                           std::uint64_t aKnown) noexcept
+  /// An unknown era, zero, is treated as equal to any other.
+  [[nodiscard]] static bool IsDifferentEra(std::uint64_t aEra,
+                                           std::uint64_t aKnownEra) noexcept
   {
-    return aEra != 0 && aKnown != 0 && aEra != aKnown;
+    return aEra != 0 && aKnownEra != 0 && aEra != aKnownEra;
   }
 
-  void Missed()
+  void OnChangesMissed()
   {
-    if (m_handlers.m_onMissed) {
-      m_handlers.m_onMissed();
+    if (m_handlers.m_onChangesMissed) {
+      m_handlers.m_onChangesMissed();
     }
     Read();
   }
 
-  void Take(StoreReply& aReply)
+  void ApplyReply(StoreReply& aReply)
   {
-    const bool taken =
-      TakeDocument(aReply.m_value, aReply.m_revision, aReply.m_era);
-    if (taken && m_watching) {
+    const bool applied =
+      ApplyDocument(aReply.m_value, aReply.m_revision, aReply.m_era);
+    if (applied && m_isWatching) {
       m_document = std::move(aReply.m_value);
       m_documentRevision = aReply.m_revision;
-      CopyLater();
+      ScheduleCopy();
     }
   }
 
-  /// \returns Whether it could be read.
-  bool TakeDocument(const std::string& aText,
-                    Revision aRevision,
-                    std::uint64_t aEra)
+  /// \returns Whether the document could be parsed.
+  bool ApplyDocument(const std::string& aText,
+                     Revision aRevision,
+                     std::uint64_t aEra)
   {
     const auto document = m_reader.Read(aText);
-    m_isReadable = static_cast<bool>(document);
+    m_isLastReadValid = static_cast<bool>(document);
     if (!document) {
       m_log.Error("config",
                   "document_unreadable",
@@ -359,7 +364,7 @@
     }
     const Version before = m_holder.GetVersion();
     const Version version = document.value().m_version;
-    m_known = { version, aRevision, aEra };
+    m_lastRead = { version, aRevision, aEra };
     if (version <= before) {
       return true;
     }
@@ -378,18 +383,18 @@
     return true;
   }
 
-  void NoteReachable(Status aStatus)
+  void UpdateReachable(Status aStatus)
   {
-    const bool reachable =
+    const bool isReachable =
       aStatus != Status::Unavailable && aStatus != Status::Unknown;
-    if (reachable != m_reachable) {
-      m_reachable = reachable;
-      m_log.Warning("store", reachable ? "store_reachable" : "store_away");
+    if (isReachable != m_isReachable) {
+      m_isReachable = isReachable;
+      m_log.Warning("store", isReachable ? "store_reachable" : "store_away");
     }
   }
 
   template<class Next>
-  void Later(std::chrono::milliseconds aPause, Next aNext)
+  void ScheduleInRound(std::chrono::milliseconds aPause, Next aNext)
   {
     m_timer.expires_after(Jittered(m_random, aPause));
     m_timer.async_wait([this, round = m_round, next = std::move(aNext)](
@@ -404,7 +409,7 @@
   ConfigHolder& m_holder;
   const Log& m_log;
   std::string m_key;
-  /// Prefix of keys that are followed in the same watch.
+  /// Prefix of other keys that the same watch covers.
   std::string m_beside;
   Times m_times;
   Random m_random;
@@ -412,29 +417,29 @@
   asio::steady_timer m_timer;
   asio::steady_timer m_copyTimer;
   std::chrono::milliseconds m_backoff;
-  /// Answers that belong to an earlier round are dropped.
+  /// Replies to requests of earlier rounds are dropped.
   std::uint64_t m_round{ 0 };
   Revision m_revision{ 0 };
-  /// Of the store, in which m_revision was given.
+  /// Era of the store in which m_revision was assigned.
   std::uint64_t m_era{ 0 };
-  /// When the read was sent whose answer is awaited.
-  TimePoint m_asked{};
-  StoreConfig m_known{};
-  bool m_isReadable{ true };
+  /// When the last read or check was sent.
+  TimePoint m_requestedAt{};
+  StoreConfig m_lastRead{};
+  bool m_isLastReadValid{ true };
   platform::ConfigReader m_reader;
-  bool m_reachable{ true };
-  bool m_watching{ false };
-  bool m_readsCopy{ false };
-  bool m_keepsCopy{ false };
-  bool m_copyPending{ false };
+  bool m_isReachable{ true };
+  bool m_isWatching{ false };
+  bool m_prefersCopy{ false };
+  bool m_maintainsCopy{ false };
+  bool m_isCopyScheduled{ false };
   SteadyClock::time_point m_nextCopy{};
-  /// The newest configuration as read, at a daemon that waits for changes.
+  /// Text of the newest configuration that was read while watching.
   std::string m_document;
   Revision m_documentRevision{ 0 };
-  /// Of the copy, as far as known.
+  /// Last known revision of the copy.
   Revision m_copyRevision{ 0 };
-  /// Nothing is under way and nobody waits for changes.
-  bool m_idle{ false };
+  /// No request is in progress and this daemon does not wait for changes.
+  bool m_isIdle{ false };
 };
 
 }
--- a/include/greengagehub/daemon/control_plane.hpp
+++ b/include/greengagehub/daemon/control_plane.hpp
@@ -24,10 +24,10 @@
 
 namespace greengagehub {
 
-/// \brief Membership, configuration and the store, wired to sockets.
+/// \brief Connects membership, configuration and the store to sockets.
 ///
-/// Runs the pure libraries: feeds them time and messages and carries out what
-/// they return.
+/// Passes time and messages to libraries that do no I/O themselves, and
+/// executes the actions that they return.
 class ControlPlane
 {
 public:
@@ -36,10 +36,10 @@
     std::function<void(const MemberEvent&)> m_onMember;
     /// A newer version is in force.
     std::function<void()> m_onVersion;
-    /// What the worker beside this daemon did since an order; no version: none
-    /// is known.
-    std::function<WorkerCounts()> m_ownCounts;
-    std::function<void()> m_countAnew;
+    /// Run counts of the local worker since the last reset; without a version
+    /// if no worker is known.
+    std::function<WorkerCounts()> m_workerCounts;
+    std::function<void()> m_resetWorkerCounts;
   };
 
   ControlPlane(asio::io_context& aLoop,
@@ -59,14 +59,14 @@
   {
     return m_decisions;
   }
-  /// \brief Requests under which workers have ended.
+  /// \brief Quarantined requests.
   [[nodiscard]] QuarantineKeeper& GetQuarantine() noexcept
   {
     return m_quarantine;
   }
-  /// \brief Versions on trial.
+  /// \brief Roll-outs and their canary versions.
   [[nodiscard]] RolloutKeeper& GetRollouts() noexcept { return m_rollouts; }
-  /// \brief Keys and quotas.
+  /// \brief API keys and quotas.
   [[nodiscard]] WorkspaceService& GetWorkspaces() noexcept
   {
     return m_workspaces;
@@ -82,30 +82,33 @@
   {
     return m_sync.IsBehind();
   }
-  /// \brief Holds an accepted version, and none below what its slot ran.
+  /// \returns Whether an accepted version is in force that is not below the
+  /// minimum version of this daemon's slot.
   [[nodiscard]] bool IsReady();
-  /// \returns The lowest version that a present member was last seen to run.
+  /// \returns The lowest version in force on this daemon and on present
+  /// members, as they last reported it.
   [[nodiscard]] Version LowestInForce() const;
-  /// \returns The fewest slots that a present worker of the own service has
-  /// told; nothing while none is known.
-  [[nodiscard]] std::optional<std::uint32_t> LeastSlotsOfOwnService() const;
-  /// \brief Asks members that are not known to run `aVersion` what they run.
-  void RefreshBelow(Version aVersion);
+  /// \returns The lowest number of slots reported by a present worker of the
+  /// own service, if any.
+  [[nodiscard]] std::optional<std::uint32_t> MinSlotsOfOwnService() const;
+  /// \brief Probes members whose last reported version is below `aVersion`.
+  void ProbeBelowVersion(Version aVersion);
 
-  /// \brief Sets the port of call links and begins to join.
+  /// \brief Sets the port of call links and starts to join the fleet.
   void Start(std::uint16_t aLinkPort);
   void Announce(MemberState aState);
-  /// \brief The worker beside this daemon came, changed or leaves.
+  /// \brief Publishes the state of this daemon and of the local worker.
   void Announce(MemberState aState, WorkerFigures aWorker);
-  /// \brief The process was paused: what is believed may be old.
+  /// \brief Refreshes state that may be out of date after a pause of the
+  /// process.
   void OnProcessResumed();
 
 private:
   void Tick();
   void Join();
-  /// \brief A speaker looks for failure domains of which nobody is known.
-  void FindDomains(TimePoint aNow);
-  /// \brief Asks for members more often than probes do, for a while.
+  /// \brief On a domain relay, looks for failure domains without known members.
+  void DiscoverDomains(TimePoint aNow);
+  /// \brief Contacts peers at short intervals during the first seconds.
   void ContactWhileJoining(TimePoint aNow);
   void OnSeeds(const StoreReply& aReply);
   void Contact(const MemberPeer& aPeer);
@@ -114,43 +117,45 @@
   void SendGossip(GossipSend aSend);
   void StageAll(const std::vector<VersionEntry>& aEntries);
   void OnAdvanced(Version aBefore);
-  void Push(Version aBefore);
+  void PushEntries(Version aBefore);
   [[nodiscard]] std::vector<MemberPeer> PushTargets(std::uint32_t aFanout);
   void PullWhenDue(TimePoint aNow);
-  void CountAnswer(const PullRequest& aRequest, std::size_t aBytes);
+  void RecordAnswerBytes(const PullRequest& aRequest, std::size_t aBytes);
   void PullFrom(const MemberPeer& aPeer, bool aMembers);
   void OnPulled(std::optional<PullAnswer> aAnswer);
-  [[nodiscard]] PullAnswer Serve(const PullRequest& aRequest);
-  void Spread(const QuarantineNews& aNews, QuarantineKeeper::Reach aReach);
-  void SendNews(const std::vector<MemberPeer>& aTo,
-                const QuarantineNews& aNews);
-  /// \brief A peer has other verdicts: it gets these.
-  void CompareVerdicts(TimePoint aNow, const GossipMessage& aMessage);
+  [[nodiscard]] PullAnswer ServePull(const PullRequest& aRequest);
+  void PublishQuarantine(const QuarantineNews& aUpdate,
+                         QuarantineKeeper::Scope aScope);
+  void SendQuarantine(const std::vector<MemberPeer>& aTo,
+                      const QuarantineNews& aUpdate);
+  /// \brief Sends the own verdicts to a peer whose digest differs.
+  void SyncVerdicts(TimePoint aNow, const GossipMessage& aMessage);
   [[nodiscard]] RolloutKeeper::Parts RolloutParts();
   [[nodiscard]] WorkspaceService::Parts WorkspaceParts(asio::io_context& aLoop);
-  void SpreadRollouts(const std::vector<RolloutRecord>& aRecords,
-                      RolloutKeeper::Reach aReach,
-                      RolloutTable::Change aChange);
+  void PublishRollouts(const std::vector<RolloutRecord>& aRecords,
+                       RolloutKeeper::Scope aScope,
+                       RolloutTable::Change aChange);
   void SendRollouts(const std::vector<MemberPeer>& aTo,
                     const std::vector<RolloutRecord>& aRecords);
-  /// \brief A peer knows other roll-outs: it gets these.
-  void CompareRollouts(TimePoint aNow, const GossipMessage& aMessage);
-  void TellCounts(WorkerCounts aCounts);
+  /// \brief Sends the own roll-outs to a peer whose digest differs.
+  void SyncRollouts(TimePoint aNow, const GossipMessage& aMessage);
+  void SendCounts(WorkerCounts aCounts);
   [[nodiscard]] RolloutHolder::Workers WorkersOf(
     const RolloutRecord& aRecord) const;
-  [[nodiscard]] std::string MainVersionOf(const std::string& aService) const;
-  void RunWatchRole(TimePoint aNow);
-  void FollowPlatform(TimePoint aNow);
-  /// \brief The store came back from an older copy: what stood there is written
-  /// again by those who know it.
+  [[nodiscard]] std::string MostCommonVersionOf(
+    const std::string& aService) const;
+  void UpdateWatchLease(TimePoint aNow);
+  void UpdateStoreRoles(TimePoint aNow);
+  /// \brief Writes again what a store restored from a backup may have lost.
   void OnStoreRestored();
-  void CarryWatch(StoreRequest aRequest);
-  /// \brief This daemon's view of the fleet is as good as a peer's.
+  void ExecuteWatchRequest(StoreRequest aRequest);
+  /// \brief Records that the member table is as complete as a peer's.
   void SetJoined();
   void SyncMembers(TimePoint aNow, const GossipMessage& aMessage);
 
-  /// A daemon with no peer and no version reads the store itself after this.
-  static constexpr auto kAloneAfter = std::chrono::milliseconds{ 1500 };
+  /// After this time without peers or a configuration, a daemon reads the store
+  /// itself.
+  static constexpr auto kStandaloneAfter = std::chrono::milliseconds{ 1500 };
 
   const Settings& m_settings;
   const Log& m_log;
@@ -169,29 +174,30 @@
   ConfigFeed<platform::KvStore> m_feed;
   DecisionService<platform::KvStore> m_decisions;
   QuarantineKeeper m_quarantine;
-  TimePoint m_nextVerdicts{};
+  TimePoint m_nextVerdictSync{};
   RolloutKeeper m_rollouts;
-  TimePoint m_nextRollouts{};
+  TimePoint m_nextRolloutSync{};
   WorkspaceService m_workspaces;
-  /// When a datagram of any other daemon came.
-  TimePoint m_lastHeard{};
+  /// When the last datagram of another daemon was received.
+  TimePoint m_lastReceived{};
   asio::steady_timer m_tick;
   TimePoint m_nextJoin{};
-  /// While it joins: whom to ask next, and where from when nobody is known.
+  /// During joining: the time of the next contact, and the addresses to use
+  /// while no member is known.
   TimePoint m_nextContact{};
-  std::vector<MemberPeer> m_seedsHeard{};
+  std::vector<MemberPeer> m_knownSeeds{};
   std::chrono::milliseconds m_joinBackoff{ 250 };
-  /// Reads of the seeds so far.
-  std::uint32_t m_joinTries{ 0 };
+  /// Reads of the seed addresses so far.
+  std::uint32_t m_joinAttempts{ 0 };
   TimePoint m_started{};
-  /// Snapshot made for peers, kept for as long as the version is in force.
-  std::string m_packedSnapshot;
-  Version m_packedVersion;
+  /// Compressed snapshot served to peers, for m_compressedVersion.
+  std::string m_compressedSnapshot;
+  Version m_compressedVersion;
   MemberSync m_memberSync;
   DomainFinder m_domainFinder;
   ReadyGate m_gate;
   TimePoint m_nextRank{};
-  bool m_fallbackRead{ false };
+  bool m_hasFallbackRead{ false };
 };
 
 }
--- a/include/greengagehub/daemon/daemon.hpp
+++ b/include/greengagehub/daemon/daemon.hpp
@@ -12,15 +12,15 @@
 
 namespace greengagehub {
 
-/// \brief One daemon: everything wired to one event loop.
+/// \brief The daemon process: all services on one event loop.
 class Daemon
 {
 public:
-  /// \param aFile where the settings came from; read again on SIGHUP.
+  /// \param aFile path of the settings; read again on SIGHUP.
   Daemon(Settings aSettings, std::string aFile);
 
   /// \brief Serves until drained.
-  /// \returns The process's exit code: 0 after a clean drain.
+  /// \returns The exit code of the process: 0 after a clean drain.
   [[nodiscard]] int Run();
 
 private:
@@ -29,13 +29,15 @@
   void RunLoop();
   void Spin();
   void AwaitReload();
-  /// \brief Takes over those settings that may change while running.
+  /// \brief Reads the settings again and applies those that may change at run
+  /// time.
   void Reload();
   void StartDrain();
   void ContinueDrain(TimePoint aNow);
   void EndDrain(bool aClean);
-  /// \brief Starts no more calls at the worker, and tells the others.
-  void LeaveWorker();
+  /// \brief Stops starting calls on the local worker and announces that it is
+  /// draining.
+  void DrainWorker();
   void ProbeWorkerWhenDue(TimePoint aNow);
   [[nodiscard]] bool IsBusy() const;
   void LogListening();
@@ -60,18 +62,18 @@
   asio::signal_set m_reloads;
   asio::steady_timer m_tick;
   SpinBudget m_spin;
-  TimePoint m_nextTrafficLine{};
+  TimePoint m_nextTrafficLog{};
   TimePoint m_lastTick{};
   std::chrono::nanoseconds m_lastBootTime{};
-  bool m_draining{ false };
+  bool m_isDraining{ false };
   bool m_wasReady{ false };
-  bool m_workerLeft{ false };
-  int m_probes{ 0 };
+  bool m_isWorkerDraining{ false };
+  int m_workerProbes{ 0 };
   TimePoint m_nextProbe{};
-  /// Leaving, and callers are not taken any more.
-  bool m_finishing{ false };
-  TimePoint m_drainFrom{};
-  TimePoint m_drainUntil{};
+  /// During a drain: no more requests of callers are accepted.
+  bool m_hasStoppedAccepting{ false };
+  TimePoint m_drainStart{};
+  TimePoint m_drainDeadline{};
   TimePoint m_idleSince{};
   int m_exitCode{ 0 };
 };
--- a/include/greengagehub/daemon/decision_service.hpp
+++ b/include/greengagehub/daemon/decision_service.hpp
@@ -9,90 +9,92 @@
 
 namespace greengagehub {
 
-/// \brief Runs decision and packing processes against the store.
+/// \brief Runs decision processes, and compaction of the decision log, against
+/// the store.
 template<Store StoreType>
 class DecisionService
 {
 public:
-  using Answered = std::function<void(DecisionAnswer)>;
-  /// Called with entries that a process read or wrote.
-  using Learned = std::function<void(const std::vector<VersionEntry>&)>;
+  using AnswerCallback = std::function<void(DecisionAnswer)>;
+  /// Receives entries of the decision log that are newer than the version in
+  /// force.
+  using EntriesCallback = std::function<void(const std::vector<VersionEntry>&)>;
 
   DecisionService(StoreType& aStore,
                   const ConfigHolder& aHolder,
                   const Log& aLog,
                   PackLimits aLimits,
-                  Learned aLearned)
+                  EntriesCallback aOnEntries)
     : m_store(aStore)
     , m_holder(aHolder)
     , m_log(aLog)
     , m_limits(aLimits)
-    , m_learned(std::move(aLearned))
+    , m_onEntries(std::move(aOnEntries))
   {
   }
 
-  void Submit(Submission aSubmission, Answered aAnswered)
+  void Submit(Submission aSubmission, AnswerCallback aOnAnswer)
   {
     auto process = std::make_shared<DecisionProcess>(m_holder.Active(),
                                                      std::move(aSubmission));
-    Decide(process, process->Start(), std::move(aAnswered));
+    Decide(process, process->Start(), std::move(aOnAnswer));
   }
 
-  void Explain(std::string aId, Answered aAnswered)
+  void FindDecision(std::string aId, AnswerCallback aOnAnswer)
   {
     auto process =
       std::make_shared<DecisionProcess>(m_holder.Active(), std::move(aId));
-    Decide(process, process->Start(), std::move(aAnswered));
+    Decide(process, process->Start(), std::move(aOnAnswer));
   }
 
 private:
   void Decide(const std::shared_ptr<DecisionProcess>& aProcess,
               DecisionProcess::Step aStep,
-              Answered aAnswered)
+              AnswerCallback aOnAnswer)
   {
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
       m_store.Carry(
         std::move(*request),
-        [this, aProcess, answered = std::move(aAnswered)](StoreReply aReply) {
-          Decide(aProcess, aProcess->On(aReply), answered);
+        [this, aProcess, onAnswer = std::move(aOnAnswer)](StoreReply aReply) {
+          Decide(aProcess, aProcess->On(aReply), onAnswer);
         });
       return;
     }
     auto& answer = std::get<DecisionAnswer>(aStep);
     if (answer.m_kind == DecisionAnswer::Kind::Decided) {
-      Learn(aProcess->Log());
+      OnDecided(aProcess->Log());
     }
-    aAnswered(std::move(answer));
+    aOnAnswer(std::move(answer));
   }
 
-  void Learn(const DecisionLog& aLog)
+  void OnDecided(const DecisionLog& aLog)
   {
     const auto entries = aLog.EntriesAfter(m_holder.GetVersion());
     if (entries && !entries->empty()) {
-      m_learned(*entries);
+      m_onEntries(*entries);
     }
-    if (!m_packing && LogToJson(aLog).size() > m_limits.m_highBytes) {
-      StartPacking();
+    if (!m_isCompacting && LogToJson(aLog).size() > m_limits.m_highBytes) {
+      StartCompaction();
     }
   }
 
-  void StartPacking()
+  void StartCompaction()
   {
-    m_packing = true;
+    m_isCompacting = true;
     auto process = std::make_shared<PackProcess>(m_holder.Active(), m_limits);
-    Pack(process, process->Start());
+    Compact(process, process->Start());
   }
 
-  void Pack(const std::shared_ptr<PackProcess>& aProcess,
-            PackProcess::Step aStep)
+  void Compact(const std::shared_ptr<PackProcess>& aProcess,
+               PackProcess::Step aStep)
   {
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
       m_store.Carry(std::move(*request), [this, aProcess](StoreReply aReply) {
-        Pack(aProcess, aProcess->On(aReply));
+        Compact(aProcess, aProcess->On(aReply));
       });
       return;
     }
-    m_packing = false;
+    m_isCompacting = false;
     const auto result = std::get<PackProcess::Result>(aStep);
     m_log.Info("config",
                "log_packed",
@@ -103,8 +105,8 @@
   const ConfigHolder& m_holder;
   const Log& m_log;
   PackLimits m_limits;
-  Learned m_learned;
-  bool m_packing{ false };
+  EntriesCallback m_onEntries;
+  bool m_isCompacting{ false };
 };
 
 }
--- a/include/greengagehub/daemon/operators_api.hpp
+++ b/include/greengagehub/daemon/operators_api.hpp
@@ -8,24 +8,24 @@
 
 namespace greengagehub {
 
-/// \brief The operators' endpoint: patches, decisions, versions, status,
-/// health and metrics, over HTTP and JSON.
+/// \brief The operators' HTTP API: patches, decisions, versions, status,
+/// health and metrics, as JSON.
 ///
 /// | request                 | answer                             |
 /// |-------------------------|------------------------------------|
-/// | POST /v1/patches        | the decision: 200, or 409 refused  |
+/// | POST /v1/patches        | the decision: 200, or 409 rejected |
 /// | GET /v1/patches/ID      | the recorded decision, 404 if none |
-/// | GET /v1/version         | here, and lowest in force anywhere |
-/// | GET /v1/config          | the content in force here          |
-/// | GET /v1/changes?after=N | patches accepted after N, if held  |
+/// | GET /v1/version         | version here, and lowest in fleet  |
+/// | GET /v1/config          | the configuration in force here    |
+/// | GET /v1/changes?after=N | patches accepted after N, if kept  |
 /// | GET /v1/status          | members, calls, store              |
-/// | GET /v1/quarantine      | contents held, with their witnesses |
-/// | POST /v1/quarantine/lift?content=HEX | lets one go           |
-/// | GET /v1/rollouts        | versions on trial, and verdicts    |
-/// | POST /v1/rollouts/start?service=S&target=V&duration_ms=N | tries one |
-/// | POST /v1/rollouts/stop?service=S | rolls it back             |
-/// | POST /v1/drain          | starts to leave                    |
-/// | GET /healthz, /readyz   | alive; may take calls              |
+/// | GET /v1/quarantine      | quarantined requests and crashes   |
+/// | POST /v1/quarantine/lift?content=HEX | lifts a quarantine    |
+/// | GET /v1/rollouts        | roll-outs and their evidence       |
+/// | POST /v1/rollouts/start?service=S&target=V&duration_ms=N | starts one |
+/// | POST /v1/rollouts/stop?service=S | rolls one back            |
+/// | POST /v1/drain          | starts to drain                    |
+/// | GET /healthz, /readyz   | alive; ready for calls             |
 /// | GET /metrics            | Prometheus text                    |
 class OperatorsApi
 {
@@ -48,16 +48,16 @@
 
 private:
   void OnHttp(const HttpRequest& aRequest, HttpResponder aResponder);
-  void OnRead(const HttpRequest& aRequest, HttpResponder aResponder);
-  void OnChange(const HttpRequest& aRequest, HttpResponder aResponder);
+  void OnGet(const HttpRequest& aRequest, HttpResponder aResponder);
+  void OnPost(const HttpRequest& aRequest, HttpResponder aResponder);
   void Submit(const HttpRequest& aRequest, HttpResponder aResponder);
-  void Explain(std::string aId, HttpResponder aResponder);
+  void FindDecision(std::string aId, HttpResponder aResponder);
   [[nodiscard]] bool IsAuthorised(const HttpRequest& aRequest) const;
-  [[nodiscard]] HttpResponse VersionNow(const HttpRequest& aRequest);
+  [[nodiscard]] HttpResponse VersionStatus(const HttpRequest& aRequest);
   [[nodiscard]] HttpResponse Changes(const HttpRequest& aRequest) const;
   [[nodiscard]] HttpResponse Status() const;
-  [[nodiscard]] HttpResponse HeldContents() const;
-  [[nodiscard]] HttpResponse Lift(const HttpRequest& aRequest);
+  [[nodiscard]] HttpResponse QuarantinedRequests() const;
+  [[nodiscard]] HttpResponse LiftQuarantine(const HttpRequest& aRequest);
   [[nodiscard]] HttpResponse Rollouts() const;
   [[nodiscard]] HttpResponse StartRollout(const HttpRequest& aRequest);
   [[nodiscard]] HttpResponse StopRollout(const HttpRequest& aRequest);
--- a/include/greengagehub/daemon/platform_endpoints.hpp
+++ b/include/greengagehub/daemon/platform_endpoints.hpp
@@ -11,8 +11,8 @@
 
 namespace greengagehub {
 
-/// \brief Where the platform asks whether this daemon is ready, and where the
-/// backend server beside it sends its heartbeats.
+/// \brief HTTP endpoints for the platform's readiness checks and for heartbeats
+/// of the local backend server.
 class PlatformEndpoints
 {
 public:
@@ -23,9 +23,10 @@
     const Log& m_log;
     Metrics& m_metrics;
     std::function<bool()> m_isReady;
-    /// What other workers of the service run at once, where any is known.
+    /// Number of slots that other workers of the service report, if any is
+    /// known.
     std::function<std::optional<std::uint32_t>()> m_typicalSlots;
-    /// What is believed of the worker changed.
+    /// The state of the local worker has changed.
     std::function<void(const WorkerPresence&)> m_onWorker;
   };
 
@@ -45,20 +46,20 @@
   }
 
   [[nodiscard]] Outcome<std::uint16_t> Open();
-  /// \brief The worker was asked and gave this id.
+  /// \brief The local worker answered a probe with this id.
   void OnProbed(std::string aId);
 
 private:
   void OnReadiness(const HttpRequest& aRequest, HttpResponder aResponder);
   void OnHeartbeat(const HttpRequest& aRequest, HttpResponder aResponder);
-  /// \brief Counts a report that names no worker, and logs why.
-  void Refuse(std::string_view aEvent, std::string_view aDetail);
-  void Tell(WorkerPresence::Change aChange);
-  [[nodiscard]] WorkerPresence::Change Take(const WorkerReport& aReport);
+  /// \brief Counts a rejected report and logs the reason.
+  void RejectReport(std::string_view aEvent, std::string_view aDetail);
+  void PublishChange(WorkerPresence::Change aChange);
+  [[nodiscard]] WorkerPresence::Change ApplyReport(const WorkerReport& aReport);
 
   Parts m_parts;
   WorkerPresence m_worker;
-  LineBudget m_refusalLines;
+  LineBudget m_rejectionLogBudget;
   HttpServer m_readiness;
   HttpServer m_heartbeats;
 };
--- a/include/greengagehub/daemon/quarantine_keeper.hpp
+++ b/include/greengagehub/daemon/quarantine_keeper.hpp
@@ -9,26 +9,26 @@
 
 namespace greengagehub {
 
-/// \brief The quarantine wired to the store, the other daemons and the log.
+/// \brief Connects the quarantine to the store, to the peers and to the log.
 class QuarantineKeeper
 {
 public:
-  /// How far news goes from here.
-  enum class Reach : std::uint8_t
+  /// Which peers receive an update from here.
+  enum class Scope : std::uint8_t
   {
-    /// This daemon's own: to all failure domains.
-    All,
-    /// Heard: on within the own failure domain.
-    Domain,
+    /// Local changes go to all failure domains.
+    AllDomains,
+    /// Received changes are forwarded within the own failure domain.
+    OwnDomain,
   };
   struct Parts
   {
     platform::KvStore& m_store;
     const Log& m_log;
-    std::function<void(const QuarantineNews&, Reach)> m_spread;
-    /// Whether this daemon writes verdicts of others, who may have been lost
-    /// before they did.
-    std::function<bool()> m_writesForOthers;
+    std::function<void(const QuarantineNews&, Scope)> m_publish;
+    /// Whether this daemon writes verdicts of other daemons, which may have
+    /// failed before they wrote them.
+    std::function<bool()> m_isBackupWriter;
   };
 
   explicit QuarantineKeeper(Parts aParts);
@@ -38,25 +38,28 @@
     return m_quarantine;
   }
 
-  /// \brief Reads the store cheaply; what it tells may be seconds old.
+  /// \brief Starts a stale read of the store; its result may be seconds old.
   void Start();
-  /// \param aReads whether this daemon reads the store for its domain.
-  void OnTick(TimePoint aNow, bool aReads);
-  /// \brief The store came back from an older copy: verdicts may be missing
-  /// there, and their leases are gone.
+  /// \param aReadsStore whether this daemon reads the store on behalf of its
+  /// failure domain.
+  void OnTick(TimePoint aNow, bool aReadsStore);
+  /// \brief Writes verdicts again that a store restored from a backup may have
+  /// lost, with their leases.
   void OnStoreRestored();
   void OnOwnEnd(EndReport aReport);
   void OnRanWell(Fingerprint aContent);
-  void OnNews(const QuarantineNews& aNews);
-  /// \returns Whether it was held.
+  void OnNews(const QuarantineNews& aUpdate);
+  /// \returns Whether the fingerprint was quarantined.
   [[nodiscard]] bool Lift(Fingerprint aContent);
 
 private:
-  /// Carries out what a step has changed.
-  void Carry(TimePoint aNow, const QuarantineChanges& aChanges, Reach aReach);
-  void LogVerdict(const ContentVerdict& aVerdict, Reach aReach) const;
-  void Read(bool aMayBeOld);
-  void OnRead(const StoreReply& aReply, bool aMayBeOld);
+  /// Logs, writes and publishes the given changes.
+  void ApplyChanges(TimePoint aNow,
+                    const QuarantineChanges& aChanges,
+                    Scope aScope);
+  void LogVerdict(const ContentVerdict& aVerdict, Scope aScope) const;
+  void Read(bool aAllowStale);
+  void OnRead(const StoreReply& aReply, bool aAllowStale);
   void Write(std::optional<StoreRequest> aRequest);
 
   Parts m_parts;
--- a/include/greengagehub/daemon/resume_filter.hpp
+++ b/include/greengagehub/daemon/resume_filter.hpp
@@ -8,13 +8,12 @@
 
 namespace greengagehub {
 
-/// \brief Holds what is read just after this process stood still, until what
-/// came behind it has been read as well.
+/// \brief Delays requests that are read just after a pause of the process.
 ///
-/// Answers the load pattern of a process that is paused, suspended or out of
-/// processor time while its callers leave: in its sockets the request stands
-/// before the close or the cancellation and looks fresh. Handed on at once, it
-/// runs for a caller who left seconds ago.
+/// While a process is paused, its sockets collect requests together with the
+/// cancellations and closes that follow them. A short delay lets the latter be
+/// read first, so that requests of callers that have left are dropped rather
+/// than run.
 class ResumeFilter
 {
 public:
@@ -39,56 +38,56 @@
     std::vector<FromCaller> m_callers{};
   };
 
-  /// A process of which nothing ran for so long stood still. Three of the
-  /// ticks that show it is alive; one that is out of its share of processor
-  /// time stands for up to a tenth of a second.
-  static constexpr std::chrono::milliseconds kSuspendedAfter{ 300 };
-  /// How long what is read after that is held: some passes over all sockets.
-  static constexpr std::chrono::milliseconds kHoldFor{ 20 };
+  /// A gap between ticks above this is treated as a pause of the process. It
+  /// exceeds the delays caused by CPU throttling.
+  static constexpr std::chrono::milliseconds kPauseThreshold{ 300 };
+  /// How long requests are delayed after a pause; enough for several passes
+  /// over all sockets.
+  static constexpr std::chrono::milliseconds kDelay{ 20 };
 
-  /// \param aBootTime time since the machine started, its suspensions too.
+  /// \param aBootTime time since the machine started, including suspensions.
   void OnTick(TimePoint aNow, std::chrono::nanoseconds aBootTime) noexcept
   {
-    Look(aNow, aBootTime);
+    DetectPause(aNow, aBootTime);
     m_lastTick = aBootTime;
   }
-  /// \returns Whether what is read now is to be held.
+  /// \returns Whether requests read now are to be delayed.
   [[nodiscard]] bool Holds(TimePoint aNow,
                            std::chrono::nanoseconds aBootTime) noexcept
   {
-    Look(aNow, aBootTime);
+    DetectPause(aNow, aBootTime);
     return aNow < m_until;
   }
-  /// \returns When to let go of what is held.
+  /// \returns When to release the delayed requests.
   [[nodiscard]] TimePoint Until() const noexcept { return m_until; }
 
-  /// \returns Whether it is the first one that is held.
+  /// \returns Whether it is the first delayed request.
   bool Add(FromLink aRequest);
   bool Add(FromCaller aRequest);
   void Cancel(CallKey aKey);
   void HungUp(std::uint64_t aConnection);
-  /// \brief A process opened a newer connection: what was read from older ones
-  /// never starts.
+  /// \brief Drops requests from connections of a process that are older than
+  /// `aBelowEpoch`.
   void CloseEpochs(std::uint64_t aProcess, std::uint64_t aBelowEpoch);
-  /// \brief Links were closed with what is unread on them: what had been read
-  /// is as old.
-  void DropLinks() { m_held.m_links.clear(); }
-  [[nodiscard]] Held TakeAll() { return std::exchange(m_held, {}); }
+  /// \brief Drops all requests from other daemons, because their links were
+  /// closed.
+  void DropLinks() { m_delayed.m_links.clear(); }
+  [[nodiscard]] Held TakeAll() { return std::exchange(m_delayed, {}); }
 
 private:
-  void Look(TimePoint aNow, std::chrono::nanoseconds aBootTime) noexcept
+  void DetectPause(TimePoint aNow, std::chrono::nanoseconds aBootTime) noexcept
   {
     if (m_lastTick != std::chrono::nanoseconds{} &&
-        aBootTime - m_lastTick > kSuspendedAfter) {
-      m_until = aNow + kHoldFor;
-      // Looked at many times before the next tick: still only once.
+        aBootTime - m_lastTick > kPauseThreshold) {
+      m_until = aNow + kDelay;
+      // Reports each pause only once.
       m_lastTick = aBootTime;
     }
   }
 
   std::chrono::nanoseconds m_lastTick{};
   TimePoint m_until{};
-  Held m_held;
+  Held m_delayed;
 };
 
 }
--- a/include/greengagehub/daemon/rollout_keeper.hpp
+++ b/include/greengagehub/daemon/rollout_keeper.hpp
@@ -10,94 +10,100 @@
 
 namespace greengagehub {
 
-/// \brief Roll-outs wired to the store, the other daemons and the log.
+/// \brief Connects roll-outs to the store, to the peers and to the log.
 class RolloutKeeper
 {
 public:
-  /// How far news goes from here.
-  enum class Reach : std::uint8_t
+  /// Which peers receive an update from here.
+  enum class Scope : std::uint8_t
   {
-    /// This daemon's own: to all failure domains.
-    All,
-    /// Heard: on within the own failure domain.
-    Domain,
+    /// Local changes go to all failure domains.
+    AllDomains,
+    /// Received changes are forwarded within the own failure domain.
+    OwnDomain,
   };
   struct Parts
   {
     platform::KvStore& m_store;
     const Log& m_log;
     std::function<RolloutLimits()> m_limits;
-    /// Tells peers. A leave that is only renewed needs fewer of them.
+    /// Sends records to peers. Renewed permits go to fewer peers than changes
+    /// of state.
     std::function<
-      void(const std::vector<RolloutRecord>&, Reach, RolloutTable::Change)>
-      m_spread;
-    /// Hands what was counted here to the daemon that leads.
-    std::function<void(WorkerCounts)> m_tell;
-    /// Whether this daemon leads: the first of all.
-    std::function<bool()> m_leads;
-    /// Whether it writes for one that leads and is lost or cut off.
-    std::function<bool()> m_writesForOthers;
+      void(const std::vector<RolloutRecord>&, Scope, RolloutTable::Change)>
+      m_publish;
+    /// Sends the counts of the local worker to the leader.
+    std::function<void(WorkerCounts)> m_sendCounts;
+    /// Whether this daemon leads roll-outs.
+    std::function<bool()> m_isLeader;
+    /// Whether this daemon writes states when the leader fails or cannot reach
+    /// the store.
+    std::function<bool()> m_isBackupWriter;
     std::function<RolloutHolder::Workers(const RolloutRecord&)> m_workers;
-    /// What most workers of a service run, as far as is known here.
-    std::function<std::string(const std::string& aService)> m_mainVersion;
-    /// Of the worker beside this daemon; without a version: none is known.
-    std::function<WorkerCounts()> m_ownCounts;
-    /// Counts there begin anew.
-    std::function<void()> m_countAnew;
+    /// The version that most known workers of a service run.
+    std::function<std::string(const std::string& aService)> m_mostCommonVersion;
+    /// Counts of the local worker; without a version if no worker is known.
+    std::function<WorkerCounts()> m_workerCounts;
+    /// Resets the counts of the local worker.
+    std::function<void()> m_resetWorkerCounts;
   };
 
   explicit RolloutKeeper(Parts aParts);
 
   [[nodiscard]] const RolloutTable& Table() const noexcept { return m_table; }
 
-  /// \param aReads whether this daemon reads the store for its domain.
-  void OnTick(TimePoint aNow, bool aReads);
-  /// \brief The store tells that keys beside the configuration have changed.
+  /// \param aReadsStore whether this daemon reads the store on behalf of its
+  /// failure domain.
+  void OnTick(TimePoint aNow, bool aReadsStore);
+  /// \brief Handles changed keys with the operators' prefix.
   void OnStoreItems(const std::vector<StoreItem>& aItems);
-  /// \brief Changes there may have been missed.
+  /// \brief Schedules a read of all orders after changes may have been missed.
   void OnStoreMissed() noexcept { m_hasRead = false; }
-  /// \brief The store came back from an older copy: what was written since is
-  /// written again as it was.
+  /// \brief Writes states again that a store restored from a backup may have
+  /// lost.
   void OnStoreRestored();
   void OnNews(const std::vector<RolloutRecord>& aRecords);
   void OnCounts(const WorkerCounts& aCounts);
-  /// \brief An operator orders a roll-out.
-  /// \returns Whether it is a new order.
+  /// \brief Starts a roll-out at an operator's request.
+  /// \returns Whether the order is new.
   [[nodiscard]] bool Start(const RolloutOrder& aOrder);
-  /// \brief An operator has a roll-out rolled back.
-  /// \returns Whether one was under way.
+  /// \brief Rolls a version back at an operator's request.
+  /// \returns Whether a roll-out was in progress.
   [[nodiscard]] bool Stop(const std::string& aService);
-  /// \brief The process stood still.
+  /// \brief Revokes permits, which may have expired during a pause of the
+  /// process.
   void OnProcessResumed() { m_table.DropLeaves(); }
 
 private:
   using Change = RolloutTable::Change;
 
-  void TakeOrder(const StoreItem& aItem, bool aIsUnderWay);
-  /// \brief Carries out what a step has changed of a service's roll-out.
-  void Carry(TimePoint aNow,
-             const std::string& aService,
-             Change aChange,
-             Reach aReach);
-  void WantStatus(TimePoint aNow, const RolloutRecord& aRecord, Reach aReach);
-  void Lead(TimePoint aNow);
-  void LeadOne(TimePoint aNow, const RolloutRecord& aRecord);
-  void TellCounts(TimePoint aNow);
+  void ApplyOrder(const StoreItem& aItem, bool aIsInProgress);
+  /// \brief Logs, writes and publishes a change of a service's roll-out.
+  void ApplyChange(TimePoint aNow,
+                   const std::string& aService,
+                   Change aChange,
+                   Scope aScope);
+  void ScheduleStatus(TimePoint aNow,
+                      const RolloutRecord& aRecord,
+                      Scope aScope);
+  void LeadRollouts(TimePoint aNow);
+  void LeadRollout(TimePoint aNow, const RolloutRecord& aRecord);
+  void ReportCounts(TimePoint aNow);
   void Read();
   void OnOrdersRead(const StoreReply& aReply);
   void OnStatusesRead(std::vector<StoreItem> aOrders, const StoreReply& aReply);
   void Write(std::optional<StoreRequest> aRequest);
   void OnWritten(const RolloutStatus& aStatus);
-  void LogLead(const RolloutHolder::Lead& aLead) const;
-  void LogChange(const RolloutRecord& aRecord, Reach aReach) const;
+  void LogStep(const RolloutHolder::Lead& aDecision) const;
+  void LogChange(const RolloutRecord& aRecord, Scope aScope) const;
 
   Parts m_parts;
   RolloutTable m_table;
   StatusWriter<platform::RolloutForm> m_writer;
   /// Roll-outs that this daemon leads, by service.
-  std::map<std::string, RolloutHolder> m_holders;
-  /// Order that the counts here are of.
-  std::string m_countedFor;
+  std::map<std::string, RolloutHolder> m_leaders;
+  /// Target version of the order for which the local worker is counted.
+  std::string m_countedTarget;
   TimePoint m_nextCounts{};
   TimePoint m_nextRead{};
   bool m_hasRead{ false };
--- a/include/greengagehub/daemon/store_sync.hpp
+++ b/include/greengagehub/daemon/store_sync.hpp
@@ -11,11 +11,11 @@
 
 namespace greengagehub {
 
-/// \brief Reads the decision log, and the snapshot it builds on when needed,
-/// and stages what is new. While Watch is on it waits for the next change.
+/// \brief Reads the decision log, and if needed the snapshot it starts from,
+/// and stages new versions. While watching, waits for the next change.
 ///
-/// A store that is behind what runs here, or on another history, is reported
-/// and never followed.
+/// A store whose log is older than the version in force, or has a different
+/// history, is reported and not followed.
 template<Store StoreType>
 class StoreSync
 {
@@ -53,23 +53,23 @@
   {
   }
 
-  [[nodiscard]] bool IsBehind() const noexcept { return m_behind; }
-  [[nodiscard]] bool IsReachable() const noexcept { return m_reachable; }
+  [[nodiscard]] bool IsBehind() const noexcept { return m_isBehind; }
+  [[nodiscard]] bool IsReachable() const noexcept { return m_isReachable; }
 
-  /// \brief Starts or stops waiting for changes.
+  /// \brief Sets whether to wait for changes.
   void SetWatching(bool aWatching)
   {
-    const bool starts = aWatching && !m_watching;
-    m_watching = aWatching;
-    if (starts && !m_busy) {
+    const bool isStart = aWatching && !m_isWatching;
+    m_isWatching = aWatching;
+    if (isStart && !m_isBusy) {
       Read();
     }
   }
 
-  /// \brief Reads once, unless a read is under way.
+  /// \brief Reads once, unless a read is in progress.
   void ReadOnce()
   {
-    if (!m_busy) {
+    if (!m_isBusy) {
       Read();
     }
   }
@@ -77,21 +77,21 @@
 private:
   void Read()
   {
-    m_busy = true;
+    m_isBusy = true;
     Carry(MakeGet(std::string{ kLogKey }),
           [this](StoreReply aReply) { OnLog(std::move(aReply)); });
   }
 
-  void Wait()
+  void Watch()
   {
-    if (!m_watching) {
-      m_busy = false;
+    if (!m_isWatching) {
+      m_isBusy = false;
       return;
     }
     Carry(MakeWatch(std::string{ kLogKey }, m_revision, m_times.m_watch),
           [this](StoreReply aReply) {
             if (aReply.m_status == StoreReply::Status::NotModified) {
-              OnQuiet(aReply.m_storeRevision);
+              OnWatchTimeout(aReply.m_storeRevision);
               return;
             }
             if (aReply.m_status == StoreReply::Status::HistoryGone) {
@@ -102,17 +102,17 @@
           });
   }
 
-  /// A watch ran out with no change.
-  void OnQuiet(Revision aStoreRevision)
+  /// Handles a watch that ended without a change.
+  void OnWatchTimeout(Revision aStoreRevision)
   {
     if (aStoreRevision < m_revision) {
-      // The store has gone back, as one that was restored from a backup: no
-      // change will be told until it has caught up with what was waited for.
+      // The store was restored from a backup. It would report no change until
+      // its revision exceeds the watched one.
       Read();
       return;
     }
     m_revision = aStoreRevision;
-    Wait();
+    Watch();
   }
 
   void Carry(StoreRequest aRequest, StoreDone aDone)
@@ -120,7 +120,7 @@
     m_store.Carry(std::move(aRequest), std::move(aDone));
   }
 
-  void Later()
+  void RetryLater()
   {
     m_timer.expires_after(Jittered(m_random, m_backoff));
     m_backoff = std::min(2 * m_backoff, m_times.m_maxBackoff);
@@ -128,10 +128,10 @@
       if (aError) {
         return;
       }
-      if (m_watching) {
+      if (m_isWatching) {
         Read();
       } else {
-        m_busy = false;
+        m_isBusy = false;
       }
     });
   }
@@ -139,14 +139,14 @@
   void OnLog(StoreReply aReply)
   {
     using Status = StoreReply::Status;
-    const bool known =
+    const bool isReachable =
       aReply.m_status == Status::Ok || aReply.m_status == Status::NotFound;
-    if (known != m_reachable) {
-      m_reachable = known;
-      m_log.Warning("store", known ? "store_reachable" : "store_away");
+    if (isReachable != m_isReachable) {
+      m_isReachable = isReachable;
+      m_log.Warning("store", isReachable ? "store_reachable" : "store_away");
     }
-    if (!known) {
-      Later();
+    if (!isReachable) {
+      RetryLater();
       return;
     }
     m_backoff = m_times.m_firstBackoff;
@@ -157,22 +157,22 @@
         m_log.Error("store",
                     "log_unreadable",
                     { { "detail", parsed.error().m_message } });
-        Later();
+        RetryLater();
         return;
       }
       log = std::move(parsed.value());
     }
     m_revision = aReply.m_storeRevision;
-    Take(std::move(log));
+    ApplyLog(std::move(log));
   }
 
-  void Take(DecisionLog aLog)
+  void ApplyLog(DecisionLog aLog)
   {
     CheckHistory(aLog);
     m_handlers.m_onHead(aLog.m_head);
     const Version before = m_holder.GetVersion();
-    if (m_behind || aLog.m_head <= before) {
-      Wait();
+    if (m_isBehind || aLog.m_head <= before) {
+      Watch();
       return;
     }
     const auto entries = aLog.EntriesAfter(before);
@@ -187,9 +187,9 @@
   {
     for (const VersionEntry& each : aEntries) {
       const StageResult result = m_holder.Stage(each);
-      const bool bad =
+      const bool isUnusable =
         result == StageResult::Forked || result == StageResult::Corrupt;
-      if (bad) {
+      if (isUnusable) {
         m_log.Error("store",
                     "version_not_usable",
                     { { "version", each.m_version.m_number },
@@ -200,22 +200,22 @@
     if (m_holder.GetVersion() > aBefore) {
       m_handlers.m_onAdvanced(aBefore);
     }
-    Wait();
+    Watch();
   }
 
   void CheckHistory(const DecisionLog& aLog)
   {
-    const Version held = m_holder.GetVersion();
+    const Version inForce = m_holder.GetVersion();
     const VersionEntry* own = m_holder.Entry(aLog.m_head);
-    const bool older = aLog.m_head < held;
-    const bool other = own != nullptr && own->m_chain != aLog.m_chain;
-    const bool behind = older || other;
-    if (behind != m_behind) {
-      m_behind = behind;
+    const bool isOlder = aLog.m_head < inForce;
+    const bool isOtherHistory = own != nullptr && own->m_chain != aLog.m_chain;
+    const bool isBehind = isOlder || isOtherHistory;
+    if (isBehind != m_isBehind) {
+      m_isBehind = isBehind;
       m_log.Error("store",
-                  behind ? "store_behind" : "store_caught_up",
+                  isBehind ? "store_behind" : "store_caught_up",
                   { { "store_head", aLog.m_head.m_number },
-                    { "in_force", held.m_number } });
+                    { "in_force", inForce.m_number } });
     }
   }
 
@@ -237,14 +237,14 @@
     const auto& read = std::get<SnapshotRead>(aStep);
     if (read.m_status != SnapshotRead::Status::Ok) {
       m_log.Warning("store", "snapshot_not_read");
-      Later();
+      RetryLater();
       return;
     }
     const Version before = m_holder.GetVersion();
     if (m_holder.StageSnapshot(read.m_head, read.m_text) ==
         StageResult::Corrupt) {
       m_log.Error("store", "snapshot_damaged");
-      Later();
+      RetryLater();
       return;
     }
     const auto entries = m_snapshotLog.EntriesAfter(m_holder.GetVersion());
@@ -262,10 +262,10 @@
   Revision m_revision{ 0 };
   SnapshotReader m_snapshot{ Version{} };
   DecisionLog m_snapshotLog;
-  bool m_watching{ false };
-  bool m_busy{ false };
-  bool m_behind{ false };
-  bool m_reachable{ true };
+  bool m_isWatching{ false };
+  bool m_isBusy{ false };
+  bool m_isBehind{ false };
+  bool m_isReachable{ true };
 };
 
 }
--- a/include/greengagehub/daemon/wall_clock.hpp
+++ b/include/greengagehub/daemon/wall_clock.hpp
@@ -15,8 +15,8 @@
     std::chrono::system_clock::now());
 }
 
-/// \returns Time since the machine started. Unlike the steady clock it counts
-/// a suspension of the machine, which must be noticed as any other pause.
+/// \returns Time since the machine started. Unlike the steady clock it includes
+/// suspensions of the machine.
 [[nodiscard]] inline std::chrono::nanoseconds
 BootTime()
 {
@@ -26,7 +26,8 @@
          std::chrono::nanoseconds{ now.tv_nsec };
 }
 
-/// \returns BootTime() as a moment, for what must not outlive a suspension.
+/// \returns BootTime() as a time point, for deadlines that include suspensions
+/// of the machine.
 [[nodiscard]] inline TimePoint
 BootNow()
 {
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -10,25 +10,25 @@
 namespace {
 
 constexpr auto kTick = std::chrono::milliseconds{ 100 };
-/// Changes of the configuration are taken together for this part of the time
-/// in which one must be in force.
-constexpr int kSettleShare = 8;
-/// Daemons of a failure domain that follow the store; the others hear from
-/// them. One may be lost with a change on its way before it takes a peer of
-/// another domain.
-constexpr std::size_t kReaders = 2;
-/// A daemon that has heard no other one for so long is cut off; probes come
-/// about twice a second.
+/// Divides the time limit for applying a configuration; successive changes are
+/// coalesced for that long.
+constexpr int kCoalesceDivisor = 8;
+/// Daemons per failure domain that watch the store and push changes to the
+/// others; two, so that one may fail.
+constexpr std::size_t kWatchersPerDomain = 2;
+/// Time without a datagram after which a daemon treats itself as isolated; a
+/// multiple of the probe interval.
 constexpr auto kIsolatedAfter = std::chrono::milliseconds{ 2500 };
-/// Between two looks at who is among them, which passes over all members.
-constexpr auto kRankEvery = std::chrono::milliseconds{ 500 };
-/// Longest pause between reads of the configuration while the store is away.
+/// Interval between computations of the own rank, which scan all members.
+constexpr auto kRankInterval = std::chrono::milliseconds{ 500 };
+/// Longest pause between reads of the configuration while the store is
+/// unreachable.
 constexpr auto kMaxFeedBackoff = std::chrono::milliseconds{ 500 };
-/// Links on which a configuration of half a megabyte takes a fifth of a second
-/// and more; at 5 Mbit/s it takes 0.9 s, during which no caller is served.
+/// Links up to this bandwidth read the compressed copy, because the whole
+/// configuration would delay calls noticeably.
 constexpr std::uint32_t kSlowLinkMbps = 20;
-/// Members asked at once for the version they run, for one operator.
-constexpr std::size_t kRefreshAtOnce = 64;
+/// Limits the probes that one operator request causes.
+constexpr std::size_t kMaxProbedMembers = 64;
 
 MemberRecord
 MakeSelf(const Settings& aSettings,
@@ -42,7 +42,7 @@
   self.m_service = aSettings.m_service;
   self.m_domain = aSettings.m_domain;
   self.m_region = aSettings.m_region;
-  // On the platform a worker is known only once it has reported.
+  // The platform's workers report their slots in heartbeats.
   self.m_slots = aSettings.m_platform.m_enabled ? 0 : aSettings.m_runs.m_slots;
   self.m_linkMbps = aSettings.m_linkMbps;
   self.m_address = { aSettings.m_listen.m_host, aGossipPort, aBulkPort, 0 };
@@ -75,9 +75,9 @@
       aLoop,
       aSettings.m_listen.m_host,
       aSettings.m_listen.m_bulkPort,
-      [this](const PullRequest& aRequest) { return Serve(aRequest); },
+      [this](const PullRequest& aRequest) { return ServePull(aRequest); },
       [this](const PullRequest& aRequest, std::size_t aBytes) {
-        CountAnswer(aRequest, aBytes);
+        RecordAnswerBytes(aRequest, aBytes);
       })
   , m_membership(MakeSelf(aSettings, aProcess, m_gossip.Port(), m_bulk.Port()),
                  aSettings.m_membership,
@@ -101,20 +101,21 @@
            std::string{ platform::kConfigKey },
            std::string{ platform::kOperatorsPrefix },
            { .m_watch = aSettings.m_store.m_watch,
-             .m_settle = aSettings.m_platform.m_configApply / kSettleShare,
+             .m_coalesceDelay =
+               aSettings.m_platform.m_configApply / kCoalesceDivisor,
              .m_maxBackoff = kMaxFeedBackoff },
            m_random(),
            { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
              .m_onHead = [this](Version aHead) { m_gate.HeardStore(aHead); },
              .m_onConfirmed =
-               [this](TimePoint aAsked, const StoreConfig& aConfig) {
-                 m_workspaces.OnConfirmed(aAsked, aConfig);
+               [this](TimePoint aRequestedAt, const StoreConfig& aConfig) {
+                 m_workspaces.OnConfirmed(aRequestedAt, aConfig);
                },
-             .m_onBeside =
+             .m_onPrefixChanged =
                [this](const std::vector<StoreItem>& aItems) {
                  m_rollouts.OnStoreItems(aItems);
                },
-             .m_onMissed = [this] { m_rollouts.OnStoreMissed(); } })
+             .m_onChangesMissed = [this] { m_rollouts.OnStoreMissed(); } })
   , m_decisions(
       m_store,
       m_holder,
@@ -124,8 +125,8 @@
   , m_quarantine(
       { m_store,
         aLog,
-        [this](const QuarantineNews& aNews, QuarantineKeeper::Reach aReach) {
-          Spread(aNews, aReach);
+        [this](const QuarantineNews& aUpdate, QuarantineKeeper::Scope aScope) {
+          PublishQuarantine(aUpdate, aScope);
         },
         [this] { return m_membership.IsFirstOfAll(); } })
   , m_rollouts(RolloutParts())
@@ -167,31 +168,31 @@
 }
 
 std::optional<std::uint32_t>
-ControlPlane::LeastSlotsOfOwnService() const
+ControlPlane::MinSlotsOfOwnService() const
 {
-  std::optional<std::uint32_t> least;
+  std::optional<std::uint32_t> lowest;
   m_membership.Members().Rows().Each(
     [&](MemberTable::Index, const MemberRow& aRow) {
       const MemberRecord& record = aRow.m_record;
-      const bool tells = IsPresent(record.m_state) && record.m_slots > 0 &&
-                         record.m_service == m_settings.m_service;
-      if (tells) {
-        least = std::min(least.value_or(record.m_slots), record.m_slots);
+      const bool isKnown = IsPresent(record.m_state) && record.m_slots > 0 &&
+                           record.m_service == m_settings.m_service;
+      if (isKnown) {
+        lowest = std::min(lowest.value_or(record.m_slots), record.m_slots);
       }
     });
-  return least;
+  return lowest;
 }
 
 void
-ControlPlane::RefreshBelow(Version aVersion)
+ControlPlane::ProbeBelowVersion(Version aVersion)
 {
   std::vector<MemberPeer> lagging;
   m_membership.Members().Rows().Each(
     [&](MemberTable::Index, const MemberRow& aRow) {
-      const bool asks = IsPresent(aRow.m_record.m_state) &&
-                        aRow.m_version < aVersion &&
-                        lagging.size() < kRefreshAtOnce;
-      if (asks) {
+      const bool isLagging = IsPresent(aRow.m_record.m_state) &&
+                             aRow.m_version < aVersion &&
+                             lagging.size() < kMaxProbedMembers;
+      if (isLagging) {
         lagging.push_back(m_membership.PeerOf(aRow.m_record));
       }
     });
@@ -212,7 +213,7 @@
   m_watchRole = WatchRole{ m_settings.m_watch, self, m_random() };
   m_seedKeeper = SeedKeeper{ self, m_random() };
   m_started = Clock::now();
-  // Herds restart together: spread the first call to the store as well.
+  // Jitter spreads the first store requests of daemons that restart together.
   m_nextJoin = m_started + Jittered(m_random, m_joinBackoff);
   m_memberSync = MemberSync{ m_started, m_random() };
   for (const MemberAddress& each : m_settings.m_seeds) {
@@ -237,23 +238,24 @@
     Join();
   }
   ContactWhileJoining(now);
-  FindDomains(now);
+  DiscoverDomains(now);
   const bool joined = m_memberSync.HasJoined();
-  const bool isAlone = !joined && now - m_started >= kAloneAfter;
-  const bool reads = isAlone || (joined && m_membership.SpeaksForDomain());
-  m_quarantine.OnTick(now, reads);
-  m_rollouts.OnTick(now, reads && m_settings.m_platform.m_enabled);
+  const bool isJoinOverdue = !joined && now - m_started >= kStandaloneAfter;
+  const bool readsStore =
+    isJoinOverdue || (joined && m_membership.SpeaksForDomain());
+  m_quarantine.OnTick(now, readsStore);
+  m_rollouts.OnTick(now, readsStore && m_settings.m_platform.m_enabled);
   m_workspaces.OnTick();
   PullWhenDue(now);
   if (m_settings.m_platform.m_enabled) {
-    FollowPlatform(now);
+    UpdateStoreRoles(now);
   } else {
-    RunWatchRole(now);
+    UpdateWatchLease(now);
   }
-  const bool alone =
-    m_holder.GetVersion() == Version{} && now - m_started > kAloneAfter;
-  if (alone && !m_fallbackRead && !m_settings.m_platform.m_enabled) {
-    m_fallbackRead = true;
+  const bool isStandalone =
+    m_holder.GetVersion() == Version{} && now - m_started > kStandaloneAfter;
+  if (isStandalone && !m_hasFallbackRead && !m_settings.m_platform.m_enabled) {
+    m_hasFallbackRead = true;
     m_sync.ReadOnce();
   }
   m_tick.expires_after(kTick);
@@ -325,7 +327,7 @@
 ControlPlane::OnGossip(const MemberAddress& aFrom,
                        const GossipMessage& aMessage)
 {
-  m_lastHeard = Clock::now();
+  m_lastReceived = Clock::now();
   if (aMessage.m_kind == GossipMessage::Kind::Quota) {
     m_workspaces.OnMessage(aMessage);
     return;
@@ -343,25 +345,26 @@
   if (aMessage.m_counts) {
     m_rollouts.OnCounts(*aMessage.m_counts);
   }
-  CompareVerdicts(now, aMessage);
-  CompareRollouts(now, aMessage);
+  SyncVerdicts(now, aMessage);
+  SyncRollouts(now, aMessage);
   MembershipActions actions = m_membership.OnMessage(now, aFrom, aMessage);
-  // A peer that lags gets what fits beside the answer to its probe.
-  const Version theirs = aMessage.m_head.m_version;
-  if (theirs < m_holder.GetVersion()) {
+  // A lagging peer receives the versions that fit into the acknowledgement.
+  const Version peerVersion = aMessage.m_head.m_version;
+  if (peerVersion < m_holder.GetVersion()) {
     for (GossipSend& each : actions.m_sends) {
       if (each.m_message.m_kind == GossipMessage::Kind::Ack) {
-        each.m_message.m_entries = m_disseminator.ToRepair(m_holder, theirs);
+        each.m_message.m_entries =
+          m_disseminator.ToRepair(m_holder, peerVersion);
       }
     }
   }
   Carry(std::move(actions));
-  const VersionEntry* own = m_holder.Entry(theirs);
+  const VersionEntry* own = m_holder.Entry(peerVersion);
   if (own != nullptr && own->m_chain != aMessage.m_head.m_chain) {
     m_log.Error("config",
                 "peer_on_another_history",
                 { { "member", aMessage.m_sender.m_slot },
-                  { "version", theirs.m_number } });
+                  { "version", peerVersion.m_number } });
     return;
   }
   m_disseminator.OnDigest(
@@ -373,36 +376,37 @@
 // Watching the store
 
 void
-ControlPlane::RunWatchRole(TimePoint aNow)
+ControlPlane::UpdateWatchLease(TimePoint aNow)
 {
-  // A daemon that has just started knows nobody, and would take itself for the
-  // first of its domain: a herd that restarts would storm the store's places.
-  if (!m_memberSync.HasJoined() && aNow - m_started < kAloneAfter) {
+  // Before it has joined, a daemon knows no peers and would rank itself first.
+  // Daemons that restart together would all request the watch lease.
+  if (!m_memberSync.HasJoined() && aNow - m_started < kStandaloneAfter) {
     return;
   }
   const std::size_t rank =
     m_watchRole.NeedsRank(aNow) ? m_membership.RankInDomain() : 0;
   if (auto request = m_watchRole.OnTick(aNow, rank)) {
-    CarryWatch(std::move(*request));
+    ExecuteWatchRequest(std::move(*request));
   }
   m_sync.SetWatching(m_watchRole.Holds(aNow));
 }
 
 void
-ControlPlane::FollowPlatform(TimePoint aNow)
+ControlPlane::UpdateStoreRoles(TimePoint aNow)
 {
   if (aNow < m_nextRank) {
     return;
   }
-  m_nextRank = aNow + kRankEvery;
+  m_nextRank = aNow + kRankInterval;
   std::optional<std::size_t> rank;
   if (m_memberSync.HasJoined()) {
     rank = m_membership.RankInDomain();
   }
-  if (m_memberSync.HasJoined() || aNow - m_started >= kAloneAfter) {
-    m_feed.SetWatching(rank.value_or(0) < kReaders);
-    // Passes over all members, which only the first of a domain needs.
-    m_feed.SetKeepingCopy(rank.value_or(0) == 0 && m_membership.IsFirstOfAll());
+  if (m_memberSync.HasJoined() || aNow - m_started >= kStandaloneAfter) {
+    m_feed.SetWatching(rank.value_or(0) < kWatchersPerDomain);
+    // IsFirstOfAll() scans all members, so the rank is checked first.
+    m_feed.SetMaintainsCopy(rank.value_or(0) == 0 &&
+                            m_membership.IsFirstOfAll());
   }
   auto request = m_seedKeeper.OnTick(aNow, rank);
   if (request) {
@@ -436,24 +440,26 @@
            .m_hearsOthers =
              [this] {
                return m_membership.Members().Present() == 0 ||
-                      Clock::now() - m_lastHeard < kIsolatedAfter;
+                      Clock::now() - m_lastReceived < kIsolatedAfter;
              },
            .m_send =
              [this](GossipSend aSend) {
                aSend.m_message.m_sender = m_membership.Self();
                SendGossip(std::move(aSend));
              },
-           .m_storeConfig = [this] { return m_feed.Known(); },
+           .m_storeConfig = [this] { return m_feed.LastRead(); },
            .m_onDocument =
-             [this](StoreReply aReply) { m_feed.Offer(std::move(aReply)); } };
+             [this](StoreReply aReply) {
+               m_feed.OnStoreReply(std::move(aReply));
+             } };
 }
 
 void
-ControlPlane::CarryWatch(StoreRequest aRequest)
+ControlPlane::ExecuteWatchRequest(StoreRequest aRequest)
 {
   m_store.Carry(std::move(aRequest), [this](const StoreReply& aReply) {
     if (auto next = m_watchRole.OnReply(Clock::now(), aReply)) {
-      CarryWatch(std::move(*next));
+      ExecuteWatchRequest(std::move(*next));
     }
   });
 }
--- a/src/daemon/control_plane_joining.cpp
+++ b/src/daemon/control_plane_joining.cpp
@@ -2,44 +2,42 @@
 
 #include <algorithm>
 
-// How a daemon finds the others: by the addresses in the store, those of its
-// own failure domain first, and by comparing members.
+// Joining the fleet: finds peers through the seed addresses in the store, those
+// of the own failure domain first, and synchronizes the member table with them.
 
 namespace greengagehub {
 
 namespace {
 
 constexpr std::chrono::milliseconds kMaxJoinBackoff{ 15'000 };
-/// Where all start together, the first seed may stand only some seconds later;
-/// until then the pause between looks for one stays short.
-constexpr auto kHerdTime = std::chrono::seconds{ 6 };
-/// Addresses of other domains that a joining daemon asks at once: where all
-/// start together, each answer brings up to a datagram of news across.
-constexpr std::size_t kFarSeedsAsked = 2;
-constexpr std::chrono::milliseconds kHerdJoinBackoff{ 500 };
-/// For so long after its start a daemon asks others for members, every so
-/// often. Where all start together each knows nobody, and what one learns only
-/// spreads by asking: with one probe a second, calls of a service found no
-/// worker for 3.5 s although all of them ran.
-constexpr auto kJoinTime = std::chrono::seconds{ 3 };
-constexpr std::chrono::milliseconds kContactEvery{ 200 };
+/// During this time after the start the pause between reads of the seeds stays
+/// short, because daemons that start together publish their addresses late.
+constexpr auto kStartupTime = std::chrono::seconds{ 6 };
+/// Addresses in other failure domains that a joining daemon contacts at once;
+/// limits the traffic between domains.
+constexpr std::size_t kMaxOtherDomainSeeds = 2;
+constexpr std::chrono::milliseconds kStartupJoinBackoff{ 500 };
+/// A daemon contacts peers at this interval for this long after its start.
+/// Probes alone spread members too slowly when all daemons start together.
+constexpr auto kContactTime = std::chrono::seconds{ 3 };
+constexpr std::chrono::milliseconds kContactInterval{ 200 };
 
 }
 
 void
 ControlPlane::ContactWhileJoining(TimePoint aNow)
 {
-  const bool due = aNow - m_started < kJoinTime && aNow >= m_nextContact;
+  const bool due = aNow - m_started < kContactTime && aNow >= m_nextContact;
   if (!due) {
     return;
   }
-  m_nextContact = aNow + Jittered(m_random, kContactEvery);
+  m_nextContact = aNow + Jittered(m_random, kContactInterval);
   std::vector<MemberPeer> targets = m_membership.SampleNear(1);
   if (targets.empty()) {
     targets = m_membership.Sample(1);
   }
-  if (targets.empty() && !m_seedsHeard.empty()) {
-    targets.push_back(m_seedsHeard[Below(m_random, m_seedsHeard.size())]);
+  if (targets.empty() && !m_knownSeeds.empty()) {
+    targets.push_back(m_knownSeeds[Below(m_random, m_knownSeeds.size())]);
   }
   for (const MemberPeer& each : targets) {
     Contact(each);
@@ -47,7 +45,7 @@
 }
 
 void
-ControlPlane::FindDomains(TimePoint aNow)
+ControlPlane::DiscoverDomains(TimePoint aNow)
 {
   if (!m_memberSync.HasJoined() || !m_membership.SpeaksForDomain()) {
     return;
@@ -66,19 +64,19 @@
 {
   const TimePoint now = Clock::now();
   m_nextJoin = now + Jittered(m_random, m_joinBackoff);
-  if (!m_seedsHeard.empty()) {
-    // They are being asked; one of them is most likely just slow.
-    m_nextJoin += kHerdJoinBackoff;
+  if (!m_knownSeeds.empty()) {
+    // The known seeds have been contacted; waits longer for their answers.
+    m_nextJoin += kStartupJoinBackoff;
   }
-  const auto longest =
-    now - m_started < kHerdTime ? kHerdJoinBackoff : kMaxJoinBackoff;
+  const auto maxBackoff =
+    now - m_started < kStartupTime ? kStartupJoinBackoff : kMaxJoinBackoff;
   m_joinBackoff =
-    std::min<std::chrono::milliseconds>(2 * m_joinBackoff, longest);
+    std::min<std::chrono::milliseconds>(2 * m_joinBackoff, maxBackoff);
   for (const MemberAddress& each : m_settings.m_seeds) {
     Contact({ each });
   }
-  ++m_joinTries;
-  // Addresses are hints, whether or not they are the newest ones.
+  ++m_joinAttempts;
+  // Outdated addresses are acceptable.
   m_store.Carry(MakeOldList(std::string{ kSeedPrefix }),
                 [this](const StoreReply& aReply) { OnSeeds(aReply); });
 }
@@ -87,45 +85,50 @@
 ControlPlane::OnSeeds(const StoreReply& aReply)
 {
   if (aReply.m_status != StoreReply::Status::Ok) {
-    // Whoever was read before is still asked.
+    // Addresses from earlier reads stay in use.
     return;
   }
   const std::string domain = SeedPrefix(m_settings.m_domain);
-  std::uint32_t taken = 0;
-  std::vector<MemberPeer> far;
-  std::vector<DomainFinder::Seed> others;
-  m_seedsHeard.clear();
+  std::uint32_t ownDomainSeeds = 0;
+  std::vector<MemberPeer> otherDomainPeers;
+  std::vector<DomainFinder::Seed> otherDomainSeeds;
+  m_knownSeeds.clear();
   for (const StoreItem& each : aReply.m_items) {
-    const bool isNear = each.m_key.starts_with(domain);
-    taken += isNear ? 1 : 0;
+    const bool isOwnDomain = each.m_key.starts_with(domain);
+    ownDomainSeeds += isOwnDomain ? 1 : 0;
     const auto address = ParseSeed(each.m_value);
-    const bool other = address && !(*address == m_membership.Self().m_address);
-    if (other && !isNear) {
-      others.push_back({ DomainOfSeed(each.m_key), { *address, true } });
+    const bool isPeer = address && !(*address == m_membership.Self().m_address);
+    if (isPeer && !isOwnDomain) {
+      otherDomainSeeds.push_back(
+        { DomainOfSeed(each.m_key), { *address, true } });
     }
-    if (other) {
-      (isNear ? m_seedsHeard : far).push_back({ *address, !isNear });
+    if (isPeer) {
+      (isOwnDomain ? m_knownSeeds : otherDomainPeers)
+        .push_back({ *address, !isOwnDomain });
     }
   }
-  m_domainFinder.OnSeeds(std::move(others));
+  m_domainFinder.OnSeeds(std::move(otherDomainSeeds));
   if (m_memberSync.HasJoined()) {
     return;
   }
-  const bool someoneNear = !m_seedsHeard.empty();
-  if (!someoneNear || m_joinTries > 1) {
-    // Nobody of the own domain stands there, or nobody has answered.
-    std::shuffle(far.begin(), far.end(), m_random);
-    far.resize(std::min(far.size(), kFarSeedsAsked));
-    m_seedsHeard.insert(m_seedsHeard.end(), far.begin(), far.end());
+  const bool hasOwnDomainPeer = !m_knownSeeds.empty();
+  if (!hasOwnDomainPeer || m_joinAttempts > 1) {
+    // No peer of the own domain is known, or none has answered.
+    std::shuffle(otherDomainPeers.begin(), otherDomainPeers.end(), m_random);
+    otherDomainPeers.resize(
+      std::min(otherDomainPeers.size(), kMaxOtherDomainSeeds));
+    m_knownSeeds.insert(
+      m_knownSeeds.end(), otherDomainPeers.begin(), otherDomainPeers.end());
   }
-  for (const MemberPeer& each : m_seedsHeard) {
+  for (const MemberPeer& each : m_knownSeeds) {
     Contact(each);
   }
   const TimePoint now = Clock::now();
-  // Where none of them has answered by now, all of them are gone.
-  const bool fresh = now - m_started < kAloneAfter;
-  m_seedKeeper.OnSeeds(now, fresh && someoneNear);
-  if (taken >= m_settings.m_watch.m_watchers) {
+  // By kStandaloneAfter, running peers would have answered; later, the seeds
+  // are treated as stale.
+  const bool isStarting = now - m_started < kStandaloneAfter;
+  m_seedKeeper.OnSeeds(now, isStarting && hasOwnDomainPeer);
+  if (ownDomainSeeds >= m_settings.m_watch.m_watchers) {
     m_watchRole.NoteAllTaken(now);
   }
 }
@@ -138,7 +141,7 @@
   }
   m_memberSync.Joined();
   m_gate.Joined();
-  // Hear at once from as many as it takes to be ready.
+  // Contacts enough peers to become ready.
   for (const MemberPeer& each :
        m_membership.SampleNearFirst(ReadyGate::kPeers)) {
     Contact(each);
--- a/src/daemon/control_plane_quarantine.cpp
+++ b/src/daemon/control_plane_quarantine.cpp
@@ -1,25 +1,24 @@
 #include "greengagehub/daemon/control_plane.hpp"
 
-// News of requests under which workers ended, between daemons.
+// Exchange of quarantine updates between daemons.
 
 namespace greengagehub {
 
 namespace {
 
-/// Members of the own domain that each daemon tells what is new to it. With
-/// four all but one in e^4 of a domain hear it within as many hops as its
-/// size's logarithm; who does not is told on a probe.
-constexpr std::size_t kNewsFanout = 4;
-/// Between two tellings of all verdicts to peers that have others.
-constexpr std::chrono::milliseconds kVerdictsEvery{ 200 };
+/// Peers of the own domain to which a daemon forwards an update. The few that
+/// it does not reach are updated when a probe shows a different digest.
+constexpr std::size_t kUpdateFanout = 4;
+/// Shortest time between two transmissions of all verdicts.
+constexpr std::chrono::milliseconds kVerdictsInterval{ 200 };
 
 }
 
 void
-ControlPlane::SendNews(const std::vector<MemberPeer>& aTo,
-                       const QuarantineNews& aNews)
+ControlPlane::SendQuarantine(const std::vector<MemberPeer>& aTo,
+                             const QuarantineNews& aUpdate)
 {
-  for (QuarantineNews& part : SplitNews(aNews)) {
+  for (QuarantineNews& part : SplitNews(aUpdate)) {
     GossipMessage message;
     message.m_kind = GossipMessage::Kind::Push;
     message.m_sender = m_membership.Self();
@@ -32,29 +31,30 @@
 }
 
 void
-ControlPlane::Spread(const QuarantineNews& aNews,
-                     QuarantineKeeper::Reach aReach)
+ControlPlane::PublishQuarantine(const QuarantineNews& aUpdate,
+                                QuarantineKeeper::Scope aScope)
 {
-  SendNews(m_membership.SampleNear(kNewsFanout), aNews);
-  if (aReach == QuarantineKeeper::Reach::All) {
-    SendNews(m_membership.SampleEachDomain(), aNews);
-    // Twice: a domain that misses it goes on until a probe tells. An end that
-    // one domain misses is counted by the others.
-    SendNews(m_membership.SampleEachDomain(), { {}, aNews.m_verdicts });
+  SendQuarantine(m_membership.SampleNear(kUpdateFanout), aUpdate);
+  if (aScope == QuarantineKeeper::Scope::AllDomains) {
+    SendQuarantine(m_membership.SampleEachDomain(), aUpdate);
+    // Sends the verdicts twice to compensate for datagram loss: a domain that
+    // misses both runs the request until a probe shows a different digest.
+    // Crash reports are sent once, because other domains count them too.
+    SendQuarantine(m_membership.SampleEachDomain(), { {}, aUpdate.m_verdicts });
   }
 }
 
 void
-ControlPlane::CompareVerdicts(TimePoint aNow, const GossipMessage& aMessage)
+ControlPlane::SyncVerdicts(TimePoint aNow, const GossipMessage& aMessage)
 {
   const Quarantine& own = m_quarantine.Table();
   const bool differs = aMessage.m_verdicts != own.Summary();
-  if (!differs || own.Summary() == 0 || aNow < m_nextVerdicts) {
+  if (!differs || own.Summary() == 0 || aNow < m_nextVerdictSync) {
     return;
   }
-  m_nextVerdicts = aNow + kVerdictsEvery;
-  SendNews({ m_membership.PeerOf(aMessage.m_sender) },
-           { {}, own.Verdicts(aNow) });
+  m_nextVerdictSync = aNow + kVerdictsInterval;
+  SendQuarantine({ m_membership.PeerOf(aMessage.m_sender) },
+                 { {}, own.Verdicts(aNow) });
 }
 
 }
--- a/src/daemon/control_plane_rollouts.cpp
+++ b/src/daemon/control_plane_rollouts.cpp
@@ -2,23 +2,23 @@
 
 #include <algorithm>
 
-// News of versions on trial, between daemons.
+// Exchange of roll-out records and counts between daemons.
 
 namespace greengagehub {
 
 namespace {
 
-/// Members of the own domain that each daemon tells a new state. With four all
-/// but one in e^4 hear it within as many hops as the logarithm of the domain's
-/// size; who does not is told on a probe, and stops when its leave runs out.
+/// Peers of the own domain to which a daemon forwards a change of state. The
+/// few that it does not reach are updated when a probe shows a different
+/// digest, and stop when their permit expires.
 constexpr std::size_t kStateFanout = 4;
-/// The same for a leave that is renewed: the next one comes in a third of the
-/// time for which it is lent.
-constexpr std::size_t kLeaveFanout = 2;
-/// Between two tellings of all roll-outs to peers that have others.
-constexpr std::chrono::milliseconds kRolloutsEvery{ 200 };
-/// Records in a datagram of 1,400 bytes beside its sender.
-constexpr std::size_t kRecordsAtOnce = 6;
+/// Peers to which a daemon forwards a renewed permit; renewals follow at a
+/// third of the permit's time.
+constexpr std::size_t kPermitFanout = 2;
+/// Shortest time between two transmissions of all roll-outs.
+constexpr std::chrono::milliseconds kRolloutsInterval{ 200 };
+/// Records that fit into a datagram beside the sender.
+constexpr std::size_t kRecordsPerDatagram = 6;
 
 }
 
@@ -33,24 +33,27 @@
         const PlatformSettings& platform = m_settings.m_platform;
         return RolloutLimits{ platform.m_trialShare, platform.m_trialSlack };
       },
-    .m_spread =
+    .m_publish =
       [this](const std::vector<RolloutRecord>& aRecords,
-             RolloutKeeper::Reach aReach,
+             RolloutKeeper::Scope aScope,
              RolloutTable::Change aChange) {
-        SpreadRollouts(aRecords, aReach, aChange);
+        PublishRollouts(aRecords, aScope, aChange);
       },
-    .m_tell = [this](WorkerCounts aCounts) { TellCounts(std::move(aCounts)); },
-    .m_leads =
+    .m_sendCounts =
+      [this](WorkerCounts aCounts) { SendCounts(std::move(aCounts)); },
+    .m_isLeader =
       [this] {
         return m_memberSync.HasJoined() && m_membership.IsFirstOfAll();
       },
-    .m_writesForOthers = [this] { return m_membership.SpeaksForDomain(); },
+    .m_isBackupWriter = [this] { return m_membership.SpeaksForDomain(); },
     .m_workers =
       [this](const RolloutRecord& aRecord) { return WorkersOf(aRecord); },
-    .m_mainVersion =
-      [this](const std::string& aService) { return MainVersionOf(aService); },
-    .m_ownCounts = m_handlers.m_ownCounts,
-    .m_countAnew = m_handlers.m_countAnew
+    .m_mostCommonVersion =
+      [this](const std::string& aService) {
+        return MostCommonVersionOf(aService);
+      },
+    .m_workerCounts = m_handlers.m_workerCounts,
+    .m_resetWorkerCounts = m_handlers.m_resetWorkerCounts
   };
 }
 
@@ -58,12 +61,12 @@
 ControlPlane::SendRollouts(const std::vector<MemberPeer>& aTo,
                            const std::vector<RolloutRecord>& aRecords)
 {
-  for (std::size_t i = 0; i < aRecords.size(); i += kRecordsAtOnce) {
+  for (std::size_t i = 0; i < aRecords.size(); i += kRecordsPerDatagram) {
     GossipMessage message;
     message.m_kind = GossipMessage::Kind::Push;
     message.m_sender = m_membership.Self();
     message.m_members = m_membership.Digests().Summary();
-    const std::size_t end = std::min(aRecords.size(), i + kRecordsAtOnce);
+    const std::size_t end = std::min(aRecords.size(), i + kRecordsPerDatagram);
     message.m_rollouts.assign(aRecords.begin() + static_cast<std::ptrdiff_t>(i),
                               aRecords.begin() +
                                 static_cast<std::ptrdiff_t>(end));
@@ -74,37 +77,37 @@
 }
 
 void
-ControlPlane::SpreadRollouts(const std::vector<RolloutRecord>& aRecords,
-                             RolloutKeeper::Reach aReach,
-                             RolloutTable::Change aChange)
+ControlPlane::PublishRollouts(const std::vector<RolloutRecord>& aRecords,
+                              RolloutKeeper::Scope aScope,
+                              RolloutTable::Change aChange)
 {
   const bool isState = aChange == RolloutTable::Change::State;
-  SendRollouts(m_membership.SampleNear(isState ? kStateFanout : kLeaveFanout),
+  SendRollouts(m_membership.SampleNear(isState ? kStateFanout : kPermitFanout),
                aRecords);
-  if (aReach == RolloutKeeper::Reach::All) {
-    // Twice: a domain that misses it goes on until a probe tells.
+  if (aScope == RolloutKeeper::Scope::AllDomains) {
+    // Sends the records twice to compensate for datagram loss.
     SendRollouts(m_membership.SampleEachDomain(), aRecords);
     SendRollouts(m_membership.SampleEachDomain(), aRecords);
   }
 }
 
 void
-ControlPlane::CompareRollouts(TimePoint aNow, const GossipMessage& aMessage)
+ControlPlane::SyncRollouts(TimePoint aNow, const GossipMessage& aMessage)
 {
   const RolloutTable& own = m_rollouts.Table();
   const bool differs = aMessage.m_rolloutsDigest != own.Summary();
-  if (!differs || own.Summary() == 0 || aNow < m_nextRollouts) {
+  if (!differs || own.Summary() == 0 || aNow < m_nextRolloutSync) {
     return;
   }
-  m_nextRollouts = aNow + kRolloutsEvery;
+  m_nextRolloutSync = aNow + kRolloutsInterval;
   SendRollouts({ m_membership.PeerOf(aMessage.m_sender) }, own.All(aNow));
 }
 
 void
-ControlPlane::TellCounts(WorkerCounts aCounts)
+ControlPlane::SendCounts(WorkerCounts aCounts)
 {
-  const auto first = m_membership.FirstOfAll();
-  if (!first) {
+  const auto leader = m_membership.FirstOfAll();
+  if (!leader) {
     return;
   }
   GossipMessage message;
@@ -112,7 +115,7 @@
   message.m_sender = m_membership.Self();
   message.m_members = m_membership.Digests().Summary();
   message.m_counts = std::move(aCounts);
-  SendGossip({ *first, std::move(message) });
+  SendGossip({ *leader, std::move(message) });
 }
 
 RolloutHolder::Workers
@@ -120,9 +123,9 @@
 {
   RolloutHolder::Workers workers;
   const auto count = [&](const MemberRecord& aMember) {
-    const bool counts = aMember.m_service == aRecord.m_order.m_service &&
-                        TakesCalls(aMember.m_state) && aMember.m_slots > 0;
-    if (!counts) {
+    const bool isCounted = aMember.m_service == aRecord.m_order.m_service &&
+                           TakesCalls(aMember.m_state) && aMember.m_slots > 0;
+    if (!isCounted) {
       return;
     }
     const bool isNew = aMember.m_workerVersion == aRecord.m_order.m_target;
@@ -135,23 +138,23 @@
 }
 
 std::string
-ControlPlane::MainVersionOf(const std::string& aService) const
+ControlPlane::MostCommonVersionOf(const std::string& aService) const
 {
   std::map<std::string, std::size_t> counts;
   const auto count = [&](const MemberRecord& aMember) {
-    const bool tells = aMember.m_service == aService &&
-                       IsPresent(aMember.m_state) &&
-                       !aMember.m_workerVersion.empty();
-    if (tells) {
+    const bool isKnown = aMember.m_service == aService &&
+                         IsPresent(aMember.m_state) &&
+                         !aMember.m_workerVersion.empty();
+    if (isKnown) {
       ++counts[aMember.m_workerVersion];
     }
   };
   count(m_membership.Self());
   m_membership.Members().Rows().Each(
     [&](MemberTable::Index, const MemberRow& aRow) { count(aRow.m_record); });
-  const auto most = std::ranges::max_element(
+  const auto mostCommon = std::ranges::max_element(
     counts, {}, [](const auto& aEach) { return aEach.second; });
-  return most == counts.end() ? std::string{} : most->first;
+  return mostCommon == counts.end() ? std::string{} : mostCommon->first;
 }
 
 }
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -2,16 +2,16 @@
 
 #include "greengagehub/daemon/wall_clock.hpp"
 
-// Versions between daemons: applied, pushed, pulled, served.
+// Exchange of configuration versions between daemons: staging, push, pull and
+// serving pulls.
 
 namespace greengagehub {
 
 namespace {
 
 constexpr auto kPullTimeout = std::chrono::milliseconds{ 3000 };
-/// How long a start from the store may take before peers are asked: twice what
-/// the copy takes on a tenth of a core.
-constexpr auto kReadsStoreFor = std::chrono::milliseconds{ 800 };
+/// How long a starting daemon reads the store before it pulls from peers.
+constexpr auto kStoreReadTime = std::chrono::milliseconds{ 800 };
 
 TrafficPurpose
 PurposeOf(const PullRequest& aRequest)
@@ -52,11 +52,11 @@
         static_cast<std::int64_t>(WallNow().time_since_epoch().count()) } });
   m_workspaces.OnVersion();
   m_handlers.m_onVersion();
-  Push(aBefore);
+  PushEntries(aBefore);
 }
 
 void
-ControlPlane::Push(Version aBefore)
+ControlPlane::PushEntries(Version aBefore)
 {
   const auto entries = m_disseminator.ToPush(m_holder, aBefore);
   const std::uint32_t fanout = m_disseminator.Settings().m_fanout;
@@ -75,12 +75,12 @@
   if (!m_settings.m_platform.m_enabled || aFanout == 0) {
     return m_membership.Sample(aFanout);
   }
-  // Each domain reads the store itself. The speakers' pushes cover for one
-  // whose readers are lost at that moment: as many reach it as all others have.
+  // Each domain watches the store itself. Pushes of the relays cover for a
+  // domain whose watchers have failed.
   std::vector<MemberPeer> targets = m_membership.SampleNear(aFanout - 1);
   if (m_membership.SpeaksForDomain()) {
-    const auto far = m_membership.SampleEachDomain();
-    targets.insert(targets.end(), far.begin(), far.end());
+    const auto remote = m_membership.SampleEachDomain();
+    targets.insert(targets.end(), remote.begin(), remote.end());
   }
   return targets;
 }
@@ -88,11 +88,11 @@
 void
 ControlPlane::PullWhenDue(TimePoint aNow)
 {
-  // A daemon that has just started reads the store by itself; a peer's whole
-  // configuration would come second and take the link meanwhile.
+  // A starting daemon reads the store. Pulling the whole configuration from a
+  // peer at the same time would only load the link.
   const bool readsStore = m_settings.m_platform.m_enabled &&
                           m_holder.GetVersion() == Version{} &&
-                          aNow - m_started < kReadsStoreFor;
+                          aNow - m_started < kStoreReadTime;
   if (readsStore) {
     return;
   }
@@ -126,13 +126,13 @@
 }
 
 void
-ControlPlane::CountAnswer(const PullRequest& aRequest, std::size_t aBytes)
+ControlPlane::RecordAnswerBytes(const PullRequest& aRequest, std::size_t aBytes)
 {
-  const auto asker = m_membership.Members().Find(aRequest.m_slot);
-  const bool far =
-    asker &&
-    m_membership.Members().At(*asker).m_record.m_domain != m_settings.m_domain;
-  m_traffic.Add(PurposeOf(aRequest), far, aBytes);
+  const auto requester = m_membership.Members().Find(aRequest.m_slot);
+  const bool isOtherDomain =
+    requester && m_membership.Members().At(*requester).m_record.m_domain !=
+                   m_settings.m_domain;
+  m_traffic.Add(PurposeOf(aRequest), isOtherDomain, aBytes);
 }
 
 void
@@ -142,13 +142,13 @@
   if (!aAnswer) {
     return;
   }
-  // Before the members: which of their versions may have calls.
+  // Permits must be known before the members whose versions they cover.
   m_rollouts.OnNews(aAnswer->m_rollouts);
   m_gate.Raise(std::max(aAnswer->m_head.m_version, aAnswer->m_floor));
-  MembershipActions news =
+  MembershipActions actions =
     m_membership.OnRecords(Clock::now(), aAnswer->m_members);
-  m_memberSync.Ended(news.m_events.size());
-  Carry(std::move(news));
+  m_memberSync.Ended(actions.m_events.size());
+  Carry(std::move(actions));
   if (!aAnswer->m_members.empty()) {
     SetJoined();
   }
@@ -169,7 +169,7 @@
 }
 
 PullAnswer
-ControlPlane::Serve(const PullRequest& aRequest)
+ControlPlane::ServePull(const PullRequest& aRequest)
 {
   PullAnswer answer;
   answer.m_head = { m_holder.GetVersion(), m_holder.Active()->m_chain };
@@ -182,11 +182,11 @@
   answer.m_entries = m_holder.EntriesAfter(aRequest.m_have, complete);
   if (!complete) {
     const ActiveConfig& active = *m_holder.Active();
-    if (m_packedVersion != active.m_version) {
-      m_packedSnapshot = Compress(active.m_content.ToJson());
-      m_packedVersion = active.m_version;
+    if (m_compressedVersion != active.m_version) {
+      m_compressedSnapshot = Compress(active.m_content.ToJson());
+      m_compressedVersion = active.m_version;
     }
-    answer.m_snapshot = m_packedSnapshot;
+    answer.m_snapshot = m_compressedSnapshot;
     answer.m_snapshotHead = VersionEntry{
       active.m_version, {}, active.m_chain, active.m_content.GetDigest()
     };
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,21 +14,20 @@
 namespace {
 
 constexpr auto kTick = std::chrono::milliseconds{ 100 };
-/// A tick this late means that the process was paused.
-constexpr auto kPause = std::chrono::milliseconds{ 1000 };
-constexpr int kUncleanDrain = 1;
-/// Between two tellings of what crossed between failure domains, a line for
-/// each purpose.
-constexpr auto kTrafficLineEvery = std::chrono::seconds{ 10 };
-/// Left of the grace time when a drain that is not done gives up.
+/// A tick that is late by more than this means that the process was paused.
+constexpr auto kPauseThreshold = std::chrono::milliseconds{ 1000 };
+constexpr int kFailureExitCode = 1;
+/// Interval of the log lines on store calls and on traffic between failure
+/// domains.
+constexpr auto kTrafficLogInterval = std::chrono::seconds{ 10 };
+/// Part of the grace time that remains when an unfinished drain is aborted.
 constexpr auto kKillMargin = std::chrono::milliseconds{ 400 };
-/// A daemon asks its worker for its id so often, at most, and so long apart,
-/// while no report has come. Workers report every second or two.
+/// Limits of probes for the worker's id before its first heartbeat.
 constexpr int kMaxProbes = 3;
-constexpr auto kProbeEvery = std::chrono::milliseconds{ 500 };
+constexpr auto kProbeInterval = std::chrono::milliseconds{ 500 };
 
 LogLevel
-LevelFrom(std::string_view aName)
+ParseLogLevel(std::string_view aName)
 {
   for (const LogLevel each : { LogLevel::Debug,
                                LogLevel::Info,
@@ -46,7 +45,7 @@
 {
   std::map<std::string, LogLevel, std::less<>> components;
   for (const LogSettings::Component& each : aSettings.m_components) {
-    components.emplace(each.m_name, LevelFrom(each.m_level));
+    components.emplace(each.m_name, ParseLogLevel(each.m_level));
   }
   return components;
 }
@@ -54,12 +53,12 @@
 Log
 MakeLog(const Settings& aSettings)
 {
-  return { LevelFrom(aSettings.m_log.m_level),
+  return { ParseLogLevel(aSettings.m_log.m_level),
            ComponentLevels(aSettings.m_log),
            aSettings.m_slot };
 }
 
-/// Milliseconds at start, so that a restart is later than what it replaces.
+/// Milliseconds since the epoch; a restarted daemon has a higher number.
 std::uint64_t
 ProcessNumber()
 {
@@ -69,7 +68,7 @@
 void
 PrintSpan(const Span& aSpan)
 {
-  // Apart from the log, which has standard output to itself.
+  // Standard output is reserved for the log.
   fmt::print(stderr, "{}\n", SpanToOtlp(aSpan));
 }
 
@@ -92,8 +91,8 @@
       { .m_onMember =
           [this](const MemberEvent& aEvent) { m_calls.OnMember(aEvent); },
         .m_onVersion = [this] { m_calls.OnVersion(); },
-        .m_ownCounts = [this] { return m_calls.Counts(); },
-        .m_countAnew = [this] { m_calls.CountAnew(); } })
+        .m_workerCounts = [this] { return m_calls.Counts(); },
+        .m_resetWorkerCounts = [this] { m_calls.CountAnew(); } })
   , m_calls({ .m_loop = m_loop,
               .m_settings = m_settings,
               .m_dialect = Dialect(),
@@ -134,7 +133,7 @@
     m_log.Error(
       "daemon", "cannot_listen", { { "detail", opened.error().m_message } });
     m_log.Flush();
-    return kUncleanDrain;
+    return kFailureExitCode;
   }
   m_signals.async_wait([this](const asio::error_code& aError, int) {
     if (!aError) {
@@ -163,8 +162,8 @@
       .m_settings = m_settings,
       .m_log = m_log,
       .m_metrics = m_metrics,
-      .m_isReady = [this] { return m_control.IsReady() && !m_draining; },
-      .m_typicalSlots = [this] { return m_control.LeastSlotsOfOwnService(); },
+      .m_isReady = [this] { return m_control.IsReady() && !m_isDraining; },
+      .m_typicalSlots = [this] { return m_control.MinSlotsOfOwnService(); },
       .m_onWorker =
         [this](const WorkerPresence& aPresence) { OnWorker(aPresence); } });
     opened = m_platform->Open();
@@ -175,18 +174,18 @@
 const CallDialect&
 Daemon::Dialect() const noexcept
 {
-  static constexpr CallDialect kOwn{};
-  return m_settings.m_platform.m_enabled ? platform::kDialect : kOwn;
+  static constexpr CallDialect kDefaultDialect{};
+  return m_settings.m_platform.m_enabled ? platform::kDialect : kDefaultDialect;
 }
 
 void
 Daemon::OnWorker(const WorkerPresence& aPresence)
 {
   m_calls.OnWorker(aPresence);
-  const bool leaves = m_workerLeft || !aPresence.TakesCalls();
+  const bool isDraining = m_isWorkerDraining || !aPresence.TakesCalls();
   const WorkerReport& worker = *aPresence.Current();
   m_control.Announce(
-    leaves ? MemberState::Leaving : MemberState::Alive,
+    isDraining ? MemberState::Leaving : MemberState::Alive,
     { worker.m_slots, TagOf(worker.m_start), worker.m_version });
 }
 
@@ -206,14 +205,14 @@
 void
 Daemon::Spin()
 {
-  bool found = true;
-  while (found && (m_calls.InFlight() > 0 || m_calls.Runs().Running() > 0)) {
+  bool hasRun = true;
+  while (hasRun && (m_calls.InFlight() > 0 || m_calls.Runs().Running() > 0)) {
     const TimePoint start = Clock::now();
     const TimePoint until = start + m_spin.Allowed(start);
     TimePoint now = start;
-    found = false;
-    while (now < until && !found) {
-      found = m_loop.poll() > 0;
+    hasRun = false;
+    while (now < until && !hasRun) {
+      hasRun = m_loop.poll() > 0;
       now = Clock::now();
     }
     m_spin.Spent(now - start);
@@ -242,10 +241,10 @@
 void
 Daemon::LogTrafficWhenDue(TimePoint aNow)
 {
-  if (aNow < m_nextTrafficLine) {
+  if (aNow < m_nextTrafficLog) {
     return;
   }
-  m_nextTrafficLine = aNow + kTrafficLineEvery;
+  m_nextTrafficLog = aNow + kTrafficLogInterval;
   const platform::StoreCounts& store = m_control.GetStore().Counts();
   m_log.Info("traffic",
              "store_calls",
@@ -255,8 +254,8 @@
                { "watches", store.m_watches },
                { "failed", store.m_failures } });
   m_traffic.ForEach(
-    [this](TrafficPurpose aPurpose, bool aIsFar, std::uint64_t aBytes) {
-      if (aIsFar && aBytes > 0) {
+    [this](TrafficPurpose aPurpose, bool aIsOtherDomain, std::uint64_t aBytes) {
+      if (aIsOtherDomain && aBytes > 0) {
         m_log.Info("traffic",
                    "bytes_between_domains",
                    { { "purpose", NameOf(aPurpose) }, { "bytes", aBytes } });
@@ -269,13 +268,13 @@
 {
   const TimePoint now = Clock::now();
   const std::chrono::nanoseconds bootTime = BootTime();
-  const auto since = bootTime - m_lastBootTime;
-  if (m_lastTick != TimePoint{} && since > kPause) {
+  const auto sinceLastTick = bootTime - m_lastBootTime;
+  if (m_lastTick != TimePoint{} && sinceLastTick > kPauseThreshold) {
     m_log.Warning(
       "daemon",
       "was_paused",
       { { "milliseconds",
-          std::chrono::duration_cast<std::chrono::milliseconds>(since)
+          std::chrono::duration_cast<std::chrono::milliseconds>(sinceLastTick)
             .count() } });
     m_calls.OnProcessResumed();
     m_control.OnProcessResumed();
@@ -291,7 +290,7 @@
     m_wasReady = !m_wasReady;
     m_log.Info("daemon", m_wasReady ? "ready" : "not_ready");
   }
-  if (m_draining) {
+  if (m_isDraining) {
     ContinueDrain(now);
   }
   m_tick.expires_after(kTick);
@@ -326,14 +325,14 @@
     }
     return;
   }
-  // What sockets, tables and peers were set up with stays until a restart, and
-  // so does whether there is a platform at all.
+  // Settings of sockets, of the member table and of peers need a restart, as
+  // does the switch that enables the platform.
   const bool enabled = m_settings.m_platform.m_enabled;
   m_settings.m_log = settings.value().m_log;
   m_settings.m_platform = settings.value().m_platform;
   m_settings.m_platform.m_enabled = enabled;
   m_settings.m_operatorToken = settings.value().m_operatorToken;
-  m_log.SetLevels(LevelFrom(m_settings.m_log.m_level),
+  m_log.SetLevels(ParseLogLevel(m_settings.m_log.m_level),
                   ComponentLevels(m_settings.m_log));
   m_log.Info("daemon", "reloaded");
 }
@@ -344,25 +343,26 @@
 void
 Daemon::ProbeWorkerWhenDue(TimePoint aNow)
 {
-  const bool due = m_platform && m_probes < kMaxProbes && !m_draining &&
-                   m_control.Holder().GetVersion() > Version{} &&
-                   !m_platform->Worker().Current() && aNow >= m_nextProbe;
-  if (!due) {
+  const bool isDue = m_platform && m_workerProbes < kMaxProbes &&
+                     !m_isDraining &&
+                     m_control.Holder().GetVersion() > Version{} &&
+                     !m_platform->Worker().Current() && aNow >= m_nextProbe;
+  if (!isDue) {
     return;
   }
-  ++m_probes;
-  m_nextProbe = aNow + kProbeEvery;
+  ++m_workerProbes;
+  m_nextProbe = aNow + kProbeInterval;
   m_calls.ProbeWorker(
     [this](std::string aId) { m_platform->OnProbed(std::move(aId)); });
 }
 
 void
-Daemon::LeaveWorker()
+Daemon::DrainWorker()
 {
-  if (m_workerLeft) {
+  if (m_isWorkerDraining) {
     return;
   }
-  m_workerLeft = true;
+  m_isWorkerDraining = true;
   m_control.Announce(MemberState::Leaving);
   m_calls.StartLeaving();
 }
@@ -370,19 +370,20 @@
 void
 Daemon::StartDrain()
 {
-  if (m_draining) {
+  if (m_isDraining) {
     return;
   }
-  m_draining = true;
+  m_isDraining = true;
   m_log.Info("daemon", "drain_started");
   m_control.GetWorkspaces().Resign();
-  m_drainFrom = Clock::now();
-  m_drainUntil = m_drainFrom + m_settings.m_calls.m_drain;
+  m_drainStart = Clock::now();
+  m_drainDeadline = m_drainStart + m_settings.m_calls.m_drain;
   if (m_settings.m_platform.m_enabled) {
-    m_drainUntil = m_drainFrom + m_settings.m_platform.m_grace - kKillMargin;
+    m_drainDeadline =
+      m_drainStart + m_settings.m_platform.m_grace - kKillMargin;
   }
   if (!m_settings.m_platform.m_enabled) {
-    LeaveWorker();
+    DrainWorker();
   }
 }
 
@@ -401,35 +402,35 @@
   } else if (m_idleSince == TimePoint{}) {
     m_idleSince = aNow;
   }
-  const bool idle = m_idleSince != TimePoint{};
-  const bool lingered =
-    idle && aNow - m_idleSince >= m_settings.m_calls.m_linger;
+  const bool isIdle = m_idleSince != TimePoint{};
+  const bool hasLingered =
+    isIdle && aNow - m_idleSince >= m_settings.m_calls.m_linger;
   if (m_settings.m_platform.m_enabled) {
-    const LeavingStep step = StepOfLeaving(aNow - m_drainFrom);
+    const LeavingStep step = StepOfLeaving(aNow - m_drainStart);
     if (!step.m_servesWorker) {
-      LeaveWorker();
+      DrainWorker();
     }
-    if (!m_finishing && !step.m_takesCallers) {
-      m_finishing = true;
+    if (!m_hasStoppedAccepting && !step.m_takesCallers) {
+      m_hasStoppedAccepting = true;
       m_calls.FinishCallers();
     }
-    if (m_finishing && (idle || aNow >= m_drainUntil)) {
-      EndDrain(idle);
+    if (m_hasStoppedAccepting && (isIdle || aNow >= m_drainDeadline)) {
+      EndDrain(isIdle);
     }
     return;
   }
-  if (lingered || aNow >= m_drainUntil) {
+  if (hasLingered || aNow >= m_drainDeadline) {
     m_calls.FinishCallers();
-    EndDrain(lingered);
+    EndDrain(hasLingered);
   }
 }
 
 void
 Daemon::EndDrain(bool aClean)
 {
-  m_exitCode = aClean ? 0 : kUncleanDrain;
+  m_exitCode = aClean ? 0 : kFailureExitCode;
   m_log.Info("daemon", "drain_ended", { { "clean", aClean } });
-  m_nextTrafficLine = TimePoint{};
+  m_nextTrafficLog = TimePoint{};
   LogTrafficWhenDue(Clock::now());
   m_log.Flush();
   m_control.Announce(MemberState::Left);
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -11,16 +11,17 @@
 
 namespace {
 
-constexpr std::string_view kPatches = "/v1/patches";
+constexpr std::string_view kPatchesPath = "/v1/patches";
 constexpr std::string_view kPatchPrefix = "/v1/patches/";
-constexpr std::size_t kMaxId = 200;
-constexpr std::size_t kMaxBody = 256UL * 1024;
+constexpr std::size_t kMaxIdLength = 200;
+constexpr std::size_t kMaxBodyBytes = 256UL * 1024;
 
-/// Ids stand in paths and logs: printable ASCII without blanks or slashes.
+/// Ids occur in paths and log lines: printable ASCII without blanks or reserved
+/// characters.
 bool
 IsValidId(std::string_view aId)
 {
-  return !aId.empty() && aId.size() <= kMaxId &&
+  return !aId.empty() && aId.size() <= kMaxIdLength &&
          std::all_of(aId.begin(), aId.end(), [](char aChar) {
            return aChar > ' ' && aChar < 0x7F && aChar != '/' && aChar != '?' &&
                   aChar != '#' && aChar != '%';
@@ -52,14 +53,14 @@
 }
 
 HttpServerSettings
-Endpoint(const Settings& aSettings)
+ServerSettings(const Settings& aSettings)
 {
   return { .m_address = aSettings.m_listen.m_host,
            .m_port = aSettings.m_listen.m_operatorsPort,
-           .m_limits = { .m_maxBodyBytes = kMaxBody } };
+           .m_limits = { .m_maxBodyBytes = kMaxBodyBytes } };
 }
 
-/// Names and figures only; never a key.
+/// Contains names and numbers, never an API key.
 Json
 WorkspaceStatus(const WorkspaceService& aWorkspaces)
 {
@@ -77,7 +78,7 @@
 OperatorsApi::OperatorsApi(Parts aParts)
   : m_parts(std::move(aParts))
   , m_http(m_parts.m_loop,
-           Endpoint(m_parts.m_settings),
+           ServerSettings(m_parts.m_settings),
            [this](const HttpRequest& aRequest, HttpResponder aResponder) {
              OnHttp(aRequest, std::move(aResponder));
            })
@@ -98,7 +99,7 @@
 OperatorsApi::OnHttp(const HttpRequest& aRequest, HttpResponder aResponder)
 {
   if (aRequest.m_method == "GET") {
-    OnRead(aRequest, std::move(aResponder));
+    OnGet(aRequest, std::move(aResponder));
     return;
   }
   if (aRequest.m_method != "POST") {
@@ -107,20 +108,20 @@
   }
   if (!IsAuthorised(aRequest)) {
     aResponder.Answer(Problem(
-      401, "unauthorised", "a change needs the operators' bearer token"));
+      401, "unauthorised", "POST requires the operators' bearer token"));
     return;
   }
-  OnChange(aRequest, std::move(aResponder));
+  OnPost(aRequest, std::move(aResponder));
 }
 
 void
-OperatorsApi::OnChange(const HttpRequest& aRequest, HttpResponder aResponder)
+OperatorsApi::OnPost(const HttpRequest& aRequest, HttpResponder aResponder)
 {
   const std::string_view path = PathOf(aRequest.m_target);
-  if (path == kPatches) {
+  if (path == kPatchesPath) {
     Submit(aRequest, std::move(aResponder));
   } else if (path == "/v1/quarantine/lift") {
-    aResponder.Answer(Lift(aRequest));
+    aResponder.Answer(LiftQuarantine(aRequest));
   } else if (path == "/v1/rollouts/start") {
     aResponder.Answer(StartRollout(aRequest));
   } else if (path == "/v1/rollouts/stop") {
@@ -139,13 +140,17 @@
   const std::string id = QueryValue(aRequest.m_target, "id");
   const auto base = ParseNumber(QueryValue(aRequest.m_target, "base"));
   if (!IsValidId(id)) {
-    aResponder.Answer(Problem(
-      400, "bad-id", "id: 1 to 200 printable characters without / ? # %"));
+    aResponder.Answer(
+      Problem(400,
+              "bad-id",
+              "id: expected 1 to 200 printable characters without / ? # %"));
     return;
   }
   if (!base) {
     aResponder.Answer(
-      Problem(400, "bad-base", "base: the version that the patch is against"));
+      Problem(400,
+              "bad-base",
+              "base: expected the version number that the patch is based on"));
     return;
   }
   auto patch = CanonicalPatch(aRequest.m_body);
@@ -169,14 +174,14 @@
 }
 
 void
-OperatorsApi::Explain(std::string aId, HttpResponder aResponder)
+OperatorsApi::FindDecision(std::string aId, HttpResponder aResponder)
 {
-  m_parts.m_control.Decisions().Explain(
+  m_parts.m_control.Decisions().FindDecision(
     std::move(aId),
     [responder = std::move(aResponder)](const DecisionAnswer& aAnswer) mutable {
       HttpResponse response = ResponseFor(aAnswer);
       if (aAnswer.m_kind == DecisionAnswer::Kind::Decided) {
-        // The question was answered, whatever the decision was.
+        // The request succeeded even if the recorded decision is a rejection.
         response.m_status = 200;
       }
       responder.Answer(std::move(response));
@@ -184,15 +189,15 @@
 }
 
 void
-OperatorsApi::OnRead(const HttpRequest& aRequest, HttpResponder aResponder)
+OperatorsApi::OnGet(const HttpRequest& aRequest, HttpResponder aResponder)
 {
   const std::string_view path = PathOf(aRequest.m_target);
   ControlPlane& control = m_parts.m_control;
   if (path.starts_with(kPatchPrefix)) {
-    Explain(std::string{ path.substr(kPatchPrefix.size()) },
-            std::move(aResponder));
+    FindDecision(std::string{ path.substr(kPatchPrefix.size()) },
+                 std::move(aResponder));
   } else if (path == "/v1/version") {
-    aResponder.Answer(VersionNow(aRequest));
+    aResponder.Answer(VersionStatus(aRequest));
   } else if (path == "/v1/config") {
     aResponder.Answer(
       JsonResponse(200, control.Holder().Active()->m_content.ToJson()));
@@ -201,7 +206,7 @@
   } else if (path == "/v1/status") {
     aResponder.Answer(Status());
   } else if (path == "/v1/quarantine") {
-    aResponder.Answer(HeldContents());
+    aResponder.Answer(QuarantinedRequests());
   } else if (path == "/v1/rollouts") {
     aResponder.Answer(Rollouts());
   } else if (path == "/metrics") {
@@ -218,12 +223,13 @@
 }
 
 HttpResponse
-OperatorsApi::VersionNow(const HttpRequest& aRequest)
+OperatorsApi::VersionStatus(const HttpRequest& aRequest)
 {
   ControlPlane& control = m_parts.m_control;
-  const auto wanted = ParseNumber(QueryValue(aRequest.m_target, "refresh"));
-  if (wanted) {
-    control.RefreshBelow(Version{ *wanted });
+  const auto refreshBelow =
+    ParseNumber(QueryValue(aRequest.m_target, "refresh"));
+  if (refreshBelow) {
+    control.ProbeBelowVersion(Version{ *refreshBelow });
   }
   const ActiveConfig& active = *control.Holder().Active();
   return JsonResponse(
@@ -240,7 +246,7 @@
 {
   const auto after = ParseNumber(QueryValue(aRequest.m_target, "after"));
   if (!after) {
-    return Problem(400, "bad-after", "after: a version number");
+    return Problem(400, "bad-after", "after: expected a version number");
   }
   bool complete = false;
   const auto entries =
@@ -289,42 +295,45 @@
 }
 
 HttpResponse
-OperatorsApi::HeldContents() const
+OperatorsApi::QuarantinedRequests() const
 {
   const Quarantine& quarantine = m_parts.m_control.GetQuarantine().Table();
   const TimePoint now = Clock::now();
-  Json held = Json::array();
+  Json quarantined = Json::array();
   for (const ContentVerdict& each : quarantine.Verdicts(now)) {
     if (!each.m_isHeld) {
       continue;
     }
     Json witnesses = Json::array();
-    for (const auto& seen : quarantine.EndsSeen(now, each.m_content)) {
-      witnesses.push_back({ { "slot", seen.m_slot },
-                            { "ago_ms", Millis(seen.m_age) },
-                            { "ran_ms", Millis(seen.m_ran) } });
+    for (const auto& crash : quarantine.EndsSeen(now, each.m_content)) {
+      witnesses.push_back({ { "slot", crash.m_slot },
+                            { "ago_ms", Millis(crash.m_age) },
+                            { "ran_ms", Millis(crash.m_ran) } });
     }
-    held.push_back({ { "content", ToHex(each.m_content) },
-                     { "service", each.m_service },
-                     { "generation", each.m_generation },
-                     { "ends", each.m_ends },
-                     { "held_ms", Millis(each.m_age) },
-                     { "left_ms", Millis(Quarantine::kHoldTime - each.m_age) },
-                     { "witnesses", std::move(witnesses) } });
+    quarantined.push_back(
+      { { "content", ToHex(each.m_content) },
+        { "service", each.m_service },
+        { "generation", each.m_generation },
+        { "ends", each.m_ends },
+        { "held_ms", Millis(each.m_age) },
+        { "left_ms", Millis(Quarantine::kHoldTime - each.m_age) },
+        { "witnesses", std::move(witnesses) } });
   }
-  return JsonResponse(200, Dump(Json{ { "held", std::move(held) } }));
+  return JsonResponse(200, Dump(Json{ { "held", std::move(quarantined) } }));
 }
 
 HttpResponse
-OperatorsApi::Lift(const HttpRequest& aRequest)
+OperatorsApi::LiftQuarantine(const HttpRequest& aRequest)
 {
   const auto content =
     ParseFingerprint(QueryValue(aRequest.m_target, "content"));
   if (!content) {
-    return Problem(400, "bad-content", "content: 32 hexadecimal digits");
+    return Problem(
+      400, "bad-content", "content: expected 32 hexadecimal digits");
   }
   if (!m_parts.m_control.GetQuarantine().Lift(content.value())) {
-    return Problem(404, "not-held", "no such content is held");
+    return Problem(
+      404, "not-held", "no request with this fingerprint is quarantined");
   }
   return JsonResponse(200, R"({"lifted":true})");
 }
@@ -342,11 +351,13 @@
   metrics.SetBytes("bulk", "sent", bulk.m_bytesSent);
   metrics.SetBytes("bulk", "received", bulk.m_bytesReceived);
   metrics.SetBytes("store", "received", store.m_bytesIn);
-  m_parts.m_traffic.ForEach(
-    [&metrics](TrafficPurpose aPurpose, bool aIsFar, std::uint64_t aBytes) {
-      metrics.SetBytes(
-        NameOf(aPurpose), aIsFar ? "to another domain" : "within", aBytes);
-    });
+  m_parts.m_traffic.ForEach([&metrics](TrafficPurpose aPurpose,
+                                       bool aIsOtherDomain,
+                                       std::uint64_t aBytes) {
+    metrics.SetBytes(NameOf(aPurpose),
+                     aIsOtherDomain ? "to another domain" : "within",
+                     aBytes);
+  });
   metrics.SetStoreCalls("read", store.m_reads);
   metrics.SetStoreCalls("old read", store.m_oldReads);
   metrics.SetStoreCalls("write", store.m_writes);
--- a/src/daemon/operators_api_rollouts.cpp
+++ b/src/daemon/operators_api_rollouts.cpp
@@ -2,13 +2,13 @@
 
 #include "operators_answers.hpp"
 
-// Versions on trial, for operators.
+// Roll-out requests of the operators' API.
 
 namespace greengagehub {
 
 namespace {
 
-/// A day; a longer trial is a mistake.
+/// Longest roll-out: one day.
 constexpr std::uint64_t kMaxDurationMs = 86'400'000;
 
 Json
@@ -52,18 +52,20 @@
     QueryValue(target, "target"),
     std::chrono::milliseconds{ static_cast<std::int64_t>(duration.value_or(0)) }
   };
-  const bool isGood = !order.m_service.empty() && !order.m_target.empty() &&
-                      duration && *duration > 0 && *duration <= kMaxDurationMs;
-  if (!isGood) {
-    return Problem(400,
-                   "bad-order",
-                   "service and target: names; duration_ms: 1 to 86400000");
+  const bool isValid = !order.m_service.empty() && !order.m_target.empty() &&
+                       duration && *duration > 0 && *duration <= kMaxDurationMs;
+  if (!isValid) {
+    return Problem(
+      400,
+      "bad-order",
+      "expected a service, a target, and a duration_ms of 1 to 86400000");
   }
   if (!m_parts.m_control.GetRollouts().Start(order)) {
-    return Problem(409,
-                   "order-known",
-                   "this version was ordered before; give another build "
-                   "another version");
+    return Problem(
+      409,
+      "order-known",
+      "a roll-out of this version was already ordered; a new build "
+      "needs a new version");
   }
   return JsonResponse(202, R"({"started":true})");
 }
@@ -73,7 +75,8 @@
 {
   const std::string service = QueryValue(aRequest.m_target, "service");
   if (!m_parts.m_control.GetRollouts().Stop(service)) {
-    return Problem(404, "not-under-way", "no roll-out of it is under way");
+    return Problem(
+      404, "not-under-way", "no roll-out of this service is in progress");
   }
   return JsonResponse(202, R"({"rolled_back":true})");
 }
--- a/src/daemon/platform_endpoints.cpp
+++ b/src/daemon/platform_endpoints.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/// Calls sent at once to a worker that gave its id and has not reported yet,
-/// where no other of its service is known: few enough for any.
-constexpr std::uint32_t kSlotsUntilTold = 4;
-/// Lines about reports that name no worker: any writer may send them as fast as
-/// it likes, and a few a second tell enough.
-constexpr double kRefusalLinesPerSecond = 1.0;
-constexpr double kRefusalLinesBurst = 20.0;
+/// Assumed slots of a worker that has answered a probe but not reported, if no
+/// other worker of its service is known.
+constexpr std::uint32_t kDefaultSlots = 4;
+/// Limits of the log lines on rejected reports, which any client can send at
+/// any rate.
+constexpr double kRejectionLogsPerSecond = 1.0;
+constexpr double kRejectionLogsBurst = 20.0;
 
 HttpServerSettings
 ServerAt(const HostPort& aAddress)
@@ -47,7 +47,7 @@
 PlatformEndpoints::PlatformEndpoints(Parts aParts)
   : m_parts(std::move(aParts))
   , m_worker(m_parts.m_settings.m_platform.m_heartbeat)
-  , m_refusalLines(kRefusalLinesPerSecond, kRefusalLinesBurst)
+  , m_rejectionLogBudget(kRejectionLogsPerSecond, kRejectionLogsBurst)
   , m_readiness(m_parts.m_loop,
                 ServerAt(m_parts.m_settings.m_listen.m_readiness),
                 [this](const HttpRequest& aRequest, HttpResponder aResponder) {
@@ -89,29 +89,31 @@
 {
   const auto notice = platform::ParseNotice(aRequest);
   if (!notice) {
-    Refuse("heartbeat_unreadable", notice.error().m_message);
+    RejectReport("heartbeat_unreadable", notice.error().m_message);
     aResponder.Answer(JsonResponse(400, "{}"));
     return;
   }
   const auto* left = std::get_if<platform::WorkerLeft>(&notice.value());
   const WorkerPresence::Change change =
     left != nullptr ? m_worker.OnLeft(Clock::now(), left->m_start)
-                    : Take(std::get<WorkerReport>(notice.value()));
-  Tell(change);
-  // Answered after the change is in force here: nothing reaches the worker but
+                    : ApplyReport(std::get<WorkerReport>(notice.value()));
+  PublishChange(change);
+  // The answer follows the change because the worker receives calls only
   // through this daemon.
   aResponder.Answer(JsonResponse(200, "{}"));
 }
 
 void
-PlatformEndpoints::Refuse(std::string_view aEvent, std::string_view aDetail)
+PlatformEndpoints::RejectReport(std::string_view aEvent,
+                                std::string_view aDetail)
 {
   m_parts.m_metrics.CountRefusedReport(aEvent);
-  if (m_refusalLines.Take(Clock::now())) {
+  if (m_rejectionLogBudget.Take(Clock::now())) {
     m_parts.m_log.Warning(
       "worker",
       aEvent,
-      { { "detail", aDetail }, { "left_out", m_refusalLines.TakeLeftOut() } });
+      { { "detail", aDetail },
+        { "left_out", m_rejectionLogBudget.TakeLeftOut() } });
   }
 }
 
@@ -121,12 +123,12 @@
   WorkerReport report;
   report.m_start.m_id = std::move(aId);
   report.m_service = m_parts.m_settings.m_service;
-  report.m_slots = m_parts.m_typicalSlots().value_or(kSlotsUntilTold);
-  Tell(m_worker.OnProbed(Clock::now(), std::move(report)));
+  report.m_slots = m_parts.m_typicalSlots().value_or(kDefaultSlots);
+  PublishChange(m_worker.OnProbed(Clock::now(), std::move(report)));
 }
 
 void
-PlatformEndpoints::Tell(WorkerPresence::Change aChange)
+PlatformEndpoints::PublishChange(WorkerPresence::Change aChange)
 {
   if (aChange == WorkerPresence::Change::None) {
     return;
@@ -147,18 +149,18 @@
 }
 
 WorkerPresence::Change
-PlatformEndpoints::Take(const WorkerReport& aReport)
+PlatformEndpoints::ApplyReport(const WorkerReport& aReport)
 {
   const HostPort& own = m_parts.m_settings.m_worker;
   const bool isOwn =
     aReport.m_service == m_parts.m_settings.m_service &&
     aReport.m_address == own.m_host + ":" + std::to_string(own.m_port);
   if (!isOwn) {
-    Refuse("heartbeat_of_another",
-           fmt::format("{} of {} at {}",
-                       aReport.m_start.m_id,
-                       aReport.m_service,
-                       aReport.m_address));
+    RejectReport("heartbeat_of_another",
+                 fmt::format("instance {} of service {} at {}",
+                             aReport.m_start.m_id,
+                             aReport.m_service,
+                             aReport.m_address));
     return WorkerPresence::Change::None;
   }
   return m_worker.OnReport(Clock::now(), aReport);
--- a/src/daemon/quarantine_keeper.cpp
+++ b/src/daemon/quarantine_keeper.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::string_view kComponent = "quarantine";
-/// Between two tries to read the store while it is away.
-constexpr auto kReadAgain = std::chrono::milliseconds{ 1000 };
-/// A daemon beside a worker that ended writes the verdict within a call's time;
-/// after this it is taken for lost.
-constexpr auto kWriteForOthersAfter = std::chrono::milliseconds{ 1500 };
+/// Shortest time between two reads of an unreachable store.
+constexpr auto kReadInterval = std::chrono::milliseconds{ 1000 };
+/// Delay before verdicts of other daemons are written; the daemon beside the
+/// crashed worker writes them first unless it has failed.
+constexpr auto kBackupWriteDelay = std::chrono::milliseconds{ 1500 };
 
 }
 
@@ -27,13 +27,13 @@
 }
 
 void
-QuarantineKeeper::OnTick(TimePoint aNow, bool aReads)
+QuarantineKeeper::OnTick(TimePoint aNow, bool aReadsStore)
 {
-  if (aReads && !m_hasRead && !m_isReading && aNow >= m_nextRead) {
-    m_nextRead = aNow + kReadAgain;
+  if (aReadsStore && !m_hasRead && !m_isReading && aNow >= m_nextRead) {
+    m_nextRead = aNow + kReadInterval;
     Read(false);
   }
-  Carry(aNow, m_quarantine.OnTick(aNow), Reach::Domain);
+  ApplyChanges(aNow, m_quarantine.OnTick(aNow), Scope::OwnDomain);
   Write(m_writer.OnTick(aNow));
 }
 
@@ -41,27 +41,28 @@
 QuarantineKeeper::OnOwnEnd(EndReport aReport)
 {
   const TimePoint now = Clock::now();
-  Carry(now, m_quarantine.OnOwnEnd(now, std::move(aReport)), Reach::All);
+  ApplyChanges(
+    now, m_quarantine.OnOwnEnd(now, std::move(aReport)), Scope::AllDomains);
 }
 
 void
 QuarantineKeeper::OnRanWell(Fingerprint aContent)
 {
   const TimePoint now = Clock::now();
-  Carry(now, m_quarantine.OnRanWell(now, aContent), Reach::All);
+  ApplyChanges(now, m_quarantine.OnRanWell(now, aContent), Scope::AllDomains);
 }
 
 void
-QuarantineKeeper::OnNews(const QuarantineNews& aNews)
+QuarantineKeeper::OnNews(const QuarantineNews& aUpdate)
 {
   const TimePoint now = Clock::now();
-  Carry(now, m_quarantine.OnNews(now, aNews), Reach::Domain);
+  ApplyChanges(now, m_quarantine.OnNews(now, aUpdate), Scope::OwnDomain);
 }
 
 void
 QuarantineKeeper::OnStoreRestored()
 {
-  if (!m_parts.m_writesForOthers()) {
+  if (!m_parts.m_isBackupWriter()) {
     return;
   }
   const TimePoint now = Clock::now();
@@ -79,36 +80,36 @@
   const TimePoint now = Clock::now();
   const auto changes = m_quarantine.Lift(now, aContent);
   if (changes) {
-    Carry(now, *changes, Reach::All);
+    ApplyChanges(now, *changes, Scope::AllDomains);
   }
   return changes.has_value();
 }
 
 void
-QuarantineKeeper::Carry(TimePoint aNow,
-                        const QuarantineChanges& aChanges,
-                        Reach aReach)
+QuarantineKeeper::ApplyChanges(TimePoint aNow,
+                               const QuarantineChanges& aChanges,
+                               Scope aScope)
 {
   for (const ContentVerdict& each : aChanges.m_verdicts) {
-    LogVerdict(each, aReach);
+    LogVerdict(each, aScope);
     const bool isOwn =
       std::ranges::any_of(aChanges.m_own, [&](const ContentVerdict& aOwn) {
         return aOwn.m_content == each.m_content;
       });
     if (!each.m_isHeld) {
-      // Whoever lets it go deletes the key; when its time is over the store
-      // has done so itself.
-      if (aReach == Reach::All) {
+      // The daemon that lifts a verdict deletes its key; expired keys are
+      // deleted by the store.
+      if (aScope == Scope::AllDomains) {
         m_writer.Lift(each.m_content, aNow);
       }
     } else if (isOwn) {
       m_writer.Hold(each, aNow, false);
-    } else if (m_parts.m_writesForOthers()) {
-      m_writer.Hold(each, aNow + kWriteForOthersAfter, true);
+    } else if (m_parts.m_isBackupWriter()) {
+      m_writer.Hold(each, aNow + kBackupWriteDelay, true);
     }
   }
   if (!aChanges.m_news.IsEmpty()) {
-    m_parts.m_spread(aChanges.m_news, aReach);
+    m_parts.m_publish(aChanges.m_news, aScope);
   }
   if (!aChanges.m_verdicts.empty()) {
     Write(m_writer.OnTick(aNow));
@@ -116,7 +117,7 @@
 }
 
 void
-QuarantineKeeper::LogVerdict(const ContentVerdict& aVerdict, Reach aReach) const
+QuarantineKeeper::LogVerdict(const ContentVerdict& aVerdict, Scope aScope) const
 {
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
@@ -129,37 +130,39 @@
       { "ends", std::uint64_t{ aVerdict.m_ends } },
       { "generation", std::uint64_t{ aVerdict.m_generation } },
       { "age_ms", duration_cast<milliseconds>(aVerdict.m_age).count() },
-      { "decided", aReach == Reach::All ? "here" : "elsewhere" } });
+      { "decided", aScope == Scope::AllDomains ? "here" : "elsewhere" } });
 }
 
 // ---------------------------------------------------------------------------
 // Store
 
 void
-QuarantineKeeper::Read(bool aMayBeOld)
+QuarantineKeeper::Read(bool aAllowStale)
 {
   m_isReading = true;
   const std::string prefix{ kVerdictPrefix };
-  m_parts.m_store.Carry(
-    aMayBeOld ? MakeOldList(prefix) : MakeList(prefix),
-    [this, aMayBeOld](const StoreReply& aReply) { OnRead(aReply, aMayBeOld); });
+  m_parts.m_store.Carry(aAllowStale ? MakeOldList(prefix) : MakeList(prefix),
+                        [this, aAllowStale](const StoreReply& aReply) {
+                          OnRead(aReply, aAllowStale);
+                        });
 }
 
 void
-QuarantineKeeper::OnRead(const StoreReply& aReply, bool aMayBeOld)
+QuarantineKeeper::OnRead(const StoreReply& aReply, bool aAllowStale)
 {
   m_isReading = false;
   if (aReply.m_status != StoreReply::Status::Ok) {
-    // Others that know tell it, too; a speaker tries again.
-    m_parts.m_log.Info(kComponent, "store_not_read", { { "old", aMayBeOld } });
+    // Peers also send verdicts, and domain relays read again on a later tick.
+    m_parts.m_log.Info(
+      kComponent, "store_not_read", { { "old", aAllowStale } });
     return;
   }
-  m_hasRead = m_hasRead || !aMayBeOld;
-  QuarantineNews news;
+  m_hasRead = m_hasRead || !aAllowStale;
+  QuarantineNews update;
   for (const StoreItem& each : aReply.m_items) {
     const auto verdict = ParseVerdict(each.m_key, each.m_value);
     if (verdict) {
-      news.m_verdicts.push_back(verdict.value());
+      update.m_verdicts.push_back(verdict.value());
     } else {
       m_parts.m_log.Warning(
         kComponent,
@@ -167,7 +170,7 @@
         { { "key", each.m_key }, { "detail", verdict.error().m_message } });
     }
   }
-  OnNews(news);
+  OnNews(update);
 }
 
 void
--- a/src/daemon/rollout_keeper.cpp
+++ b/src/daemon/rollout_keeper.cpp
@@ -9,15 +9,15 @@
 namespace {
 
 constexpr std::string_view kComponent = "rollout";
-/// Between two tries to read the store while it is away.
-constexpr std::chrono::milliseconds kReadAgain{ 1000 };
-/// Between two tellings of counts to who leads.
-constexpr std::chrono::milliseconds kCountsEvery{ 300 };
-/// A daemon that leads writes within a call's time; after this it is taken for
-/// lost, or for cut off from the store.
-constexpr std::chrono::milliseconds kWriteForOthersAfter{ 700 };
-
-/// \returns What the store is to say of it.
+/// Shortest time between two reads of an unreachable store.
+constexpr std::chrono::milliseconds kReadInterval{ 1000 };
+/// Interval between reports of counts to the leader.
+constexpr std::chrono::milliseconds kCountsInterval{ 300 };
+/// Delay before this daemon writes in place of the leader, which writes first
+/// unless it has failed or cannot reach the store.
+constexpr std::chrono::milliseconds kBackupWriteDelay{ 700 };
+
+/// \returns The status to be stored for a record.
 RolloutStatus
 StatusOf(const RolloutRecord& aRecord)
 {
@@ -42,17 +42,17 @@
 }
 
 void
-RolloutKeeper::OnTick(TimePoint aNow, bool aReads)
+RolloutKeeper::OnTick(TimePoint aNow, bool aReadsStore)
 {
-  if (aReads && !m_hasRead && !m_isReading && aNow >= m_nextRead) {
-    m_nextRead = aNow + kReadAgain;
+  if (aReadsStore && !m_hasRead && !m_isReading && aNow >= m_nextRead) {
+    m_nextRead = aNow + kReadInterval;
     Read();
   }
   if (m_table.IsEmpty()) {
     return;
   }
-  TellCounts(aNow);
-  Lead(aNow);
+  ReportCounts(aNow);
+  LeadRollouts(aNow);
   Write(m_writer.OnTick(aNow));
 }
 
@@ -61,79 +61,80 @@
 {
   const TimePoint now = Clock::now();
   for (const RolloutRecord& each : aRecords) {
-    Carry(now, each.m_order.m_service, m_table.Take(now, each), Reach::Domain);
+    ApplyChange(
+      now, each.m_order.m_service, m_table.Take(now, each), Scope::OwnDomain);
   }
 }
 
 void
-RolloutKeeper::Carry(TimePoint aNow,
-                     const std::string& aService,
-                     Change aChange,
-                     Reach aReach)
+RolloutKeeper::ApplyChange(TimePoint aNow,
+                           const std::string& aService,
+                           Change aChange,
+                           Scope aScope)
 {
   if (aChange == Change::None) {
     return;
   }
   const RolloutRecord record = *m_table.Find(aNow, aService);
   if (aChange == Change::State) {
-    LogChange(record, aReach);
-    WantStatus(aNow, record, aReach);
+    LogChange(record, aScope);
+    ScheduleStatus(aNow, record, aScope);
   }
-  m_parts.m_spread({ record }, aReach, aChange);
+  m_parts.m_publish({ record }, aScope, aChange);
 }
 
 void
-RolloutKeeper::WantStatus(TimePoint aNow,
-                          const RolloutRecord& aRecord,
-                          Reach aReach)
+RolloutKeeper::ScheduleStatus(TimePoint aNow,
+                              const RolloutRecord& aRecord,
+                              Scope aScope)
 {
   const std::string& service = aRecord.m_order.m_service;
   if (aRecord.m_isWritten) {
     m_writer.Drop(service);
     return;
   }
-  const bool isOwn = aReach == Reach::All && m_parts.m_leads();
-  const bool writes = isOwn || (aRecord.m_state != RolloutState::Running &&
-                                m_parts.m_writesForOthers());
-  if (!writes || aRecord.m_isResumed) {
+  const bool isOwn = aScope == Scope::AllDomains && m_parts.m_isLeader();
+  const bool isWriter = isOwn || (aRecord.m_state != RolloutState::Running &&
+                                  m_parts.m_isBackupWriter());
+  if (!isWriter || aRecord.m_isResumed) {
     return;
   }
-  m_writer.Want(StatusOf(aRecord), isOwn ? aNow : aNow + kWriteForOthersAfter);
+  m_writer.Want(StatusOf(aRecord), isOwn ? aNow : aNow + kBackupWriteDelay);
 }
 
 // ---------------------------------------------------------------------------
 // Leading
 
 void
-RolloutKeeper::Lead(TimePoint aNow)
+RolloutKeeper::LeadRollouts(TimePoint aNow)
 {
   const std::vector<RolloutRecord> all = m_table.All(aNow);
   const bool isOpen = std::ranges::any_of(
     all, [](const RolloutRecord& aRecord) { return !aRecord.m_isWritten; });
-  if (!isOpen || !m_parts.m_leads()) {
-    m_holders.clear();
+  if (!isOpen || !m_parts.m_isLeader()) {
+    m_leaders.clear();
     return;
   }
   for (const RolloutRecord& each : all) {
     if (!IsFinal(each.m_state)) {
-      LeadOne(aNow, each);
+      LeadRollout(aNow, each);
     }
   }
 }
 
 void
-RolloutKeeper::LeadOne(TimePoint aNow, const RolloutRecord& aRecord)
+RolloutKeeper::LeadRollout(TimePoint aNow, const RolloutRecord& aRecord)
 {
   const std::string& service = aRecord.m_order.m_service;
   const std::string& target = aRecord.m_order.m_target;
-  auto holder = m_holders.find(service);
-  if (holder != m_holders.end() && holder->second.Target() != target) {
-    m_holders.erase(holder);
-    holder = m_holders.end();
+  auto leader = m_leaders.find(service);
+  if (leader != m_leaders.end() && leader->second.Target() != target) {
+    m_leaders.erase(leader);
+    leader = m_leaders.end();
   }
-  if (holder == m_holders.end()) {
-    holder =
-      m_holders
+  if (leader == m_leaders.end()) {
+    leader =
+      m_leaders
         .emplace(service, RolloutHolder{ aNow, target, m_parts.m_limits() })
         .first;
     m_parts.m_log.Info(kComponent,
@@ -142,20 +143,21 @@
                          { "target", target },
                          { "age_ms", Millis(aRecord.m_age) },
                          { "step", aRecord.m_step } });
-    // The first to lead says so; what stands there already is kept.
+    // The first leader writes the running state; an existing status is kept.
     if (aRecord.m_state == RolloutState::Running && !aRecord.m_isResumed) {
       m_writer.Want({ service, target, RolloutState::Running }, aNow);
     }
   }
-  const auto lead =
-    holder->second.OnTick(aNow, aRecord, m_parts.m_workers(aRecord));
-  if (!lead) {
+  const auto decision =
+    leader->second.OnTick(aNow, aRecord, m_parts.m_workers(aRecord));
+  if (!decision) {
     return;
   }
-  if (lead->m_isStep) {
-    LogLead(*lead);
+  if (decision->m_isStep) {
+    LogStep(*decision);
   }
-  Carry(aNow, service, m_table.Take(aNow, lead->m_record), Reach::All);
+  ApplyChange(
+    aNow, service, m_table.Take(aNow, decision->m_record), Scope::AllDomains);
 }
 
 bool
@@ -163,8 +165,8 @@
 {
   const TimePoint now = Clock::now();
   const Change change =
-    m_table.OnOrder(now, aOrder, m_parts.m_mainVersion(aOrder.m_service));
-  Carry(now, aOrder.m_service, change, Reach::All);
+    m_table.OnOrder(now, aOrder, m_parts.m_mostCommonVersion(aOrder.m_service));
+  ApplyChange(now, aOrder.m_service, change, Scope::AllDomains);
   return change == Change::State;
 }
 
@@ -179,7 +181,7 @@
   record->m_state = RolloutState::RolledBack;
   record->m_cause = RollbackCause::Operator;
   record->m_leave = {};
-  Carry(now, aService, m_table.Take(now, *record), Reach::All);
+  ApplyChange(now, aService, m_table.Take(now, *record), Scope::AllDomains);
   return true;
 }
 
@@ -189,45 +191,45 @@
   m_hasRead = false;
   m_writer.OnStoreRestored();
   const TimePoint now = Clock::now();
-  const bool leads = m_parts.m_leads();
-  if (!leads && !m_parts.m_writesForOthers()) {
+  const bool isLeader = m_parts.m_isLeader();
+  if (!isLeader && !m_parts.m_isBackupWriter()) {
     return;
   }
   for (const RolloutRecord& each : m_table.All(now)) {
-    m_writer.Want(StatusOf(each), leads ? now : now + kWriteForOthersAfter);
+    m_writer.Want(StatusOf(each), isLeader ? now : now + kBackupWriteDelay);
   }
 }
 
 void
 RolloutKeeper::OnCounts(const WorkerCounts& aCounts)
 {
-  const auto holder = m_holders.find(aCounts.m_service);
-  if (holder != m_holders.end()) {
-    holder->second.OnCounts(aCounts);
+  const auto leader = m_leaders.find(aCounts.m_service);
+  if (leader != m_leaders.end()) {
+    leader->second.OnCounts(aCounts);
   }
 }
 
 void
-RolloutKeeper::TellCounts(TimePoint aNow)
+RolloutKeeper::ReportCounts(TimePoint aNow)
 {
   if (aNow < m_nextCounts) {
     return;
   }
-  m_nextCounts = aNow + kCountsEvery;
-  WorkerCounts counts = m_parts.m_ownCounts();
+  m_nextCounts = aNow + kCountsInterval;
+  WorkerCounts counts = m_parts.m_workerCounts();
   const auto record = m_table.Find(aNow, counts.m_service);
   if (!record || IsFinal(record->m_state) || counts.m_version.empty()) {
     return;
   }
-  if (m_countedFor != record->m_order.m_target) {
-    m_countedFor = record->m_order.m_target;
-    m_parts.m_countAnew();
+  if (m_countedTarget != record->m_order.m_target) {
+    m_countedTarget = record->m_order.m_target;
+    m_parts.m_resetWorkerCounts();
     return;
   }
-  if (m_parts.m_leads()) {
+  if (m_parts.m_isLeader()) {
     OnCounts(counts);
   } else {
-    m_parts.m_tell(std::move(counts));
+    m_parts.m_sendCounts(std::move(counts));
   }
 }
 
@@ -235,7 +237,7 @@
 // Store
 
 void
-RolloutKeeper::TakeOrder(const StoreItem& aItem, bool aIsUnderWay)
+RolloutKeeper::ApplyOrder(const StoreItem& aItem, bool aIsInProgress)
 {
   const auto order = platform::ParseRolloutOrder(aItem.m_key, aItem.m_value);
   if (!order) {
@@ -248,8 +250,9 @@
   const TimePoint now = Clock::now();
   const std::string& service = order.value().m_service;
   const Change change = m_table.OnOrder(
-    now, order.value(), m_parts.m_mainVersion(service), aIsUnderWay);
-  Carry(now, service, change, aIsUnderWay ? Reach::Domain : Reach::All);
+    now, order.value(), m_parts.m_mostCommonVersion(service), aIsInProgress);
+  ApplyChange(
+    now, service, change, aIsInProgress ? Scope::OwnDomain : Scope::AllDomains);
 }
 
 void
@@ -257,7 +260,7 @@
 {
   for (const StoreItem& each : aItems) {
     if (each.m_key.starts_with(platform::kRolloutOrders)) {
-      TakeOrder(each, false);
+      ApplyOrder(each, false);
     }
   }
 }
@@ -310,18 +313,18 @@
   }
   for (const StoreItem& each : aOrders) {
     const auto order = platform::ParseRolloutOrder(each.m_key, each.m_value);
-    const bool isUnderWay =
+    const bool isInProgress =
       order && std::ranges::any_of(statuses, [&](const RolloutStatus& aStatus) {
         return aStatus.m_service == order.value().m_service &&
                aStatus.m_target == order.value().m_target;
       });
-    TakeOrder(each, isUnderWay);
+    ApplyOrder(each, isInProgress);
   }
   const TimePoint now = Clock::now();
   for (const RolloutStatus& each : statuses) {
     const Change change =
       m_table.OnStatus(now, each.m_service, each.m_target, each.m_state);
-    Carry(now, each.m_service, change, Reach::Domain);
+    ApplyChange(now, each.m_service, change, Scope::OwnDomain);
   }
 }
 
@@ -349,21 +352,21 @@
                      { { "service", aStatus.m_service },
                        { "target", aStatus.m_target },
                        { "state", NameOf(aStatus.m_state) } });
-  Carry(
+  ApplyChange(
     now,
     aStatus.m_service,
     m_table.OnStatus(now, aStatus.m_service, aStatus.m_target, aStatus.m_state),
-    Reach::All);
+    Scope::AllDomains);
 }
 
 // ---------------------------------------------------------------------------
 // Log
 
 void
-RolloutKeeper::LogLead(const RolloutHolder::Lead& aLead) const
+RolloutKeeper::LogStep(const RolloutHolder::Lead& aDecision) const
 {
-  const RolloutRecord& record = aLead.m_record;
-  const VersionJudge::Judgement& judged = aLead.m_judgement;
+  const RolloutRecord& record = aDecision.m_record;
+  const VersionJudge::Judgement& judged = aDecision.m_judgement;
   m_parts.m_log.Warning(
     kComponent,
     "step",
@@ -379,13 +382,13 @@
       { "runs", judged.m_runs },
       { "harmed", judged.m_hits },
       { "harmed_expected", judged.m_expected },
-      { "old_workers", std::uint64_t{ aLead.m_view.m_oldWorkers } },
-      { "new_workers", std::uint64_t{ aLead.m_view.m_newWorkers } },
-      { "calls_per_second", aLead.m_view.m_callsPerSecond } });
+      { "old_workers", std::uint64_t{ aDecision.m_view.m_oldWorkers } },
+      { "new_workers", std::uint64_t{ aDecision.m_view.m_newWorkers } },
+      { "calls_per_second", aDecision.m_view.m_callsPerSecond } });
 }
 
 void
-RolloutKeeper::LogChange(const RolloutRecord& aRecord, Reach aReach) const
+RolloutKeeper::LogChange(const RolloutRecord& aRecord, Scope aScope) const
 {
   m_parts.m_log.Info(
     kComponent,
@@ -398,7 +401,7 @@
       { "written", aRecord.m_isWritten },
       { "generation", aRecord.m_generation },
       { "age_ms", Millis(aRecord.m_age) },
-      { "decided", aReach == Reach::All ? "here" : "elsewhere" } });
+      { "decided", aScope == Scope::AllDomains ? "here" : "elsewhere" } });
 }
 
 }
--- a/tests/daemon/config_feed.cpp
+++ b/tests/daemon/config_feed.cpp
@@ -24,7 +24,7 @@
   return text + "]}";
 }
 
-/// Answers at once from memory, and counts.
+/// Answers at once from memory and counts requests.
 struct MemoryStore
 {
   struct Key
@@ -33,39 +33,39 @@
     Revision m_revision{ 0 };
   };
   std::map<std::string, Key> m_keys{};
-  Revision m_last{ 0 };
+  Revision m_lastRevision{ 0 };
   std::map<std::string, int> m_gets{};
   int m_checks{ 0 };
   int m_puts{ 0 };
   bool m_checkFails{ false };
   std::uint64_t m_era{ 0 };
-  /// It goes back just before the next check, and holds version 6 then under
-  /// the revision that version 5 had.
+  /// Restores an older state just before the next check and assigns the
+  /// revision of version 5 to version 6.
   bool m_restoresBeforeCheck{ false };
-  /// The watch that waits.
+  /// Handler of the pending watch.
   StoreDone m_watch{};
 
-  /// Comes back from a copy as of that revision.
+  /// Restores the state as of a revision and starts a new era.
   void Restore(Revision aRevision)
   {
-    m_last = aRevision;
+    m_lastRevision = aRevision;
     ++m_era;
     std::erase_if(m_keys, [aRevision](const auto& aEach) {
       return aEach.second.m_revision > aRevision;
     });
   }
-  /// The watch's time is over with nothing to tell.
-  void CrashDetector()
+  /// Ends the pending watch without a change.
+  void EndWatch()
   {
     StoreReply reply{ .m_status = StoreReply::Status::NotModified,
-                      .m_storeRevision = m_last,
+                      .m_storeRevision = m_lastRevision,
                       .m_era = m_era };
     std::exchange(m_watch, {})(std::move(reply));
   }
 
   void Set(const std::string& aKey, std::string aValue)
   {
-    m_keys[aKey] = { std::move(aValue), ++m_last };
+    m_keys[aKey] = { std::move(aValue), ++m_lastRevision };
   }
 
   void Carry(const StoreRequest& aRequest, const StoreDone& aDone)
@@ -77,11 +77,11 @@
       Set(aRequest.m_key, Document(6));
     }
     const auto found = m_keys.find(aRequest.m_key);
-    const Key now = found == m_keys.end() ? Key{} : found->second;
+    const Key current = found == m_keys.end() ? Key{} : found->second;
     StoreReply reply{ .m_status = StoreReply::Status::Ok,
-                      .m_revision = now.m_revision,
-                      .m_storeRevision = m_last,
-                      .m_value = now.m_value,
+                      .m_revision = current.m_revision,
+                      .m_storeRevision = m_lastRevision,
+                      .m_value = current.m_value,
                       .m_era = m_era };
     switch (aRequest.m_kind) {
       case Kind::Get:
@@ -97,28 +97,28 @@
         m_watch = aDone;
         return;
     }
-    if (now.m_revision == 0 && aRequest.m_kind == Kind::Get) {
+    if (current.m_revision == 0 && aRequest.m_kind == Kind::Get) {
       reply.m_status = StoreReply::Status::NotFound;
     } else if (aRequest.m_kind != Kind::Get &&
-               aRequest.m_expected != now.m_revision) {
+               aRequest.m_expected != current.m_revision) {
       reply.m_status = StoreReply::Status::Conflict;
     } else if (aRequest.m_kind == Kind::Check && m_checkFails) {
       reply.m_status = StoreReply::Status::Unavailable;
     } else if (aRequest.m_kind == Kind::Put) {
       Set(aRequest.m_key, aRequest.m_value);
-      reply.m_revision = m_last;
+      reply.m_revision = m_lastRevision;
     }
     aDone(std::move(reply));
   }
 };
 
-/// A feed on a store that holds version 5, and its copy.
-struct World
+/// A feed on a store that holds version 5 and a copy of it.
+struct FeedFixture
 {
-  World()
+  FeedFixture()
   {
     m_store.Set(kOriginalKey, Document(5));
-    const Revision original = m_store.m_last;
+    const Revision original = m_store.m_lastRevision;
     m_store.Set(std::string{ kConfigCopyKey },
                 FormatConfigCopy(original, Document(5)));
   }
@@ -128,120 +128,121 @@
   ConfigHolder m_holder{};
   Log m_log{ LogLevel::Error, {}, "test" };
   int m_heads{ 0 };
-  ConfigFeed<MemoryStore> m_feed{
-    m_loop,
-    m_store,
-    m_holder,
-    m_log,
-    kOriginalKey,
-    "op/",
-    { .m_watch = 1s, .m_settle = 1ms, .m_maxBackoff = 1ms, .m_copyEvery = 1ms },
-    1,
-    { .m_onAdvanced = [](Version) {},
-      .m_onHead = [this](Version) { ++m_heads; } }
-  };
+  ConfigFeed<MemoryStore> m_feed{ m_loop,
+                                  m_store,
+                                  m_holder,
+                                  m_log,
+                                  kOriginalKey,
+                                  "op/",
+                                  { .m_watch = 1s,
+                                    .m_coalesceDelay = 1ms,
+                                    .m_maxBackoff = 1ms,
+                                    .m_copyInterval = 1ms },
+                                  1,
+                                  { .m_onAdvanced = [](Version) {},
+                                    .m_onHead =
+                                      [this](Version) { ++m_heads; } } };
 };
 
 }
 
-TEST_CASE("on a slow link the copy and the store's word replace the whole")
+TEST_CASE("on a slow link the copy and a check replace reading the original")
 {
-  // An instance behind 5 Mbit/s restarts. Half a megabyte of configuration
-  // takes it 0.9 s, in which its callers are refused.
-  World world;
-  world.m_feed.SetSlowLink(true);
-  world.m_feed.Read();
-  CHECK(world.m_holder.GetVersion() == Version{ 5 });
-  CHECK(world.m_heads == 1);
-  CHECK(world.m_store.m_checks == 1);
-  CHECK(world.m_store.m_gets[kOriginalKey] == 0);
+  // Guards against reading the whole configuration over a slow link at a
+  // restart, which delays readiness.
+  FeedFixture fixture;
+  fixture.m_feed.SetSlowLink(true);
+  fixture.m_feed.Read();
+  CHECK(fixture.m_holder.GetVersion() == Version{ 5 });
+  CHECK(fixture.m_heads == 1);
+  CHECK(fixture.m_store.m_checks == 1);
+  CHECK(fixture.m_store.m_gets[kOriginalKey] == 0);
 }
 
-TEST_CASE("a copy that is old is never taken for the newest")
+TEST_CASE("an outdated copy is never treated as the newest version")
 {
-  // The configuration changed after the copy was made. A daemon that opened
-  // with the copy would serve dropped routes.
-  World world;
-  world.m_store.Set(kOriginalKey, Document(6));
-  world.m_feed.SetSlowLink(true);
-  SUBCASE("the store says what is there instead")
+  // Guards against serving removed routes from a copy that is older than the
+  // configuration.
+  FeedFixture fixture;
+  fixture.m_store.Set(kOriginalKey, Document(6));
+  fixture.m_feed.SetSlowLink(true);
+  SUBCASE("the check returns the current document")
   {
-    world.m_feed.Read();
+    fixture.m_feed.Read();
   }
-  SUBCASE("the store does not answer the question")
+  SUBCASE("the check fails")
   {
-    world.m_store.m_checkFails = true;
-    world.m_feed.Read();
+    fixture.m_store.m_checkFails = true;
+    fixture.m_feed.Read();
   }
-  CHECK(world.m_holder.GetVersion() == Version{ 6 });
-  CHECK(world.m_heads == 1);
+  CHECK(fixture.m_holder.GetVersion() == Version{ 6 });
+  CHECK(fixture.m_heads == 1);
 }
 
 TEST_CASE("without a usable copy the original is read")
 {
-  World world;
-  world.m_feed.SetSlowLink(true);
-  SUBCASE("none")
+  FeedFixture fixture;
+  fixture.m_feed.SetSlowLink(true);
+  SUBCASE("no copy")
   {
-    world.m_store.m_keys.erase(std::string{ kConfigCopyKey });
+    fixture.m_store.m_keys.erase(std::string{ kConfigCopyKey });
   }
-  SUBCASE("damaged")
+  SUBCASE("damaged copy")
   {
-    world.m_store.Set(std::string{ kConfigCopyKey }, "3\ngarbage");
+    fixture.m_store.Set(std::string{ kConfigCopyKey }, "3\ngarbage");
   }
-  SUBCASE("a store that cannot be asked")
+  SUBCASE("the check fails")
   {
-    world.m_store.m_checkFails = true;
+    fixture.m_store.m_checkFails = true;
   }
-  world.m_feed.Read();
-  CHECK(world.m_store.m_gets[kOriginalKey] == 1);
-  CHECK(world.m_holder.GetVersion() == Version{ 5 });
+  fixture.m_feed.Read();
+  CHECK(fixture.m_store.m_gets[kOriginalKey] == 1);
+  CHECK(fixture.m_holder.GetVersion() == Version{ 5 });
 }
 
-TEST_CASE("the keeper brings the copy up to date, whoever wrote it before")
+TEST_CASE("the maintaining daemon updates a copy written by another daemon")
 {
-  World world;
-  world.m_store.Set(kOriginalKey, Document(6));
-  const Revision original = world.m_store.m_last;
-  world.m_feed.Read();
-  world.m_feed.SetWatching(true);
-  world.m_feed.SetKeepingCopy(true);
-  world.m_loop.run_for(50ms);
+  FeedFixture fixture;
+  fixture.m_store.Set(kOriginalKey, Document(6));
+  const Revision original = fixture.m_store.m_lastRevision;
+  fixture.m_feed.Read();
+  fixture.m_feed.SetWatching(true);
+  fixture.m_feed.SetMaintainsCopy(true);
+  fixture.m_loop.run_for(50ms);
   const auto copy = ParseConfigCopy(
-    world.m_store.m_keys[std::string{ kConfigCopyKey }].m_value, 1 << 20);
+    fixture.m_store.m_keys[std::string{ kConfigCopyKey }].m_value, 1 << 20);
   REQUIRE(copy);
   CHECK(copy.value().m_original == original);
-  // The first try did not know that there was one.
-  CHECK(world.m_store.m_puts == 2);
+  // The first write assumes that no copy exists, and conflicts.
+  CHECK(fixture.m_store.m_puts == 2);
 }
 
-TEST_CASE("a change is not missed where revisions were given out twice")
+TEST_CASE("a change is not missed when a restored store reuses revisions")
 {
-  // The store comes back from a copy some seconds old, and is written to until
-  // its revisions are beyond the one that a watch began from. Among them is a
-  // change; the watch only tells what comes after.
-  World world;
-  world.m_store.m_era = 1;
-  world.m_feed.SetWatching(true);
-  world.m_feed.Read();
-  REQUIRE(world.m_holder.GetVersion() == Version{ 5 });
-  const Revision began = world.m_store.m_last;
-  world.m_store.Restore(began - 1);
-  world.m_store.Set(kOriginalKey, Document(7));
-  world.m_store.Set("another", "value");
-  REQUIRE(world.m_store.m_last > began);
-  world.m_store.CrashDetector();
-  CHECK(world.m_holder.GetVersion() == Version{ 7 });
+  // Guards against missing a change that a restored store assigned a revision
+  // below the watched one.
+  FeedFixture fixture;
+  fixture.m_store.m_era = 1;
+  fixture.m_feed.SetWatching(true);
+  fixture.m_feed.Read();
+  REQUIRE(fixture.m_holder.GetVersion() == Version{ 5 });
+  const Revision watchRevision = fixture.m_store.m_lastRevision;
+  fixture.m_store.Restore(watchRevision - 1);
+  fixture.m_store.Set(kOriginalKey, Document(7));
+  fixture.m_store.Set("another", "value");
+  REQUIRE(fixture.m_store.m_lastRevision > watchRevision);
+  fixture.m_store.EndWatch();
+  CHECK(fixture.m_holder.GetVersion() == Version{ 7 });
 }
 
-TEST_CASE("a copy is not taken for the newest by a revision of another time")
+TEST_CASE("a copy is not confirmed by a revision of another era")
 {
-  // Between the copy's read and the question whether its original still stands
-  // the store goes back, and gives that revision to another configuration.
-  World world;
-  world.m_store.m_era = 1;
-  world.m_feed.SetSlowLink(true);
-  world.m_store.m_restoresBeforeCheck = true;
-  world.m_feed.Read();
-  CHECK(world.m_holder.GetVersion() == Version{ 6 });
+  // Guards against accepting an outdated copy when a restored store reuses the
+  // revision of its original.
+  FeedFixture fixture;
+  fixture.m_store.m_era = 1;
+  fixture.m_feed.SetSlowLink(true);
+  fixture.m_store.m_restoresBeforeCheck = true;
+  fixture.m_feed.Read();
+  CHECK(fixture.m_holder.GetVersion() == Version{ 6 });
 }
--- a/tests/daemon/resume_filter.cpp
+++ b/tests/daemon/resume_filter.cpp
@@ -17,57 +17,58 @@
 
 }
 
-TEST_CASE("what is read after the process stood still is held for a moment")
+TEST_CASE("requests read after a pause of the process are delayed")
 {
-  // The loop may read a request before it comes to the tick that shows the
-  // pause, or after it.
-  ResumeFilter sieve;
-  sieve.OnTick(kStart, 100s);
-  CHECK_FALSE(sieve.Holds(kStart + 100ms, 100s + 100ms));
-  sieve.OnTick(kStart + 100ms, 100s + 100ms);
-  SUBCASE("the request first")
+  // The loop may read a request before or after the tick that detects the
+  // pause.
+  ResumeFilter filter;
+  filter.OnTick(kStart, 100s);
+  CHECK_FALSE(filter.Holds(kStart + 100ms, 100s + 100ms));
+  filter.OnTick(kStart + 100ms, 100s + 100ms);
+  SUBCASE("request before tick")
   {
-    CHECK(sieve.Holds(kStart + 600ms, 100s + 600ms));
-    sieve.OnTick(kStart + 600ms, 100s + 600ms);
+    CHECK(filter.Holds(kStart + 600ms, 100s + 600ms));
+    filter.OnTick(kStart + 600ms, 100s + 600ms);
   }
-  SUBCASE("the tick first")
+  SUBCASE("tick before request")
   {
-    sieve.OnTick(kStart + 600ms, 100s + 600ms);
+    filter.OnTick(kStart + 600ms, 100s + 600ms);
   }
-  SUBCASE("the machine was suspended, which the steady clock leaves out")
+  SUBCASE("the machine was suspended, which the steady clock ignores")
   {
-    CHECK(sieve.Holds(kStart + 600ms, 105s));
+    CHECK(filter.Holds(kStart + 600ms, 105s));
   }
-  CHECK(sieve.Holds(kStart + 610ms, 105s));
-  CHECK_FALSE(sieve.Holds(sieve.Until(), 105s + 20ms));
+  CHECK(filter.Holds(kStart + 610ms, 105s));
+  CHECK_FALSE(filter.Holds(filter.Until(), 105s + 20ms));
 }
 
-TEST_CASE("a tick that is late by processor time is no pause")
+TEST_CASE("a tick delayed by CPU throttling is no pause")
 {
-  ResumeFilter sieve;
-  sieve.OnTick(kStart, 100s);
-  CHECK_FALSE(sieve.Holds(kStart + 250ms, 100s + 250ms));
+  ResumeFilter filter;
+  filter.OnTick(kStart, 100s);
+  CHECK_FALSE(filter.Holds(kStart + 250ms, 100s + 250ms));
 }
 
-TEST_CASE("what was cancelled, hung up or closed meanwhile is dropped")
+TEST_CASE(
+  "delayed requests that were cancelled or whose connection closed are dropped")
 {
-  ResumeFilter sieve;
-  CHECK(sieve.Add(Request(1, 1)));
-  CHECK_FALSE(sieve.Add(Request(2, 1)));
-  sieve.Add(Request(3, 2));
+  ResumeFilter filter;
+  CHECK(filter.Add(Request(1, 1)));
+  CHECK_FALSE(filter.Add(Request(2, 1)));
+  filter.Add(Request(3, 2));
   for (const std::uint64_t connection : { 5U, 6U }) {
     HttpRequest request;
     request.m_connection = connection;
-    sieve.Add(ResumeFilter::FromCaller{
+    filter.Add(ResumeFilter::FromCaller{
       kStart, std::move(request), HttpResponder{ {} } });
   }
-  sieve.Cancel({ 7, 1 });
-  sieve.HungUp(5);
-  sieve.CloseEpochs(7, 2);
-  auto held = sieve.TakeAll();
-  REQUIRE(held.m_links.size() == 1);
-  CHECK(held.m_links[0].m_key.m_call == 3);
-  REQUIRE(held.m_callers.size() == 1);
-  CHECK(held.m_callers[0].m_request.m_connection == 6);
-  CHECK(sieve.TakeAll().m_links.empty());
+  filter.Cancel({ 7, 1 });
+  filter.HungUp(5);
+  filter.CloseEpochs(7, 2);
+  auto delayed = filter.TakeAll();
+  REQUIRE(delayed.m_links.size() == 1);
+  CHECK(delayed.m_links[0].m_key.m_call == 3);
+  REQUIRE(delayed.m_callers.size() == 1);
+  CHECK(delayed.m_callers[0].m_request.m_connection == 6);
+  CHECK(filter.TakeAll().m_links.empty());
 }
