--- a/include/greengagehub/transport/bulk_channel.hpp
+++ b/include/greengagehub/transport/bulk_channel.hpp
@@ -10,35 +10,39 @@
 
 namespace greengagehub {
 
-/// \brief Pulls between daemons over ZeroMQ: runs of entries, snapshots and
-/// member tables, too large or too rare for datagrams.
+/// \brief Request and reply between daemons over ZeroMQ, for data too large for
+/// datagrams: sequences of version entries, snapshots and member tables.
 class BulkChannel
 {
 public:
-  using Serve = std::function<PullAnswer(const PullRequest&)>;
-  /// An answer of so many bytes was sent.
-  using Answered = std::function<void(const PullRequest&, std::size_t aBytes)>;
-  /// Called with nothing when no whole answer came in time.
-  using Done = std::function<void(std::optional<PullAnswer>)>;
-
-  /// \param aPort 0 lets the system choose.
+  using RequestHandler = std::function<PullAnswer(const PullRequest&)>;
+  /// Called after an answer was sent, with its compressed size in bytes.
+  using AnswerSentHandler =
+    std::function<void(const PullRequest&, std::size_t aBytes)>;
+  /// Called once per pull; std::nullopt if no valid answer arrived in time.
+  using PullCallback = std::function<void(std::optional<PullAnswer>)>;
+
+  /// \param aPort TCP port to listen on; 0 picks a free port.
+  /// \param aOnRequest computes the answer to a peer's request.
   BulkChannel(asio::io_context& aLoop,
               const std::string& aHost,
               std::uint16_t aPort,
-              Serve aServe,
-              Answered aAnswered);
+              RequestHandler aOnRequest,
+              AnswerSentHandler aOnAnswerSent);
   ~BulkChannel();
   BulkChannel(const BulkChannel&) = delete;
   BulkChannel& operator=(const BulkChannel&) = delete;
 
+  /// \returns Port that it listens on.
   [[nodiscard]] std::uint16_t Port() const noexcept;
   [[nodiscard]] const TrafficCounts& Counts() const noexcept;
 
-  /// \returns Bytes of the question.
+  /// \brief Sends a request to the peer's bulk port.
+  /// \returns Size of the encoded request in bytes.
   std::size_t Pull(const MemberAddress& aPeer,
                    const PullRequest& aRequest,
                    std::chrono::milliseconds aTimeout,
-                   Done aDone);
+                   PullCallback aCallback);
 
 private:
   class Impl;
--- a/include/greengagehub/transport/bulk_message.hpp
+++ b/include/greengagehub/transport/bulk_message.hpp
@@ -9,26 +9,33 @@
 
 namespace greengagehub {
 
-/// \brief Asks a peer for what this daemon misses.
+/// \brief Asks a peer for version entries and, optionally, member records.
 struct PullRequest
 {
+  /// Sender of the request.
   std::string m_slot;
+  /// The answer starts after this version.
   Version m_have;
   bool m_wantMembers{ false };
+  /// Digests of the sender's member table; sent only with m_wantMembers.
   MemberDigests m_members{};
 };
 
+/// \brief Answer to a PullRequest.
 struct PullAnswer
 {
   std::vector<VersionEntry> m_entries{};
-  /// Compressed canonical JSON of the content at m_snapshotHead; empty when
-  /// the entries reach back far enough.
+  /// Compressed canonical JSON of the content at m_snapshotHead; empty if
+  /// m_entries starts right after the requested version.
   std::string m_snapshot{};
   VersionEntry m_snapshotHead{};
+  /// Records that differ from the request's digests, if members are wanted.
   std::vector<MemberRecord> m_members{};
-  /// Highest version that the asker's slot was ever seen to run.
+  /// Highest version that the requester's slot is known to have run.
   Version m_floor{};
+  /// Active version of the answering daemon.
   VersionDigest m_head{};
+  /// Sent with m_members.
   std::vector<RolloutRecord> m_rollouts{};
 };
 
--- a/include/greengagehub/transport/codec.hpp
+++ b/include/greengagehub/transport/codec.hpp
@@ -11,10 +11,11 @@
 
 namespace greengagehub {
 
-/// \brief Encodes a datagram; leaves out membership records, then entries,
-/// until it fits.
+/// \brief Encodes a datagram. If it exceeds `aMaxBytes`, member records are
+/// dropped from the end, then version entries.
 [[nodiscard]] std::string
 EncodeGossip(const GossipMessage& aMessage, std::size_t aMaxBytes);
+/// \returns The message, or ErrorCode::Corrupt.
 [[nodiscard]] Outcome<GossipMessage>
 DecodeGossip(std::string_view aBytes);
 
@@ -27,24 +28,26 @@
 [[nodiscard]] Outcome<PullAnswer>
 DecodePullAnswer(std::string_view aBytes);
 
-/// \brief Appends a frame: its length, then the length of its head, both in 4
-/// bytes, big endian; the head in protobuf; the body of a call or answer as is.
-/// \param aDeflater deflates the head, and marks it by the top bit of its
-/// length; nullptr leaves it as it is.
+/// \brief Appends a frame: frame length and head length (4 bytes each, big
+/// endian), the head as protobuf, then the raw body of a call or answer.
+/// \param aDeflater compresses the head, which sets the top bit of the head
+/// length; nullptr sends the head uncompressed.
 void
 AppendFrame(std::string& aOut,
             const LinkFrame& aFrame,
             LinkDeflater* aDeflater = nullptr);
-/// \param aBytes one frame without its length.
-/// \param aInflater for heads that are deflated; without it they are an error.
+/// \param aBytes one frame without the leading frame length.
+/// \param aInflater decompresses heads; nullptr rejects compressed heads.
+/// \returns The frame, or ErrorCode::Corrupt.
 [[nodiscard]] Outcome<LinkFrame>
 DecodeFrame(std::string_view aBytes, LinkInflater* aInflater = nullptr);
 
-/// Bytes of the length in front of a frame.
+/// Size in bytes of the length that precedes a frame.
 inline constexpr std::size_t kFrameHeader = 4;
-/// Largest frame taken; a longer one closes the link.
-inline constexpr std::size_t kMaxFrame = 32UL * 1024 * 1024;
-/// \returns Length of the frame that starts here; needs kFrameHeader bytes.
+/// Maximum frame length; a longer frame closes the connection.
+inline constexpr std::size_t kMaxFrameBytes = 32UL * 1024 * 1024;
+/// \param aHeader at least kFrameHeader bytes.
+/// \returns Length of the frame that follows, in bytes.
 [[nodiscard]] std::size_t
 FrameLength(const char* aHeader) noexcept;
 
--- a/include/greengagehub/transport/gossip_socket.hpp
+++ b/include/greengagehub/transport/gossip_socket.hpp
@@ -10,29 +10,30 @@
 
 namespace greengagehub {
 
-/// \brief Bytes and messages of one kind of traffic, in both directions.
+/// \brief Message and byte counts of a transport, in both directions.
 struct TrafficCounts
 {
   std::uint64_t m_sent{ 0 };
   std::uint64_t m_received{ 0 };
   std::uint64_t m_bytesSent{ 0 };
   std::uint64_t m_bytesReceived{ 0 };
-  /// Received and dropped: garbage, or another protocol.
+  /// Messages dropped because they could not be decoded or answered.
   std::uint64_t m_malformed{ 0 };
 };
 
-/// \brief Datagrams between daemons over UDP.
+/// \brief Exchanges datagrams between daemons over UDP.
 ///
-/// UDP, because each daemon probes each other one now and then: connections
-/// to 38,000 peers cannot be kept, and one opened afresh for each probe would
-/// cost more than the probe.
+/// Every daemon probes every other daemon, so the number of peers is too high
+/// for persistent connections, and a connection per probe costs more than the
+/// probe itself.
 class GossipSocket
 {
 public:
   using Handler =
     std::function<void(const MemberAddress& aFrom, const GossipMessage&)>;
 
-  /// \param aPort 0 lets the system choose.
+  /// \param aPort UDP port to bind; 0 picks a free port.
+  /// \param aHandler receives decoded messages with their source address.
   GossipSocket(asio::io_context& aLoop,
                const std::string& aHost,
                std::uint16_t aPort,
@@ -45,20 +46,21 @@
     return m_counts;
   }
 
+  /// \brief Sends one datagram. Errors are ignored, as lost datagrams are.
   void Send(const GossipSend& aSend);
 
 private:
-  /// Largest UDP payload that is taken.
-  static constexpr std::size_t kBufferBytes = 65536;
-  /// Sent at most: one packet on any usual network.
-  static constexpr std::size_t kMaxDatagram = 1400;
+  /// Size of the receive buffer: the maximum UDP payload.
+  static constexpr std::size_t kMaxReceivedBytes = 65536;
+  /// Fits one unfragmented packet at the usual MTU of 1500 bytes.
+  static constexpr std::size_t kMaxSentBytes = 1400;
 
   void Receive();
 
   TrafficMeter& m_meter;
   asio::ip::udp::socket m_socket;
   asio::ip::udp::endpoint m_from;
-  std::array<char, kBufferBytes> m_buffer{};
+  std::array<char, kMaxReceivedBytes> m_buffer{};
   Handler m_handler;
   TrafficCounts m_counts;
 };
--- a/include/greengagehub/transport/link_connection.hpp
+++ b/include/greengagehub/transport/link_connection.hpp
@@ -17,10 +17,10 @@
 
 namespace greengagehub {
 
-/// \brief One TCP connection that carries frames both ways.
+/// \brief A TCP connection that carries frames in both directions.
 ///
-/// Kept alive by its own pending reads; Close() ends it, and `m_onClosed` is
-/// called once, later, on the loop.
+/// Pending reads keep the object alive until Close() or Abort(). The OnClosed
+/// callback is then called once, posted to the loop.
 class LinkConnection
   : public boost::intrusive_ref_counter<LinkConnection,
                                         boost::thread_unsafe_counter>
@@ -30,82 +30,86 @@
   using OnFrame = std::function<void(LinkConnection&, LinkFrame)>;
   using OnClosed = std::function<void(LinkConnection&)>;
 
-  /// \param aPacer of this machine's link; nullptr: nothing is paced.
+  /// \param aPacer shared by all connections of the daemon; nullptr sends
+  /// large frames without pacing.
   LinkConnection(asio::ip::tcp::socket aSocket,
                  TrafficMeter& aMeter,
                  LinkPacer* aPacer = nullptr);
 
-  [[nodiscard]] bool IsOpen() const noexcept { return m_open; }
-  /// \brief When bytes last came in.
+  [[nodiscard]] bool IsOpen() const noexcept { return m_isOpen; }
+  /// \returns Time of the last read; initially the time of Start().
   [[nodiscard]] TimePoint LastReceived() const noexcept
   {
     return m_lastReceived;
   }
-  /// \returns Whether frames wait here that the system has not taken yet.
+  /// \returns Whether frames are queued that the socket has not accepted yet.
   [[nodiscard]] bool HasUnsent() const noexcept
   {
-    return m_open && !(m_writing.empty() && m_out.empty() && m_large.empty());
+    return m_isOpen && !(m_writeBuffer.empty() && m_encoded.empty() &&
+                         m_largeFrames.empty());
   }
   [[nodiscard]] std::uint64_t BytesSent() const noexcept { return m_bytesSent; }
 
-  /// \brief Who is at the other end, once its hello has come.
+  /// Hello of the peer; valid once m_helloReceived is set.
   LinkHello m_peer{};
-  bool m_greeted{ false };
-  TimePoint m_opened{};
+  bool m_helloReceived{ false };
+  TimePoint m_openedAt{};
 
   void Start(OnFrame aOnFrame, OnClosed aOnClosed);
   void Send(const LinkFrame& aFrame);
-  /// \brief The other end is in another failure domain: what is sent from now
-  /// on counts as crossing, and its heads are deflated.
-  void SetFar();
+  /// \brief Marks the peer as being in another failure domain: later frames
+  /// are counted as cross-domain traffic and their heads are compressed.
+  void SetCrossesDomains();
+  /// \brief Closes; the system still delivers bytes already written.
   void Close();
-  /// \brief Closes at once: what the system has taken and not delivered is
-  /// dropped. Otherwise a request sent into a cut goes on being sent after the
-  /// close, arrives seconds later and runs for a caller that has left.
+  /// \brief Resets the connection and discards bytes not yet delivered, so
+  /// that a request sent during a network outage does not arrive after its
+  /// caller has given up.
   void Abort();
 
 private:
-  /// Room for one read; grows for a longer frame and shrinks again after it.
+  /// Read buffer size; the buffer grows only while it holds a longer frame.
   static constexpr std::size_t kReadBytes = 16UL * 1024;
 
   void Read();
   void OnRead();
-  void MakeRoom();
+  void ResizeReadBuffer();
   void Write();
-  /// \brief Starts the next large frame once it may leave.
-  void WriteLarge();
-  /// \brief Writes the next part of m_writing.
+  /// \brief Encodes the next large frame when the pacer allows it.
+  void ScheduleLargeFrame();
+  /// \brief Writes the next part of m_writeBuffer; all of it without a pacer.
   void WritePart();
   void OnPartWritten(std::size_t aSize);
-  void Append(const LinkFrame& aFrame);
-  /// \param aOrderly whether what was sent is still delivered.
-  void Shut(bool aOrderly);
-  void Closed();
+  void Encode(const LinkFrame& aFrame);
+  /// \param aIsOrderly whether bytes already written are still delivered.
+  void CloseSocket(bool aIsOrderly);
+  void ReportClosed();
 
   asio::ip::tcp::socket m_socket;
   OnFrame m_onFrame;
   OnClosed m_onClosed;
-  /// Received and not yet taken apart: the first m_filled bytes.
-  std::string m_in;
-  std::size_t m_filled{ 0 };
+  /// The first m_unparsedBytes bytes are received and not yet decoded.
+  std::string m_readBuffer;
+  std::size_t m_unparsedBytes{ 0 };
   TrafficMeter& m_meter;
   bool m_isFar{ false };
   std::unique_ptr<LinkDeflater> m_deflater;
   std::unique_ptr<LinkInflater> m_inflater;
-  std::string m_out;
-  /// Large frames that have not begun; small ones go before them.
-  std::deque<LinkFrame> m_large;
-  std::string m_writing;
-  /// Bytes of m_writing that have been written.
+  /// Encoded frames for the next write.
+  std::string m_encoded;
+  /// Large frames not yet encoded; small frames overtake them.
+  std::deque<LinkFrame> m_largeFrames;
+  std::string m_writeBuffer;
+  /// Bytes of m_writeBuffer already written.
   std::size_t m_written{ 0 };
-  /// The first large frame waits for its time on the link.
-  bool m_isPaused{ false };
+  /// The first large frame waits for m_pacingTimer.
+  bool m_isLargeScheduled{ false };
   LinkPacer* m_pacer;
-  asio::steady_timer m_pause;
+  asio::steady_timer m_pacingTimer;
   TimePoint m_lastReceived{};
   std::uint64_t m_bytesSent{ 0 };
-  bool m_open{ true };
-  bool m_reported{ false };
+  bool m_isOpen{ true };
+  bool m_isCloseReported{ false };
 };
 
 }
--- a/include/greengagehub/transport/link_deflate.hpp
+++ b/include/greengagehub/transport/link_deflate.hpp
@@ -8,12 +8,12 @@
 
 namespace greengagehub {
 
-/// \brief Deflates what goes one way over a link, piece by piece, with the
-/// pieces before as history.
+/// \brief Streaming deflate compressor for the frame heads of one direction of
+/// a connection.
 ///
-/// Heads of calls repeat each other but for ids; with history they shrink to
-/// about a third. Bodies stay outside: most are compressed or random already,
-/// and would push the heads out of the history.
+/// Heads of successive calls are nearly identical, so the shared window makes
+/// them small. Bodies are not compressed: many already are, and they would
+/// displace the heads from the window.
 class LinkDeflater
 {
 public:
@@ -22,14 +22,16 @@
   LinkDeflater(const LinkDeflater&) = delete;
   LinkDeflater& operator=(const LinkDeflater&) = delete;
 
-  [[nodiscard]] std::string Deflate(std::string_view aPiece);
+  /// \brief Compresses and flushes one block.
+  [[nodiscard]] std::string Deflate(std::string_view aData);
 
 private:
   struct Stream;
   std::unique_ptr<Stream> m_stream;
 };
 
-/// \brief The other end of a LinkDeflater; takes every piece, in order.
+/// \brief Decompresses the output of a LinkDeflater; must be given every block
+/// in order.
 class LinkInflater
 {
 public:
@@ -38,8 +40,8 @@
   LinkInflater(const LinkInflater&) = delete;
   LinkInflater& operator=(const LinkInflater&) = delete;
 
-  /// \returns The piece, or an error for bytes that are none or are longer than
-  /// allowed; nothing can be inflated after an error.
+  /// \returns The data, or ErrorCode::Corrupt for invalid input or more than
+  /// `aMaxBytes` of output. The inflater is unusable after an error.
   [[nodiscard]] Outcome<std::string> Inflate(std::string_view aBytes,
                                              std::size_t aMaxBytes);
 
--- a/include/greengagehub/transport/link_frame.hpp
+++ b/include/greengagehub/transport/link_frame.hpp
@@ -8,32 +8,33 @@
 
 namespace greengagehub {
 
-/// \brief First frame of a connection, in both directions.
+/// \brief First frame in each direction of a connection.
 struct LinkHello
 {
   std::string m_slot;
-  /// Process part of the incarnation: another one knows nothing of the calls
-  /// before it.
+  /// Identifies the process; a restarted process has no record of earlier
+  /// calls.
   std::uint64_t m_process{ 0 };
-  /// Grows with each connection that a process opens to the same slot.
+  /// Increases with each connection that a process opens to the same slot.
   std::uint64_t m_epoch{ 0 };
-  /// Failure domain; heads are deflated between two of them.
+  /// Failure domain; heads are compressed if the two ends differ in it.
   std::string m_domain{};
 };
 
-/// \brief Cancels an attempt that has not started. One that has started goes
-/// on, and its answer comes on the newest connection, unless m_abandon is set.
+/// \brief Cancels an attempt that has not started. A started attempt continues
+/// and is answered on the newest connection, unless m_abandon is set.
 struct LinkCancel
 {
   std::uint64_t m_call{ 0 };
   bool m_abandon{ false };
 };
 
+/// \brief Answer to a LinkCancel without m_abandon.
 struct LinkCancelResult
 {
   std::uint64_t m_call{ 0 };
   bool m_started{ false };
-  /// It has ended and its answer is not kept any more.
+  /// The attempt has finished and its answer is no longer stored.
   bool m_lost{ false };
 };
 
@@ -42,12 +43,13 @@
   std::uint64_t m_number{ 0 };
 };
 
+/// \brief Answer to a LinkPing, with its number.
 struct LinkPong
 {
   std::uint64_t m_number{ 0 };
 };
 
-/// \brief The daemon takes no new calls.
+/// \brief The sending daemon accepts no new calls.
 struct LinkLeaving
 {};
 
--- a/include/greengagehub/transport/link_pacer.hpp
+++ b/include/greengagehub/transport/link_pacer.hpp
@@ -9,34 +9,36 @@
 
 namespace greengagehub {
 
-/// \brief Spreads large frames over time, so that the queue of this machine's
-/// link stays short.
+/// \brief Limits the send rate of large frames to the bandwidth of the
+/// machine's network link.
 ///
-/// Answers the load pattern of large answers on slow links: written at once,
-/// half a megabyte at 15 Mbit/s delays every probe, refusal and small answer
-/// behind it by 0.3 s. One for all connections of a daemon.
+/// Without pacing, a large answer on a slow link delays all probes, rejections
+/// and small answers queued behind it. All connections of a daemon share one
+/// pacer.
 class LinkPacer
 {
 public:
-  /// \param aMbps rate of the link, in Mbit/s; 0: not known, nothing waits.
+  /// \param aMbps bandwidth of the link in Mbit/s; 0 if unknown, which
+  /// disables pacing.
   explicit LinkPacer(std::uint32_t aMbps) noexcept
     : m_bytesPerSecond(aMbps * kUsedShare * kBytesPerMbit)
   {
   }
 
-  /// \brief Counts bytes that leave now, or after the returned time.
-  /// \returns How long those of a large frame are to wait.
+  /// \brief Reserves link time for `aBytes`.
+  /// \returns Delay until the reserved time begins. Large frames wait for it;
+  /// small frames are sent at once and only counted.
   [[nodiscard]] Duration Reserve(TimePoint aNow, std::size_t aBytes) noexcept
   {
     if (m_bytesPerSecond <= 0.0) {
       return Duration::zero();
     }
-    const TimePoint begins = std::max(aNow, m_freeAt);
-    m_freeAt = begins + TimeOf(aBytes);
-    return begins - aNow;
+    const TimePoint start = std::max(aNow, m_linkFreeAt);
+    m_linkFreeAt = start + TimeOf(aBytes);
+    return start - aNow;
   }
 
-  /// \returns How long bytes take on the link.
+  /// \returns Transmission time of `aBytes`; zero if the bandwidth is unknown.
   [[nodiscard]] Duration TimeOf(std::size_t aBytes) const noexcept
   {
     if (m_bytesPerSecond <= 0.0) {
@@ -46,23 +48,22 @@
       static_cast<double>(aBytes) / m_bytesPerSecond });
   }
 
-  /// \returns How long what was counted will still take to leave.
+  /// \returns Time until all reserved bytes have been transmitted.
   [[nodiscard]] Duration Backlog(TimePoint aNow) const noexcept
   {
-    return std::max(Duration::zero(), m_freeAt - aNow);
+    return std::max(Duration::zero(), m_linkFreeAt - aNow);
   }
 
-  /// Frames with a larger body wait for their time on the link and leave in
-  /// parts of this size: 9 ms at 15 Mbit/s.
+  /// Frames with a larger body are paced and written in parts of this size.
   static constexpr std::size_t kPart = 16UL * 1024;
 
 private:
-  /// Of the link's rate; the rest is for what is not counted here.
+  /// Share of the bandwidth; the rest is left for unpaced traffic.
   static constexpr double kUsedShare = 0.85;
   static constexpr double kBytesPerMbit = 125'000.0;
 
   double m_bytesPerSecond;
-  TimePoint m_freeAt{};
+  TimePoint m_linkFreeAt{};
 };
 
 }
--- a/include/greengagehub/transport/link_pool.hpp
+++ b/include/greengagehub/transport/link_pool.hpp
@@ -12,38 +12,41 @@
 
 namespace greengagehub {
 
+/// \brief Timeouts and intervals of a LinkPool.
 struct LinkPoolSettings
 {
+  /// Covers the TCP connection and the hello.
   std::chrono::milliseconds m_connectTimeout{ 1000 };
-  std::chrono::milliseconds m_heartbeat{ 500 };
-  /// A link silent for longer is presumed lost in both directions.
-  std::chrono::milliseconds m_silence{ 1500 };
-  /// How long a lost link is tried again for the calls in doubt on it.
-  std::chrono::milliseconds m_reconnectFor{ std::chrono::seconds{ 10 } };
-  std::chrono::milliseconds m_reconnectEvery{ 50 };
-  /// Links without traffic are closed after this.
-  std::chrono::milliseconds m_idle{ std::chrono::seconds{ 60 } };
+  std::chrono::milliseconds m_heartbeatInterval{ 500 };
+  /// A link on which nothing was received for this long is reset.
+  std::chrono::milliseconds m_silenceTimeout{ 1500 };
+  /// How long to reconnect after a loss, to resolve calls in doubt.
+  std::chrono::milliseconds m_reconnectTimeout{ std::chrono::seconds{ 10 } };
+  std::chrono::milliseconds m_reconnectInterval{ 50 };
+  /// Links are closed this long after the last Send().
+  std::chrono::milliseconds m_idleTimeout{ std::chrono::seconds{ 60 } };
 };
 
-/// \brief The caller's side of call links: one to each worker's daemon that
-/// calls go to, opened on the first call and kept.
+/// \brief Client side of call links: one persistent link to the daemon of each
+/// called worker, opened on the first call.
 class LinkPool
 {
 public:
   struct Handlers
   {
     std::function<void(const std::string& aSlot, LinkFrame)> m_onFrame;
-    /// A connection is open to this process of the slot.
+    /// A connection is open and the process of the slot has sent its hello.
     std::function<void(const std::string& aSlot, std::uint64_t aProcess)>
       m_onUp;
-    /// An open connection was lost with whatever was on it.
+    /// An open connection was lost; pending calls on it are in doubt.
     std::function<void(const std::string& aSlot)> m_onLost;
-    /// Nobody listens at the address: the process is gone.
+    /// The process is gone: the connection was refused, or another instance
+    /// has the address.
     std::function<void(const std::string& aSlot)> m_onRefused;
-    /// A request went out to a process; before any answer to it.
+    /// A request is about to be sent to a process.
     std::function<void(std::uint64_t aAttempt, std::uint64_t aProcess)>
       m_onSent;
-    /// A request was never put on a connection.
+    /// A request was never written to a connection.
     std::function<void(std::uint64_t aAttempt)> m_onNotSent;
   };
 
@@ -56,17 +59,20 @@
   LinkPool(const LinkPool&) = delete;
   LinkPool& operator=(const LinkPool&) = delete;
 
+  /// \returns Number of links, open or not.
   [[nodiscard]] std::size_t Size() const noexcept { return m_links.size(); }
 
+  /// \brief Sends, or queues the frame and connects if the link is not open.
   void Send(const std::string& aSlot,
             const MemberAddress& aAddress,
             LinkFrame aFrame);
-  /// \brief Sends when a connection is open. A cancellation otherwise takes
-  /// back the request that waits for it to open.
+  /// \brief Sends if the link is open. If it is not, a cancellation removes
+  /// the queued request and other frames are dropped.
   void SendIfOpen(const std::string& aSlot, const LinkFrame& aFrame);
-  /// \brief Connections that open from now on share this machine's link.
+  /// \brief Sets the pacer for connections opened from now on.
   void PaceBy(LinkPacer& aPacer) noexcept { m_pacer = &aPacer; }
-  /// \brief Heartbeats, silence, time limits, idle links.
+  /// \brief Sends heartbeats, reconnects, and closes silent and idle links.
+  /// Must be called periodically.
   void OnTick(TimePoint aNow);
 
 private:
@@ -83,7 +89,7 @@
                LinkFrame aFrame);
   void OnClosed(const LinkPtr& aLink, LinkConnection& aConnection);
   void OnHello(const LinkPtr& aLink, const LinkHello& aHello);
-  void DropWaiting(const LinkPtr& aLink);
+  void FailPendingFrames(const LinkPtr& aLink);
   void Write(Link& aLink, const LinkFrame& aFrame);
 
   asio::io_context& m_loop;
@@ -94,7 +100,7 @@
   Handlers m_handlers;
   std::map<std::string, LinkPtr, std::less<>> m_links;
   std::uint64_t m_lastEpoch{ 0 };
-  std::uint64_t m_lastPing{ 0 };
+  std::uint64_t m_lastPingNumber{ 0 };
 };
 
 }
--- a/include/greengagehub/transport/link_server.hpp
+++ b/include/greengagehub/transport/link_server.hpp
@@ -8,22 +8,23 @@
 
 namespace greengagehub {
 
-/// \brief The worker's side of call links.
+/// \brief Server side of call links.
 ///
-/// Each caller process has one connection that counts, the one with the
-/// highest epoch; opening it closes the older ones before anything on the new
-/// one is read. What was read from an older one and has not started never
-/// starts, so that the caller can be told "not run" truly.
+/// Each caller process has one current connection, the one with the highest
+/// epoch. Before requests of a newer connection are read, the older one is
+/// closed and m_onEpoch is called. The owner then drops unstarted requests of
+/// older epochs, so that the caller may treat them as not run.
 class LinkServer
 {
 public:
   struct Handlers
   {
-    /// A newer connection of a process opened.
+    /// A process opened a connection with a higher epoch.
     std::function<void(std::uint64_t aProcess, std::uint64_t aEpoch)> m_onEpoch;
     std::function<void(LinkConnection&, LinkFrame)> m_onFrame;
   };
 
+  /// \param aPort TCP port to listen on; 0 picks a free port.
   LinkServer(asio::io_context& aLoop,
              const std::string& aHost,
              std::uint16_t aPort,
@@ -36,23 +37,23 @@
   {
     return m_connections.size();
   }
-  /// \returns The connection that answers to a caller process go out on, or
-  /// nullptr when it has none at the moment.
+  /// \returns Current connection of a caller process, or nullptr.
   [[nodiscard]] LinkConnection* Find(std::uint64_t aProcess) const;
 
-  /// \returns Whether answers wait here for their time on the link.
+  /// \returns Whether any connection has queued frames.
   [[nodiscard]] bool HasUnsent() const;
-  /// \brief Connections that open from now on share this machine's link.
+  /// \brief Sets the pacer for connections accepted from now on.
   void PaceBy(LinkPacer& aPacer) noexcept { m_pacer = &aPacer; }
+  /// \brief Sends to every connection whose hello was received.
   void Broadcast(const LinkFrame& aFrame);
   void StopAccepting();
-  /// \brief Closes every connection with what is unread on it.
+  /// \brief Closes all connections; unread frames are dropped.
   void CloseAll();
 
 private:
   void Accept();
   void OnFrame(LinkConnection& aConnection, LinkFrame aFrame);
-  void Greet(LinkConnection& aConnection, const LinkHello& aHello);
+  void OnHello(LinkConnection& aConnection, const LinkHello& aHello);
 
   asio::ip::tcp::acceptor m_acceptor;
   LinkHello m_self;
@@ -60,7 +61,7 @@
   LinkPacer* m_pacer{ nullptr };
   Handlers m_handlers;
   std::set<LinkConnection::Pointer> m_connections;
-  std::map<std::uint64_t, LinkConnection::Pointer> m_byProcess;
+  std::map<std::uint64_t, LinkConnection::Pointer> m_currentByProcess;
 };
 
 }
--- a/include/greengagehub/transport/traffic_meter.hpp
+++ b/include/greengagehub/transport/traffic_meter.hpp
@@ -6,27 +6,28 @@
 
 namespace greengagehub {
 
-/// \brief What bytes between daemons are sent for.
+/// \brief Purpose of traffic between daemons.
 enum class TrafficPurpose : std::uint8_t
 {
-  /// Probes and their answers, with the news that they carry along.
+  /// Datagrams other than pushes: probes, their answers and quota messages.
   Probe,
-  /// Members' news on its own, as from a member that leaves.
-  News,
-  /// Versions of the configuration.
+  /// Pushed datagrams without version entries.
+  MemberUpdates,
+  /// Pushed and pulled versions of the configuration.
   Versions,
-  /// Comparisons of members and the records that come of them.
+  /// Comparisons of member tables and the records exchanged as a result.
   Compare,
-  /// Calls on their way to a worker.
+  /// Call requests.
   Requests,
-  /// Answers, and refusals.
+  /// Call answers, including rejections.
   Answers,
-  /// Greetings, heartbeats and cancellations of call links.
+  /// Control frames of call links, such as hellos and heartbeats.
   Links,
 };
 
 inline constexpr std::size_t kTrafficPurposes = 7;
 
+/// \returns Label of the purpose in metrics.
 [[nodiscard]] constexpr std::string_view
 NameOf(TrafficPurpose aPurpose) noexcept
 {
@@ -36,31 +37,33 @@
   return kNames[static_cast<std::size_t>(aPurpose)];
 }
 
-/// \brief Bytes that this daemon sent to others, by purpose, and apart for
-/// those that stay in its failure domain and those that cross. Payload only;
-/// what each sends, the other does not count.
+/// \brief Counts payload bytes sent by this daemon, by purpose and by whether
+/// they cross failure domains. Received bytes are not counted.
 class TrafficMeter
 {
 public:
-  void Add(TrafficPurpose aPurpose, bool aIsFar, std::size_t aBytes) noexcept
+  void Add(TrafficPurpose aPurpose,
+           bool aCrossesDomains,
+           std::size_t aBytes) noexcept
   {
-    m_bytes[aIsFar ? 1 : 0][static_cast<std::size_t>(aPurpose)] += aBytes;
+    m_bytes[aCrossesDomains ? 1 : 0][static_cast<std::size_t>(aPurpose)] +=
+      aBytes;
   }
 
   [[nodiscard]] std::uint64_t Bytes(TrafficPurpose aPurpose,
-                                    bool aIsFar) const noexcept
+                                    bool aCrossesDomains) const noexcept
   {
-    return m_bytes[aIsFar ? 1 : 0][static_cast<std::size_t>(aPurpose)];
+    return m_bytes[aCrossesDomains ? 1 : 0][static_cast<std::size_t>(aPurpose)];
   }
 
-  /// \brief Calls `aEach(purpose, isFar, bytes)` for every count.
+  /// \brief Calls `aEach(purpose, crossesDomains, bytes)` for every count.
   template<class Each>
   void ForEach(Each aEach) const
   {
-    for (const bool far : { false, true }) {
+    for (const bool crossesDomains : { false, true }) {
       for (std::size_t i = 0; i < kTrafficPurposes; ++i) {
         const auto purpose = static_cast<TrafficPurpose>(i);
-        aEach(purpose, far, Bytes(purpose, far));
+        aEach(purpose, crossesDomains, Bytes(purpose, crossesDomains));
       }
     }
   }
--- a/include/greengagehub/transport/transport.hpp
+++ b/include/greengagehub/transport/transport.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Everything of the transport library.
+/// \brief Includes the headers of the transport library.
 
 #include "greengagehub/transport/bulk_channel.hpp"
 #include "greengagehub/transport/bulk_message.hpp"
--- a/src/transport/bulk_channel.cpp
+++ b/src/transport/bulk_channel.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr std::int64_t kMaxMessageBytes = 64L * 1024 * 1024;
-/// Waiting messages to one slow peer; more are dropped, and asked for again.
-constexpr int kHighWater = 16;
+/// Queue limit per peer; excess messages are dropped and requested again.
+constexpr int kMaxQueuedMessages = 16;
 
 std::uint16_t
 PortOf(const std::string& aEndpoint)
@@ -30,12 +30,12 @@
 }
 
 void
-SetLimits(zmq::socket_t& aSocket)
+SetSocketOptions(zmq::socket_t& aSocket)
 {
   aSocket.set(zmq::sockopt::linger, 0);
   aSocket.set(zmq::sockopt::maxmsgsize, kMaxMessageBytes);
-  aSocket.set(zmq::sockopt::sndhwm, kHighWater);
-  aSocket.set(zmq::sockopt::rcvhwm, kHighWater);
+  aSocket.set(zmq::sockopt::sndhwm, kMaxQueuedMessages);
+  aSocket.set(zmq::sockopt::rcvhwm, kMaxQueuedMessages);
 }
 
 std::string_view
@@ -44,23 +44,23 @@
   return { static_cast<const char*>(aMessage.data()), aMessage.size() };
 }
 
-/// Watches the descriptor of a ZeroMQ socket. It is edge-triggered: after each
-/// event, and after each send, the socket must be drained, or a message waits
-/// for the next one.
-class Readiness
+/// Watches the descriptor of a ZeroMQ socket. The descriptor is edge-triggered:
+/// unless the socket is drained after each event and each send, a message stays
+/// queued until the next event.
+class SocketWatch
 {
 public:
-  Readiness(asio::io_context& aLoop,
-            zmq::socket_t& aSocket,
-            std::function<void()> aDrain)
+  SocketWatch(asio::io_context& aLoop,
+              zmq::socket_t& aSocket,
+              std::function<void()> aDrain)
     : m_descriptor(aLoop, aSocket.get(zmq::sockopt::fd))
     , m_drain(std::move(aDrain))
   {
     Wait();
   }
-  Readiness(const Readiness&) = delete;
-  Readiness& operator=(const Readiness&) = delete;
-  ~Readiness()
+  SocketWatch(const SocketWatch&) = delete;
+  SocketWatch& operator=(const SocketWatch&) = delete;
+  ~SocketWatch()
   {
     *m_alive = false;
     m_descriptor.release();
@@ -72,7 +72,7 @@
     m_descriptor.async_wait(
       asio::posix::descriptor_base::wait_read,
       [this, alive = m_alive](const asio::error_code& aError) {
-        // An event that was ready before the release still comes.
+        // A pending event still completes after the release.
         if (aError || !*alive) {
           return;
         }
@@ -94,22 +94,22 @@
   Impl(asio::io_context& aLoop,
        const std::string& aHost,
        std::uint16_t aPort,
-       Serve aServe,
-       Answered aAnswered)
+       RequestHandler aOnRequest,
+       AnswerSentHandler aOnAnswerSent)
     : m_loop(aLoop)
-    , m_serve(std::move(aServe))
-    , m_answered(std::move(aAnswered))
+    , m_onRequest(std::move(aOnRequest))
+    , m_onAnswerSent(std::move(aOnAnswerSent))
     , m_context(1)
     , m_router(m_context, zmq::socket_type::router)
   {
-    SetLimits(m_router);
+    SetSocketOptions(m_router);
     m_router.bind(aPort == 0 ? fmt::format("tcp://{}:*", aHost)
                              : fmt::format("tcp://{}:{}", aHost, aPort));
     m_port = PortOf(m_router.get(zmq::sockopt::last_endpoint));
-    m_ready.emplace(aLoop, m_router, [this] { DrainRouter(); });
+    m_watch.emplace(aLoop, m_router, [this] { DrainRouter(); });
   }
 
-  /// One pull under way, with a connection of its own.
+  /// A pending pull with its own connection.
   struct Pending
   {
     Pending(asio::io_context& aLoop, zmq::context_t& aContext)
@@ -119,38 +119,38 @@
     }
     zmq::socket_t m_socket;
     asio::steady_timer m_timer;
-    std::optional<Readiness> m_ready{};
-    Done m_done{};
-    bool m_ended{ false };
+    std::optional<SocketWatch> m_watch{};
+    PullCallback m_callback{};
+    bool m_isDone{ false };
   };
   using Position = std::list<Pending>::iterator;
 
   std::size_t Pull(const MemberAddress& aPeer,
                    const PullRequest& aRequest,
                    std::chrono::milliseconds aTimeout,
-                   Done aDone)
+                   PullCallback aCallback)
   {
     m_pending.emplace_back(m_loop, m_context);
     const Position pull = std::prev(m_pending.end());
-    pull->m_done = std::move(aDone);
-    SetLimits(pull->m_socket);
+    pull->m_callback = std::move(aCallback);
+    SetSocketOptions(pull->m_socket);
     pull->m_socket.connect(
       fmt::format("tcp://{}:{}", aPeer.m_host, aPeer.m_bulkPort));
-    pull->m_ready.emplace(
+    pull->m_watch.emplace(
       m_loop, pull->m_socket, [this, pull] { DrainPull(pull); });
     pull->m_timer.expires_after(aTimeout);
     pull->m_timer.async_wait([this, pull](const asio::error_code& aError) {
       if (!aError) {
-        End(pull, std::nullopt);
+        Complete(pull, std::nullopt);
       }
     });
     const std::string bytes = EncodePullRequest(aRequest);
     ++m_counts.m_sent;
     m_counts.m_bytesSent += bytes.size();
     pull->m_socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait);
-    // The send may have raised the one edge that the descriptor will show.
+    // The send may have consumed the edge of the descriptor.
     asio::post(m_loop, [this, pull, alive = m_alive] {
-      if (*alive && !pull->m_ended) {
+      if (*alive && !pull->m_isDone) {
         DrainPull(pull);
       }
     });
@@ -193,17 +193,17 @@
       ++m_counts.m_malformed;
       return;
     }
-    // Member records repeat themselves: compressed they take a fraction.
+    // Member records are highly repetitive.
     const std::string bytes =
-      Compress(EncodePullAnswer(m_serve(request.value())));
+      Compress(EncodePullAnswer(m_onRequest(request.value())));
     ++m_counts.m_sent;
     m_counts.m_bytesSent += bytes.size();
     try {
       m_router.send(aPeer, zmq::send_flags::sndmore);
       m_router.send(zmq::buffer(bytes), zmq::send_flags::dontwait);
-      m_answered(request.value(), bytes.size());
+      m_onAnswerSent(request.value(), bytes.size());
     } catch (const zmq::error_t&) {
-      // The asker is gone; it will ask another peer.
+      // The requester has disconnected and will pull from another peer.
       ++m_counts.m_malformed;
     }
   }
@@ -211,7 +211,7 @@
   void DrainPull(Position aPull)
   {
     zmq::message_t body;
-    if (aPull->m_ended ||
+    if (aPull->m_isDone ||
         !aPull->m_socket.recv(body, zmq::recv_flags::dontwait)) {
       return;
     }
@@ -222,36 +222,36 @@
                         : Outcome<PullAnswer>{ plain.error() };
     if (!answer) {
       ++m_counts.m_malformed;
-      End(aPull, std::nullopt);
+      Complete(aPull, std::nullopt);
       return;
     }
-    End(aPull, std::move(answer.value()));
+    Complete(aPull, std::move(answer.value()));
   }
 
-  void End(Position aPull, std::optional<PullAnswer> aAnswer)
+  void Complete(Position aPull, std::optional<PullAnswer> aAnswer)
   {
-    if (aPull->m_ended) {
+    if (aPull->m_isDone) {
       return;
     }
-    aPull->m_ended = true;
+    aPull->m_isDone = true;
     aPull->m_timer.cancel();
-    Done done = std::move(aPull->m_done);
-    // The socket's own event may be on the stack: remove it afterwards.
+    PullCallback callback = std::move(aPull->m_callback);
+    // A handler of this pull may be on the call stack, so erase it later.
     asio::post(m_loop, [this, aPull, alive = m_alive] {
       if (*alive) {
         m_pending.erase(aPull);
       }
     });
-    done(std::move(aAnswer));
+    callback(std::move(aAnswer));
   }
 
   asio::io_context& m_loop;
-  Serve m_serve;
-  Answered m_answered;
+  RequestHandler m_onRequest;
+  AnswerSentHandler m_onAnswerSent;
   zmq::context_t m_context;
   zmq::socket_t m_router;
   std::uint16_t m_port{ 0 };
-  std::optional<Readiness> m_ready;
+  std::optional<SocketWatch> m_watch;
   std::list<Pending> m_pending;
   TrafficCounts m_counts;
   std::shared_ptr<bool> m_alive{ std::make_shared<bool>(true) };
@@ -260,13 +260,13 @@
 BulkChannel::BulkChannel(asio::io_context& aLoop,
                          const std::string& aHost,
                          std::uint16_t aPort,
-                         Serve aServe,
-                         Answered aAnswered)
+                         RequestHandler aOnRequest,
+                         AnswerSentHandler aOnAnswerSent)
   : m_impl(std::make_unique<Impl>(aLoop,
                                   aHost,
                                   aPort,
-                                  std::move(aServe),
-                                  std::move(aAnswered)))
+                                  std::move(aOnRequest),
+                                  std::move(aOnAnswerSent)))
 {
 }
 
@@ -288,9 +288,9 @@
 BulkChannel::Pull(const MemberAddress& aPeer,
                   const PullRequest& aRequest,
                   std::chrono::milliseconds aTimeout,
-                  Done aDone)
+                  PullCallback aCallback)
 {
-  return m_impl->Pull(aPeer, aRequest, aTimeout, std::move(aDone));
+  return m_impl->Pull(aPeer, aRequest, aTimeout, std::move(aCallback));
 }
 
 }
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -3,13 +3,13 @@
 #include "quota_wire.hpp"
 #include "rollout_wire.hpp"
 
-// Typed messages to and from protobuf, for all that is not calls.
+// Conversion of datagrams and pull messages to and from protobuf.
 
 namespace greengagehub {
 
 namespace {
 
-// Beside those of this unit.
+// Adds the overloads of the other wire files to those defined below.
 using greengagehub::FromWire;
 using greengagehub::ToWire;
 
@@ -40,12 +40,13 @@
 Outcome<MemberRecord>
 FromWire(const wire::MemberRecord& aWire)
 {
-  const bool valid = !aWire.slot().empty() && aWire.state() <= kLastState &&
-                     aWire.gossip_port() <= UINT16_MAX &&
-                     aWire.bulk_port() <= UINT16_MAX &&
-                     aWire.link_port() <= UINT16_MAX;
-  if (!valid) {
-    return Malformed("a member record out of range");
+  const bool isValid = !aWire.slot().empty() && aWire.state() <= kLastState &&
+                       aWire.gossip_port() <= UINT16_MAX &&
+                       aWire.bulk_port() <= UINT16_MAX &&
+                       aWire.link_port() <= UINT16_MAX;
+  if (!isValid) {
+    return Malformed(
+      "member record: empty slot, or state or port out of range");
   }
   MemberRecord record;
   record.m_slot = aWire.slot();
@@ -83,7 +84,7 @@
   const auto chain = DigestFromBytes(aWire.chain());
   const auto content = DigestFromBytes(aWire.content_digest());
   if (!chain || !content) {
-    return Malformed("an entry without its digests");
+    return Malformed("version entry: chain or content_digest is not a digest");
   }
   VersionEntry entry{
     Version{ aWire.version() }, aWire.patch(), chain.value(), content.value()
@@ -106,7 +107,7 @@
 {
   const auto chain = DigestFromBytes(aWire.chain());
   if (!chain) {
-    return Malformed("a head without its digest");
+    return Malformed("version digest: chain is not a digest");
   }
   return VersionDigest{ Version{ aWire.version() }, chain.value() };
 }
@@ -166,7 +167,7 @@
 FromWire(const wire::Verdict& aWire)
 {
   if (aWire.cause() > kLastCause) {
-    return Malformed("a verdict of an unknown cause");
+    return Malformed("verdict: unknown cause");
   }
   ContentVerdict verdict;
   verdict.m_content = { aWire.content_high(), aWire.content_low() };
@@ -258,7 +259,7 @@
   const bool parsed =
     in.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size()));
   if (!parsed || !wire::Datagram::Kind_IsValid(in.kind())) {
-    return Malformed("not a datagram of this protocol");
+    return Malformed("datagram: invalid encoding or unknown kind");
   }
   auto sender = FromWire(in.sender());
   auto head = FromWire(in.head());
@@ -270,7 +271,7 @@
   auto counts = FromWire(in.counts());
   if (!sender || !head || !updates || !entries || !ends || !verdicts ||
       !rollouts || !counts) {
-    return Malformed("a datagram with a field out of range");
+    return Malformed("datagram: field out of range");
   }
   GossipMessage message;
   message.m_kind = static_cast<GossipMessage::Kind>(in.kind());
@@ -321,7 +322,7 @@
 {
   wire::PullRequest in;
   if (!in.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size()))) {
-    return Malformed("not a pull request");
+    return Malformed("pull request: invalid encoding");
   }
   PullRequest request;
   request.m_slot = in.slot();
@@ -329,7 +330,7 @@
   request.m_wantMembers = in.want_members();
   const auto buckets = static_cast<std::size_t>(in.member_digests_size());
   if (request.m_wantMembers && buckets != MemberDigests::kBuckets) {
-    return Malformed("member digests of another size");
+    return Malformed("pull request: unexpected number of member_digests");
   }
   for (std::size_t i = 0; i < buckets && request.m_wantMembers; ++i) {
     request.m_members.m_sums[i] = in.member_digests(static_cast<int>(i));
@@ -364,20 +365,20 @@
 {
   wire::PullAnswer in;
   if (!in.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size()))) {
-    return Malformed("not a pull answer");
+    return Malformed("pull answer: invalid encoding");
   }
   auto entries = AllFromWire<VersionEntry>(in.entries());
   auto members = AllFromWire<MemberRecord>(in.members());
   auto head = FromWire(in.head());
   auto rollouts = AllFromWire<RolloutRecord>(in.rollouts());
   if (!entries || !members || !head || !rollouts) {
-    return Malformed("a pull answer with a field out of range");
+    return Malformed("pull answer: field out of range");
   }
   PullAnswer answer;
   if (!in.snapshot().empty()) {
     auto snapshotHead = FromWire(in.snapshot_head());
     if (!snapshotHead) {
-      return Malformed("a snapshot without its version");
+      return Malformed("pull answer: snapshot without a valid snapshot_head");
     }
     answer.m_snapshot = in.snapshot();
     answer.m_snapshotHead = std::move(snapshotHead.value());
--- a/src/transport/gossip_socket.cpp
+++ b/src/transport/gossip_socket.cpp
@@ -15,7 +15,7 @@
   if (aMessage.m_kind != GossipMessage::Kind::Push) {
     return TrafficPurpose::Probe;
   }
-  return aMessage.m_entries.empty() ? TrafficPurpose::News
+  return aMessage.m_entries.empty() ? TrafficPurpose::MemberUpdates
                                     : TrafficPurpose::Versions;
 }
 
@@ -49,13 +49,12 @@
   if (error || aSend.m_to.m_address.m_gossipPort == 0) {
     return;
   }
-  const std::string bytes = EncodeGossip(aSend.m_message, kMaxDatagram);
+  const std::string bytes = EncodeGossip(aSend.m_message, kMaxSentBytes);
   m_socket.send_to(asio::buffer(bytes),
                    udp::endpoint{ address, aSend.m_to.m_address.m_gossipPort },
                    0,
                    error);
-  // A datagram that cannot be sent is as good as lost on the way, which the
-  // protocol repairs.
+  // Send errors are ignored: the protocol tolerates lost datagrams.
   m_meter.Add(PurposeOf(aSend.m_message), aSend.m_to.m_isFar, bytes.size());
   ++m_counts.m_sent;
   m_counts.m_bytesSent += bytes.size();
--- a/src/transport/link_codec.cpp
+++ b/src/transport/link_codec.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <array>
 
-// Frames of call links to and from protobuf.
+// Conversion of call link frames to and from protobuf.
 
 namespace greengagehub {
 
@@ -19,19 +19,20 @@
   static_cast<std::uint32_t>(RefusalReason::Busy);
 constexpr unsigned kByteBits = 8;
 
-/// Bytes of the length in front of a head, and its mark.
-constexpr std::size_t kHeadHeader = 4;
-constexpr std::uint32_t kDeflated = 0x8000'0000U;
+/// Size in bytes of the head length.
+constexpr std::size_t kHeadLengthBytes = 4;
+/// Top bit of the head length: the head is compressed.
+constexpr std::uint32_t kDeflatedFlag = 0x8000'0000U;
 
 void
-AppendNumber(std::string& aOut, std::uint32_t aNumber)
+AppendBigEndian(std::string& aOut, std::uint32_t aNumber)
 {
   for (unsigned shift = 3; shift < kFrameHeader; --shift) {
     aOut += static_cast<char>((aNumber >> (shift * kByteBits)) & 0xFFU);
   }
 }
 
-/// \returns What travels behind the head as it is.
+/// \returns Raw bytes that follow the head.
 std::string_view
 BodyOf(const LinkFrame& aFrame)
 {
@@ -44,10 +45,10 @@
   return {};
 }
 
-/// \returns The reason as older daemons know it: they take a number beyond
-/// theirs for garbage and close the link.
+/// \returns A reason that older daemons can decode. They close the link on an
+/// unknown value, so newer reasons are sent in separate fields.
 RefusalReason
-OlderReason(RefusalReason aReason)
+CompatibleReason(RefusalReason aReason)
 {
   switch (aReason) {
     case RefusalReason::WorkerEnded:
@@ -57,7 +58,7 @@
     case RefusalReason::NoRepeats:
       return RefusalReason::Overloaded;
     case RefusalReason::NotInService:
-      // For calls there is no worker.
+      // A worker out of service is equivalent to no worker.
       return RefusalReason::NoWorker;
     default:
       return aReason;
@@ -133,7 +134,8 @@
     wire::CallAnswer& out = *m_out.mutable_answer();
     out.set_call(aAnswer.m_call);
     out.set_outcome(static_cast<std::uint32_t>(aAnswer.m_outcome));
-    out.set_reason(static_cast<std::uint32_t>(OlderReason(aAnswer.m_reason)));
+    out.set_reason(
+      static_cast<std::uint32_t>(CompatibleReason(aAnswer.m_reason)));
     out.set_held(aAnswer.m_reason == RefusalReason::Held);
     out.set_no_repeats(aAnswer.m_reason == RefusalReason::NoRepeats);
     if (aAnswer.m_reason == RefusalReason::WorkerEnded) {
@@ -179,7 +181,7 @@
 RequestFrom(const wire::CallRequest& aWire, std::string_view aBody)
 {
   if (aWire.call_class() > kLastClass) {
-    return Malformed("an unknown class of call");
+    return Malformed("call request: unknown call_class");
   }
   CallRequest request;
   request.m_call = aWire.call();
@@ -205,11 +207,11 @@
 Outcome<LinkFrame>
 AnswerFrom(const wire::CallAnswer& aWire, std::string_view aBody)
 {
-  const bool valid = aWire.outcome() <= kLastOutcome &&
-                     aWire.reason() <= kLastReason &&
-                     aWire.status() <= UINT16_MAX;
-  if (!valid) {
-    return Malformed("an answer with a field out of range");
+  const bool isValid = aWire.outcome() <= kLastOutcome &&
+                       aWire.reason() <= kLastReason &&
+                       aWire.status() <= UINT16_MAX;
+  if (!isValid) {
+    return Malformed("call answer: outcome, reason or status out of range");
   }
   CallAnswer answer;
   answer.m_call = aWire.call();
@@ -244,16 +246,17 @@
   std::visit(ToWire{ frame }, aFrame);
   std::string head;
   frame.AppendToString(&head);
-  std::uint32_t mark = 0;
+  std::uint32_t flags = 0;
   if (aDeflater != nullptr) {
     head = aDeflater->Deflate(head);
-    mark = kDeflated;
+    flags = kDeflatedFlag;
   }
   const std::string_view body = BodyOf(aFrame);
   const auto headSize = static_cast<std::uint32_t>(head.size());
-  AppendNumber(
-    aOut, static_cast<std::uint32_t>(kHeadHeader + headSize + body.size()));
-  AppendNumber(aOut, headSize | mark);
+  AppendBigEndian(
+    aOut,
+    static_cast<std::uint32_t>(kHeadLengthBytes + headSize + body.size()));
+  AppendBigEndian(aOut, headSize | flags);
   aOut += head;
   aOut += body;
 }
@@ -271,23 +274,23 @@
 Outcome<LinkFrame>
 DecodeFrame(std::string_view aBytes, LinkInflater* aInflater)
 {
-  if (aBytes.size() < kHeadHeader) {
-    return Malformed("a frame without a head");
+  if (aBytes.size() < kHeadLengthBytes) {
+    return Malformed("frame: too short for the head length");
   }
-  const std::size_t marked = FrameLength(aBytes.data());
-  const std::size_t headSize = marked & ~std::size_t{ kDeflated };
-  aBytes.remove_prefix(kHeadHeader);
+  const std::size_t headField = FrameLength(aBytes.data());
+  const std::size_t headSize = headField & ~std::size_t{ kDeflatedFlag };
+  aBytes.remove_prefix(kHeadLengthBytes);
   if (headSize > aBytes.size()) {
-    return Malformed("a head that is longer than its frame");
+    return Malformed("frame: head length exceeds the frame");
   }
   std::string_view head = aBytes.substr(0, headSize);
   const std::string_view body = aBytes.substr(headSize);
   std::string inflated;
-  if ((marked & kDeflated) != 0) {
+  if ((headField & kDeflatedFlag) != 0) {
     if (aInflater == nullptr) {
-      return Malformed("a deflated head where none is expected");
+      return Malformed("frame: unexpected compressed head");
     }
-    auto plain = aInflater->Inflate(head, kMaxFrame);
+    auto plain = aInflater->Inflate(head, kMaxFrameBytes);
     if (!plain) {
       return plain.error();
     }
@@ -296,7 +299,7 @@
   }
   wire::Frame frame;
   if (!frame.ParseFromArray(head.data(), static_cast<int>(head.size()))) {
-    return Malformed("not a frame of this protocol");
+    return Malformed("frame: invalid encoding of the head");
   }
   switch (frame.kind_case()) {
     case wire::Frame::kHello:
@@ -324,7 +327,7 @@
     case wire::Frame::KIND_NOT_SET:
       break;
   }
-  return Malformed("a frame of an unknown kind");
+  return Malformed("frame: unknown kind");
 }
 
 }
--- a/src/transport/link_connection.cpp
+++ b/src/transport/link_connection.cpp
@@ -39,7 +39,7 @@
   : m_socket(std::move(aSocket))
   , m_meter(aMeter)
   , m_pacer(aPacer)
-  , m_pause(m_socket.get_executor())
+  , m_pacingTimer(m_socket.get_executor())
 {
 }
 
@@ -48,38 +48,39 @@
 {
   m_onFrame = std::move(aOnFrame);
   m_onClosed = std::move(aOnClosed);
-  m_opened = Clock::now();
-  m_lastReceived = m_opened;
+  m_openedAt = Clock::now();
+  m_lastReceived = m_openedAt;
   asio::error_code ignored;
   m_socket.set_option(asio::ip::tcp::no_delay{ true }, ignored);
   Read();
 }
 
 void
-LinkConnection::MakeRoom()
+LinkConnection::ResizeReadBuffer()
 {
-  if (m_filled == 0 && m_in.size() > kReadBytes) {
-    m_in.resize(kReadBytes);
-    m_in.shrink_to_fit();
+  if (m_unparsedBytes == 0 && m_readBuffer.size() > kReadBytes) {
+    m_readBuffer.resize(kReadBytes);
+    m_readBuffer.shrink_to_fit();
   }
-  if (m_in.size() - m_filled < kReadBytes / 2) {
-    m_in.resize(std::max(kReadBytes, 2 * m_in.size()));
+  if (m_readBuffer.size() - m_unparsedBytes < kReadBytes / 2) {
+    m_readBuffer.resize(std::max(kReadBytes, 2 * m_readBuffer.size()));
   }
 }
 
 void
 LinkConnection::Read()
 {
-  MakeRoom();
+  ResizeReadBuffer();
   m_socket.async_read_some(
-    asio::buffer(m_in.data() + m_filled, m_in.size() - m_filled),
+    asio::buffer(m_readBuffer.data() + m_unparsedBytes,
+                 m_readBuffer.size() - m_unparsedBytes),
     [self = Pointer{ this }](const asio::error_code& aError,
                              std::size_t aSize) {
       if (aError) {
         self->Close();
         return;
       }
-      self->m_filled += aSize;
+      self->m_unparsedBytes += aSize;
       self->OnRead();
     });
 }
@@ -88,11 +89,11 @@
 LinkConnection::OnRead()
 {
   m_lastReceived = Clock::now();
-  const std::string_view received{ m_in.data(), m_filled };
+  const std::string_view received{ m_readBuffer.data(), m_unparsedBytes };
   std::size_t at = 0;
-  while (m_open && received.size() - at >= kFrameHeader) {
+  while (m_isOpen && received.size() - at >= kFrameHeader) {
     const std::size_t length = FrameLength(received.data() + at);
-    if (length > kMaxFrame) {
+    if (length > kMaxFrameBytes) {
       Close();
       return;
     }
@@ -105,47 +106,47 @@
     auto frame =
       DecodeFrame(received.substr(at + kFrameHeader, length), m_inflater.get());
     if (!frame) {
-      // Garbage: nothing after it can be trusted to be a frame.
+      // The start of the next frame is unknown after an invalid frame.
       Close();
       return;
     }
     at += kFrameHeader + length;
     m_onFrame(*this, std::move(frame.value()));
   }
-  m_filled -= at;
-  std::memmove(m_in.data(), m_in.data() + at, m_filled);
-  if (m_open) {
+  m_unparsedBytes -= at;
+  std::memmove(m_readBuffer.data(), m_readBuffer.data() + at, m_unparsedBytes);
+  if (m_isOpen) {
     Read();
   }
 }
 
 void
-LinkConnection::SetFar()
+LinkConnection::SetCrossesDomains()
 {
   m_isFar = true;
   m_deflater = std::make_unique<LinkDeflater>();
 }
 
 void
-LinkConnection::Append(const LinkFrame& aFrame)
+LinkConnection::Encode(const LinkFrame& aFrame)
 {
-  const std::size_t before = m_out.size();
-  AppendFrame(m_out, aFrame, m_deflater.get());
-  m_meter.Add(PurposeOf(aFrame), m_isFar, m_out.size() - before);
+  const std::size_t before = m_encoded.size();
+  AppendFrame(m_encoded, aFrame, m_deflater.get());
+  m_meter.Add(PurposeOf(aFrame), m_isFar, m_encoded.size() - before);
 }
 
 void
 LinkConnection::Send(const LinkFrame& aFrame)
 {
-  if (!m_open) {
+  if (!m_isOpen) {
     return;
   }
   if (m_pacer != nullptr && BodySizeOf(aFrame) > LinkPacer::kPart) {
-    m_large.push_back(aFrame);
+    m_largeFrames.push_back(aFrame);
   } else {
-    Append(aFrame);
+    Encode(aFrame);
   }
-  if (m_writing.empty()) {
+  if (m_writeBuffer.empty()) {
     Write();
   }
 }
@@ -153,56 +154,57 @@
 void
 LinkConnection::Write()
 {
-  if (m_out.empty()) {
-    WriteLarge();
+  if (m_encoded.empty()) {
+    ScheduleLargeFrame();
     return;
   }
   if (m_pacer != nullptr) {
-    static_cast<void>(m_pacer->Reserve(Clock::now(), m_out.size()));
+    static_cast<void>(m_pacer->Reserve(Clock::now(), m_encoded.size()));
   }
-  m_writing.swap(m_out);
+  m_writeBuffer.swap(m_encoded);
   m_written = 0;
   WritePart();
 }
 
 void
-LinkConnection::WriteLarge()
+LinkConnection::ScheduleLargeFrame()
 {
-  if (m_large.empty() || m_isPaused) {
+  if (m_largeFrames.empty() || m_isLargeScheduled) {
     return;
   }
-  m_isPaused = true;
-  m_pause.expires_after(
-    m_pacer->Reserve(Clock::now(), BodySizeOf(m_large.front())));
-  m_pause.async_wait([self = Pointer{ this }](const asio::error_code& aError) {
-    self->m_isPaused = false;
-    if (aError || !self->m_open) {
-      return;
-    }
-    // Behind what was sent meanwhile.
-    self->Append(self->m_large.front());
-    self->m_large.pop_front();
-    if (self->m_writing.empty()) {
-      self->m_writing.swap(self->m_out);
-      self->m_written = 0;
-      self->WritePart();
-    }
-  });
+  m_isLargeScheduled = true;
+  m_pacingTimer.expires_after(
+    m_pacer->Reserve(Clock::now(), BodySizeOf(m_largeFrames.front())));
+  m_pacingTimer.async_wait(
+    [self = Pointer{ this }](const asio::error_code& aError) {
+      self->m_isLargeScheduled = false;
+      if (aError || !self->m_isOpen) {
+        return;
+      }
+      // Append it after frames that were encoded during the wait.
+      self->Encode(self->m_largeFrames.front());
+      self->m_largeFrames.pop_front();
+      if (self->m_writeBuffer.empty()) {
+        self->m_writeBuffer.swap(self->m_encoded);
+        self->m_written = 0;
+        self->WritePart();
+      }
+    });
 }
 
 void
 LinkConnection::WritePart()
 {
-  const std::size_t left = m_writing.size() - m_written;
+  const std::size_t left = m_writeBuffer.size() - m_written;
   const std::size_t size =
     m_pacer != nullptr ? std::min(left, LinkPacer::kPart) : left;
   asio::async_write(m_socket,
-                    asio::buffer(m_writing.data() + m_written, size),
+                    asio::buffer(m_writeBuffer.data() + m_written, size),
                     [self = Pointer{ this }](const asio::error_code& aError,
                                              std::size_t aWritten) {
                       self->m_bytesSent += aWritten;
                       if (aError) {
-                        self->m_writing.clear();
+                        self->m_writeBuffer.clear();
                         self->Close();
                         return;
                       }
@@ -214,27 +216,26 @@
 LinkConnection::OnPartWritten(std::size_t aSize)
 {
   m_written += aSize;
-  if (m_written < m_writing.size()) {
-    if (!m_open) {
+  if (m_written < m_writeBuffer.size()) {
+    if (!m_isOpen) {
       return;
     }
-    // The time of the whole frame on the link is reserved; its parts leave
-    // evenly over it.
-    m_pause.expires_after(m_pacer->TimeOf(aSize));
-    m_pause.async_wait(
+    // The link time of the entire frame is reserved; spread its parts over it.
+    m_pacingTimer.expires_after(m_pacer->TimeOf(aSize));
+    m_pacingTimer.async_wait(
       [self = Pointer{ this }](const asio::error_code& aError) {
-        if (!aError && self->m_open) {
+        if (!aError && self->m_isOpen) {
           self->WritePart();
         }
       });
     return;
   }
-  m_writing.clear();
-  if (m_writing.capacity() > LinkPacer::kPart) {
-    // Room for a large frame is not kept on each connection.
-    m_writing.shrink_to_fit();
+  m_writeBuffer.clear();
+  if (m_writeBuffer.capacity() > LinkPacer::kPart) {
+    // Free the buffer of a large frame.
+    m_writeBuffer.shrink_to_fit();
   }
-  if (m_open) {
+  if (m_isOpen) {
     Write();
   }
 }
@@ -244,39 +245,39 @@
 {
   asio::error_code ignored;
   m_socket.set_option(asio::socket_base::linger{ true, 0 }, ignored);
-  Shut(false);
+  CloseSocket(false);
 }
 
 void
 LinkConnection::Close()
 {
-  Shut(true);
+  CloseSocket(true);
 }
 
 void
-LinkConnection::Shut(bool aOrderly)
+LinkConnection::CloseSocket(bool aIsOrderly)
 {
-  if (!m_open) {
+  if (!m_isOpen) {
     return;
   }
-  m_open = false;
-  m_pause.cancel();
+  m_isOpen = false;
+  m_pacingTimer.cancel();
   asio::error_code ignored;
-  if (aOrderly) {
+  if (aIsOrderly) {
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_both, ignored);
   }
   m_socket.close(ignored);
   asio::post(m_socket.get_executor(),
-             [self = Pointer{ this }] { self->Closed(); });
+             [self = Pointer{ this }] { self->ReportClosed(); });
 }
 
 void
-LinkConnection::Closed()
+LinkConnection::ReportClosed()
 {
-  if (m_reported) {
+  if (m_isCloseReported) {
     return;
   }
-  m_reported = true;
+  m_isCloseReported = true;
   const OnClosed onClosed = std::move(m_onClosed);
   m_onFrame = nullptr;
   if (onClosed) {
--- a/src/transport/link_deflate.cpp
+++ b/src/transport/link_deflate.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-/// Raw deflate with 4 KiB of history, some ten heads: 32 KiB of memory at the
-/// sending end and 11 KiB at the receiving one for each link.
+/// Window of 4 KiB, which holds several heads. A small window and memory level
+/// limit the memory that each connection needs.
 constexpr int kWindowBits = 12;
 constexpr int kMemoryLevel = 5;
-/// Every flushed piece ends with this; it is left out on the wire.
-constexpr std::string_view kFlushMark{ "\x00\x00\xff\xff", 4 };
-constexpr std::size_t kStep = 2048;
+/// Trailer of each flushed block; removed before sending and added back on
+/// receipt.
+constexpr std::string_view kSyncFlushMarker{ "\x00\x00\xff\xff", 4 };
+constexpr std::size_t kChunkBytes = 2048;
 
 Bytef*
-Input(std::string_view aBytes)
+InputPointer(std::string_view aBytes)
 {
-  // The library does not write to its input, though its type says so.
+  // zlib does not write to its input despite the non-const type.
   return reinterpret_cast<Bytef*>(const_cast<char*>(aBytes.data()));
 }
 
@@ -47,20 +48,20 @@
 }
 
 std::string
-LinkDeflater::Deflate(std::string_view aPiece)
+LinkDeflater::Deflate(std::string_view aData)
 {
   z_stream& z = m_stream->m_z;
-  z.next_in = Input(aPiece);
-  z.avail_in = static_cast<uInt>(aPiece.size());
+  z.next_in = InputPointer(aData);
+  z.avail_in = static_cast<uInt>(aData.size());
   std::string out;
-  std::array<char, kStep> step;
+  std::array<char, kChunkBytes> chunk;
   do {
-    z.next_out = reinterpret_cast<Bytef*>(step.data());
-    z.avail_out = static_cast<uInt>(step.size());
+    z.next_out = reinterpret_cast<Bytef*>(chunk.data());
+    z.avail_out = static_cast<uInt>(chunk.size());
     deflate(&z, Z_SYNC_FLUSH);
-    out.append(step.data(), step.size() - z.avail_out);
+    out.append(chunk.data(), chunk.size() - z.avail_out);
   } while (z.avail_out == 0);
-  out.resize(out.size() - kFlushMark.size());
+  out.resize(out.size() - kSyncFlushMarker.size());
   return out;
 }
 
@@ -85,18 +86,19 @@
 {
   z_stream& z = m_stream->m_z;
   std::string out;
-  std::array<char, kStep> step;
-  for (const std::string_view part : { aBytes, kFlushMark }) {
-    z.next_in = Input(part);
+  std::array<char, kChunkBytes> chunk;
+  for (const std::string_view part : { aBytes, kSyncFlushMarker }) {
+    z.next_in = InputPointer(part);
     z.avail_in = static_cast<uInt>(part.size());
     do {
-      z.next_out = reinterpret_cast<Bytef*>(step.data());
-      z.avail_out = static_cast<uInt>(step.size());
+      z.next_out = reinterpret_cast<Bytef*>(chunk.data());
+      z.avail_out = static_cast<uInt>(chunk.size());
       const int result = inflate(&z, Z_SYNC_FLUSH);
-      out.append(step.data(), step.size() - z.avail_out);
-      const bool bad = result != Z_OK && result != Z_BUF_ERROR;
-      if (bad || out.size() > aMaxBytes) {
-        return Error{ ErrorCode::Corrupt, "not a deflated piece" };
+      out.append(chunk.data(), chunk.size() - z.avail_out);
+      const bool failed = result != Z_OK && result != Z_BUF_ERROR;
+      if (failed || out.size() > aMaxBytes) {
+        return Error{ ErrorCode::Corrupt,
+                      "compressed head: invalid data or output too large" };
       }
     } while (z.avail_out == 0);
   }
--- a/src/transport/link_pool.cpp
+++ b/src/transport/link_pool.cpp
@@ -15,15 +15,15 @@
   std::unique_ptr<tcp::socket> m_connecting;
   std::uint64_t m_epoch{ 0 };
   std::uint64_t m_process{ 0 };
-  /// Open and greeted.
-  bool m_up{ false };
-  std::vector<LinkFrame> m_waiting;
-  TimePoint m_since{};
-  TimePoint m_lastUse{};
-  TimePoint m_lastPing{};
-  /// Set after a loss: until when to try again, and when next.
-  std::optional<TimePoint> m_retryUntil;
-  TimePoint m_retryAt{};
+  /// Connected, and the hello of the peer was received.
+  bool m_isReady{ false };
+  std::vector<LinkFrame> m_pendingFrames;
+  TimePoint m_connectStartedAt{};
+  TimePoint m_lastUsedAt{};
+  TimePoint m_lastPingAt{};
+  /// Set after a loss: end of the reconnect attempts.
+  std::optional<TimePoint> m_reconnectUntil;
+  TimePoint m_nextReconnectAt{};
 };
 
 LinkPool::LinkPool(asio::io_context& aLoop,
@@ -60,12 +60,12 @@
 {
   LinkPtr& link = m_links[aSlot];
   if (link && !(link->m_address == aAddress)) {
-    // The slot moved, so it is another process; what is in doubt on the old
-    // connection ends with it.
+    // A new address means a new process; pending calls to the old one are
+    // lost with its connection.
     if (link->m_connection) {
       link->m_connection->Close();
     }
-    DropWaiting(link);
+    FailPendingFrames(link);
     link = nullptr;
   }
   if (!link) {
@@ -73,12 +73,12 @@
     link->m_slot = aSlot;
     link->m_address = aAddress;
   }
-  link->m_lastUse = Clock::now();
-  if (link->m_up) {
+  link->m_lastUsedAt = Clock::now();
+  if (link->m_isReady) {
     Write(*link, aFrame);
     return;
   }
-  link->m_waiting.push_back(std::move(aFrame));
+  link->m_pendingFrames.push_back(std::move(aFrame));
   if (!link->m_connecting && !link->m_connection) {
     Connect(link);
   }
@@ -92,12 +92,11 @@
     return;
   }
   Link& link = *found->second;
-  if (link.m_up) {
+  if (link.m_isReady) {
     link.m_connection->Send(aFrame);
   } else if (const auto* cancel = std::get_if<LinkCancel>(&aFrame)) {
-    // Its caller has left while the link was being opened; sent then, it would
-    // run for nobody.
-    std::erase_if(link.m_waiting, [cancel](const LinkFrame& aEach) {
+    // The caller canceled while the link was opening; drop its request.
+    std::erase_if(link.m_pendingFrames, [cancel](const LinkFrame& aEach) {
       const auto* request = std::get_if<CallRequest>(&aEach);
       return request != nullptr && request->m_call == cancel->m_call;
     });
@@ -105,10 +104,10 @@
 }
 
 void
-LinkPool::DropWaiting(const LinkPtr& aLink)
+LinkPool::FailPendingFrames(const LinkPtr& aLink)
 {
   std::vector<LinkFrame> waiting;
-  waiting.swap(aLink->m_waiting);
+  waiting.swap(aLink->m_pendingFrames);
   for (const LinkFrame& each : waiting) {
     if (const auto* request = std::get_if<CallRequest>(&each)) {
       m_handlers.m_onNotSent(request->m_call);
@@ -117,7 +116,7 @@
 }
 
 // ---------------------------------------------------------------------------
-// Connecting
+// Connection setup
 
 void
 LinkPool::Connect(const LinkPtr& aLink)
@@ -125,11 +124,11 @@
   asio::error_code error;
   const auto host = asio::ip::make_address(aLink->m_address.m_host, error);
   if (error) {
-    DropWaiting(aLink);
+    FailPendingFrames(aLink);
     return;
   }
   aLink->m_epoch = ++m_lastEpoch;
-  aLink->m_since = Clock::now();
+  aLink->m_connectStartedAt = Clock::now();
   aLink->m_connecting = std::make_unique<tcp::socket>(m_loop);
   aLink->m_connecting->async_connect(
     tcp::endpoint{ host, aLink->m_address.m_linkPort },
@@ -177,33 +176,33 @@
 void
 LinkPool::OnConnectFailed(const LinkPtr& aLink, bool aRefused)
 {
-  DropWaiting(aLink);
+  FailPendingFrames(aLink);
   if (aRefused) {
     m_handlers.m_onRefused(aLink->m_slot);
   }
-  aLink->m_retryAt = Clock::now() + m_settings.m_reconnectEvery;
+  aLink->m_nextReconnectAt = Clock::now() + m_settings.m_reconnectInterval;
 }
 
 void
 LinkPool::OnHello(const LinkPtr& aLink, const LinkHello& aHello)
 {
   if (aHello.m_slot != aLink->m_slot) {
-    // Another instance has the address now; the one that was meant is gone.
-    LinkConnection::Pointer stranger = std::move(aLink->m_connection);
+    // Another instance has the address, so the intended one is gone.
+    LinkConnection::Pointer otherInstance = std::move(aLink->m_connection);
     aLink->m_connection = nullptr;
-    stranger->Close();
+    otherInstance->Close();
     OnConnectFailed(aLink, true);
     return;
   }
   if (aHello.m_domain != m_self.m_domain) {
-    aLink->m_connection->SetFar();
+    aLink->m_connection->SetCrossesDomains();
   }
-  aLink->m_up = true;
+  aLink->m_isReady = true;
   aLink->m_process = aHello.m_process;
-  aLink->m_retryUntil.reset();
+  aLink->m_reconnectUntil.reset();
   m_handlers.m_onUp(aLink->m_slot, aHello.m_process);
   std::vector<LinkFrame> waiting;
-  waiting.swap(aLink->m_waiting);
+  waiting.swap(aLink->m_pendingFrames);
   for (const LinkFrame& each : waiting) {
     Write(*aLink, each);
   }
@@ -234,19 +233,19 @@
     return;
   }
   aLink->m_connection.reset();
-  const bool wasUp = aLink->m_up;
-  aLink->m_up = false;
-  DropWaiting(aLink);
+  const bool wasUp = aLink->m_isReady;
+  aLink->m_isReady = false;
+  FailPendingFrames(aLink);
   const TimePoint now = Clock::now();
-  aLink->m_retryAt = now;
+  aLink->m_nextReconnectAt = now;
   if (wasUp) {
-    aLink->m_retryUntil = now + m_settings.m_reconnectFor;
+    aLink->m_reconnectUntil = now + m_settings.m_reconnectTimeout;
     m_handlers.m_onLost(aLink->m_slot);
   }
 }
 
 // ---------------------------------------------------------------------------
-// Time
+// Timeouts
 
 void
 LinkPool::OnTick(TimePoint aNow)
@@ -254,38 +253,38 @@
   const auto links = m_links;
   for (const auto& [slot, link] : links) {
     if (link->m_connecting &&
-        aNow - link->m_since > m_settings.m_connectTimeout) {
+        aNow - link->m_connectStartedAt > m_settings.m_connectTimeout) {
       link->m_connecting.reset();
       OnConnectFailed(link, false);
     }
-    if (link->m_connection && !link->m_up &&
-        aNow - link->m_since > m_settings.m_connectTimeout) {
+    if (link->m_connection && !link->m_isReady &&
+        aNow - link->m_connectStartedAt > m_settings.m_connectTimeout) {
       link->m_connection->Abort();
     }
-    if (link->m_up) {
+    if (link->m_isReady) {
       const Duration silent = aNow - link->m_connection->LastReceived();
-      if (silent > m_settings.m_silence) {
-        // Something between the two ends may have lost track of this
-        // connection while new ones work: waiting longer would help nobody.
+      if (silent > m_settings.m_silenceTimeout) {
+        // A middlebox may have dropped the state of this connection while new
+        // connections work.
         link->m_connection->Abort();
-      } else if (aNow - link->m_lastUse > m_settings.m_idle) {
-        link->m_up = false;
+      } else if (aNow - link->m_lastUsedAt > m_settings.m_idleTimeout) {
+        link->m_isReady = false;
         link->m_connection->Close();
-      } else if (aNow - link->m_lastPing > m_settings.m_heartbeat) {
-        link->m_lastPing = aNow;
-        link->m_connection->Send(LinkPing{ ++m_lastPing });
+      } else if (aNow - link->m_lastPingAt > m_settings.m_heartbeatInterval) {
+        link->m_lastPingAt = aNow;
+        link->m_connection->Send(LinkPing{ ++m_lastPingNumber });
       }
     }
     const bool idle = !link->m_connecting && !link->m_connection;
-    if (idle && link->m_retryUntil && aNow >= link->m_retryAt) {
-      if (aNow < *link->m_retryUntil) {
+    if (idle && link->m_reconnectUntil && aNow >= link->m_nextReconnectAt) {
+      if (aNow < *link->m_reconnectUntil) {
         Connect(link);
       } else {
-        link->m_retryUntil.reset();
+        link->m_reconnectUntil.reset();
       }
     }
-    if (idle && !link->m_connecting && !link->m_retryUntil &&
-        aNow - link->m_lastUse > m_settings.m_idle) {
+    if (idle && !link->m_connecting && !link->m_reconnectUntil &&
+        aNow - link->m_lastUsedAt > m_settings.m_idleTimeout) {
       m_links.erase(slot);
     }
   }
--- a/src/transport/link_server.cpp
+++ b/src/transport/link_server.cpp
@@ -32,8 +32,8 @@
 LinkConnection*
 LinkServer::Find(std::uint64_t aProcess) const
 {
-  const auto found = m_byProcess.find(aProcess);
-  return found == m_byProcess.end() ? nullptr : found->second.get();
+  const auto found = m_currentByProcess.find(aProcess);
+  return found == m_currentByProcess.end() ? nullptr : found->second.get();
 }
 
 void
@@ -53,10 +53,11 @@
             OnFrame(aConnection, std::move(aFrame));
           },
           [this](LinkConnection& aConnection) {
-            const auto current = m_byProcess.find(aConnection.m_peer.m_process);
-            if (current != m_byProcess.end() &&
+            const auto current =
+              m_currentByProcess.find(aConnection.m_peer.m_process);
+            if (current != m_currentByProcess.end() &&
                 current->second.get() == &aConnection) {
-              m_byProcess.erase(current);
+              m_currentByProcess.erase(current);
             }
             m_connections.erase(LinkConnection::Pointer{ &aConnection });
           });
@@ -66,26 +67,27 @@
 }
 
 void
-LinkServer::Greet(LinkConnection& aConnection, const LinkHello& aHello)
+LinkServer::OnHello(LinkConnection& aConnection, const LinkHello& aHello)
 {
-  const auto older = m_byProcess.find(aHello.m_process);
-  if (older != m_byProcess.end()) {
+  const auto older = m_currentByProcess.find(aHello.m_process);
+  if (older != m_currentByProcess.end()) {
     if (older->second->m_peer.m_epoch >= aHello.m_epoch) {
-      // A hello that was stuck on the way while a newer connection opened.
+      // A delayed hello; a newer connection is already open.
       aConnection.Close();
       return;
     }
     older->second->Close();
   }
   aConnection.m_peer = aHello;
-  aConnection.m_greeted = true;
-  m_byProcess[aHello.m_process] = LinkConnection::Pointer{ &aConnection };
+  aConnection.m_helloReceived = true;
+  m_currentByProcess[aHello.m_process] =
+    LinkConnection::Pointer{ &aConnection };
   m_handlers.m_onEpoch(aHello.m_process, aHello.m_epoch);
   LinkHello answer = m_self;
   answer.m_epoch = aHello.m_epoch;
   aConnection.Send(answer);
   if (aHello.m_domain != m_self.m_domain) {
-    aConnection.SetFar();
+    aConnection.SetCrossesDomains();
   }
 }
 
@@ -93,10 +95,10 @@
 LinkServer::OnFrame(LinkConnection& aConnection, LinkFrame aFrame)
 {
   if (const auto* hello = std::get_if<LinkHello>(&aFrame)) {
-    Greet(aConnection, *hello);
+    OnHello(aConnection, *hello);
     return;
   }
-  if (!aConnection.m_greeted) {
+  if (!aConnection.m_helloReceived) {
     aConnection.Close();
     return;
   }
@@ -119,7 +121,7 @@
 LinkServer::Broadcast(const LinkFrame& aFrame)
 {
   for (const auto& each : m_connections) {
-    if (each->m_greeted) {
+    if (each->m_helloReceived) {
       each->Send(aFrame);
     }
   }
--- a/src/transport/quota_wire.hpp
+++ b/src/transport/quota_wire.hpp
@@ -3,7 +3,7 @@
 #include "control.pb.h"
 #include "greengagehub/workspaces/quota_message.hpp"
 
-// Questions about quotas and their answers, to and from protobuf.
+// Conversion of quota queries and reports to and from protobuf.
 
 namespace greengagehub {
 
--- a/src/transport/rollout_wire.cpp
+++ b/src/transport/rollout_wire.cpp
@@ -39,11 +39,11 @@
   counts.m_failed = aWire.failed();
   counts.m_lost = aWire.lost();
   const std::size_t first = aWire.first_bucket();
-  const auto many = static_cast<std::size_t>(aWire.times_size());
-  if (first > TimeCounts::kBuckets || many > TimeCounts::kBuckets - first) {
-    return Malformed("times beyond the last bucket");
+  const auto count = static_cast<std::size_t>(aWire.times_size());
+  if (first > TimeCounts::kBuckets || count > TimeCounts::kBuckets - first) {
+    return Malformed("route counts: times exceed the last bucket");
   }
-  for (std::size_t i = 0; i < many; ++i) {
+  for (std::size_t i = 0; i < count; ++i) {
     counts.m_times.at(first + i) = aWire.times(static_cast<int>(i));
   }
   return counts;
@@ -76,12 +76,12 @@
 Outcome<RolloutRecord>
 FromWire(const wire::Rollout& aWire)
 {
-  const bool fits = aWire.state() <= kLastRolloutState &&
-                    aWire.cause() <= kLastRollbackCause &&
-                    aWire.generation() > 0 && !aWire.service().empty() &&
-                    !aWire.target().empty();
-  if (!fits) {
-    return Malformed("a roll-out with a field out of range");
+  const bool isValid = aWire.state() <= kLastRolloutState &&
+                       aWire.cause() <= kLastRollbackCause &&
+                       aWire.generation() > 0 && !aWire.service().empty() &&
+                       !aWire.target().empty();
+  if (!isValid) {
+    return Malformed("roll-out: empty or out-of-range field");
   }
   RolloutRecord record;
   record.m_order = { aWire.service(),
--- a/src/transport/rollout_wire.hpp
+++ b/src/transport/rollout_wire.hpp
@@ -6,7 +6,8 @@
 
 #include <algorithm>
 
-// What the codec's units share.
+// Conversion of roll-out messages to and from protobuf, and helpers shared by
+// the codec sources.
 
 namespace greengagehub {
 
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 GossipMessage
-SomeGossip()
+TestGossip()
 {
   GossipMessage message;
   message.m_kind = GossipMessage::Kind::Ack;
@@ -47,7 +47,7 @@
 }
 
 std::string
-SomeFrame()
+TestFrame()
 {
   CallRequest request;
   request.m_call = 5;
@@ -64,9 +64,9 @@
 
 }
 
-TEST_CASE("a datagram comes back as it was")
+TEST_CASE("a datagram survives encoding and decoding")
 {
-  const GossipMessage sent = SomeGossip();
+  const GossipMessage sent = TestGossip();
   const auto got = DecodeGossip(EncodeGossip(sent, 1400));
   REQUIRE(got);
   CHECK(got.value().m_kind == sent.m_kind);
@@ -99,9 +99,9 @@
   CHECK(verdict.m_age == 20s);
 }
 
-TEST_CASE("a version on trial and counts of its worker come back as they were")
+TEST_CASE("a roll-out and worker counts survive encoding and decoding")
 {
-  GossipMessage sent = SomeGossip();
+  GossipMessage sent = TestGossip();
   RolloutRecord record;
   record.m_order = { "locker-app", "v2", 12'500ms };
   record.m_generation = 3;
@@ -127,27 +127,27 @@
   CHECK(got.value().m_sender.m_workerVersion == "v2");
   CHECK(got.value().m_rolloutsDigest == 77);
   REQUIRE(got.value().m_rollouts.size() == 1);
-  const RolloutRecord& back = got.value().m_rollouts[0];
-  CHECK(back.m_order.m_service == "locker-app");
-  CHECK(back.m_order.m_target == "v2");
-  CHECK(back.m_order.m_duration == 12'500ms);
-  CHECK(back.m_generation == 3);
-  CHECK(back.m_base == "v1");
-  CHECK(back.m_state == RolloutState::RolledBack);
-  CHECK(back.m_isWritten);
-  CHECK(back.m_cause == RollbackCause::Slowness);
-  CHECK(back.m_grounds.m_runs == 120);
-  CHECK(back.m_grounds.m_harmed == 30);
-  CHECK(back.m_grounds.m_expected == 2);
-  CHECK(back.m_step == 17);
-  CHECK(back.m_leave.m_permille == 40);
-  CHECK(back.m_leave.m_workers == 3);
-  CHECK(back.m_leave.m_first == 6);
-  CHECK(back.m_leave.m_left == 1200ms);
-  CHECK(back.m_age == 4s);
+  const RolloutRecord& decodedRecord = got.value().m_rollouts[0];
+  CHECK(decodedRecord.m_order.m_service == "locker-app");
+  CHECK(decodedRecord.m_order.m_target == "v2");
+  CHECK(decodedRecord.m_order.m_duration == 12'500ms);
+  CHECK(decodedRecord.m_generation == 3);
+  CHECK(decodedRecord.m_base == "v1");
+  CHECK(decodedRecord.m_state == RolloutState::RolledBack);
+  CHECK(decodedRecord.m_isWritten);
+  CHECK(decodedRecord.m_cause == RollbackCause::Slowness);
+  CHECK(decodedRecord.m_grounds.m_runs == 120);
+  CHECK(decodedRecord.m_grounds.m_harmed == 30);
+  CHECK(decodedRecord.m_grounds.m_expected == 2);
+  CHECK(decodedRecord.m_step == 17);
+  CHECK(decodedRecord.m_leave.m_permille == 40);
+  CHECK(decodedRecord.m_leave.m_workers == 3);
+  CHECK(decodedRecord.m_leave.m_first == 6);
+  CHECK(decodedRecord.m_leave.m_left == 1200ms);
+  CHECK(decodedRecord.m_age == 4s);
   REQUIRE(got.value().m_counts);
   const WorkerCounts& counts = *got.value().m_counts;
-  // A daemon speaks for its own worker only.
+  // A daemon may report counts of its own worker only.
   CHECK(counts.m_slot == got.value().m_sender.m_slot);
   CHECK(counts.m_process == 9);
   CHECK(counts.m_version == "v2");
@@ -158,11 +158,11 @@
   CHECK(counts.m_routes[0].m_times == route.m_times);
 }
 
-TEST_CASE("an end and a hold are told in reasons that older daemons know")
+TEST_CASE(
+  "newer refusal reasons are sent as values that older daemons can decode")
 {
-  // A daemon of the release before takes a reason beyond its own for garbage
-  // and closes the link, with all calls on it.
-  const auto last = RefusalReason::Busy;
+  // Older daemons close the link, with all calls on it, on an unknown reason.
+  const auto lastKnown = RefusalReason::Busy;
   for (const RefusalReason reason : { RefusalReason::WorkerEnded,
                                       RefusalReason::Held,
                                       RefusalReason::NoRepeats }) {
@@ -178,17 +178,19 @@
     CHECK(got.m_ends == sent.m_ends);
     CHECK(got.m_retryAfter == 5min);
 
-    wire::Frame older;
+    wire::Frame headFrame;
     const std::string_view head =
       std::string_view{ bytes }.substr(2 * kFrameHeader);
-    REQUIRE(older.ParseFromArray(head.data(), static_cast<int>(head.size())));
-    CHECK(older.answer().reason() <= static_cast<std::uint32_t>(last));
+    REQUIRE(
+      headFrame.ParseFromArray(head.data(), static_cast<int>(head.size())));
+    CHECK(headFrame.answer().reason() <= static_cast<std::uint32_t>(lastKnown));
   }
 }
 
-TEST_CASE("a datagram is cut to fit: records first, then entries")
+TEST_CASE(
+  "a datagram is truncated to the size limit: records first, then entries")
 {
-  const std::string bytes = EncodeGossip(SomeGossip(), 300);
+  const std::string bytes = EncodeGossip(TestGossip(), 300);
   CHECK(bytes.size() <= 300);
   const auto got = DecodeGossip(bytes);
   REQUIRE(got);
@@ -196,9 +198,9 @@
   CHECK(got.value().m_sequence == 77);
 }
 
-TEST_CASE("a frame comes back as it was")
+TEST_CASE("a frame survives encoding and decoding")
 {
-  const std::string bytes = SomeFrame();
+  const std::string bytes = TestFrame();
   REQUIRE(FrameLength(bytes.data()) == bytes.size() - kFrameHeader);
   const auto frame =
     DecodeFrame(std::string_view{ bytes }.substr(kFrameHeader));
@@ -210,20 +212,19 @@
   CHECK(request.m_headers.at(0).m_value == "abc");
 }
 
-TEST_CASE("garbage and damaged messages are errors, never crashes")
+TEST_CASE("invalid and corrupted messages are errors and do not crash")
 {
-  // Anything may come in on an open port. 100,000 random or damaged messages
-  // go through each decoder; what is taken must be in range.
+  // Guards against crashes and out-of-range values from corrupted input.
   Random random{ 11 };
-  const std::string gossip = EncodeGossip(SomeGossip(), 1400);
-  const std::string frame = SomeFrame().substr(kFrameHeader);
+  const std::string gossip = EncodeGossip(TestGossip(), 1400);
+  const std::string frame = TestFrame().substr(kFrameHeader);
   PullAnswer answer;
   answer.m_head = { Version{ 1 }, HashOf("x") };
   const std::string pull = EncodePullAnswer(answer);
   for (int i = 0; i < 100'000; ++i) {
-    for (const std::string* whole : { &gossip, &frame, &pull }) {
-      std::string bytes = *whole;
-      for (std::uint64_t hits = 1 + Below(random, 4); hits > 0; --hits) {
+    for (const std::string* original : { &gossip, &frame, &pull }) {
+      std::string bytes = *original;
+      for (std::uint64_t flips = 1 + Below(random, 4); flips > 0; --flips) {
         bytes[Below(random, bytes.size())] = static_cast<char>(random());
       }
       if (Below(random, 3) == 0) {
@@ -240,10 +241,10 @@
   }
 }
 
-TEST_CASE("a caller's header that is no UTF-8 does not cost the link")
+TEST_CASE("a header that is not UTF-8 does not close the link")
 {
-  // A caller sends a header in another encoding, which HTTP allows. A frame
-  // that cannot be decoded closes the link, with every other call on it.
+  // HTTP allows other encodings; a frame that cannot be decoded closes the link
+  // with all calls on it.
   CallRequest request;
   request.m_headers = { { "X-Name", "Bj\xf6rn" } };
   request.m_target = "/\xff";
--- a/tests/transport/link_connection.cpp
+++ b/tests/transport/link_connection.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 LinkFrame
-AnswerOf(std::uint64_t aCall, std::size_t aBytes)
+MakeAnswer(std::uint64_t aCall, std::size_t aBytes)
 {
   CallAnswer answer{ .m_call = aCall, .m_outcome = CallOutcome::Answered };
   answer.m_response.m_status = 200;
@@ -19,9 +19,9 @@
   return answer;
 }
 
-struct Pair
+struct ConnectionPair
 {
-  Pair()
+  ConnectionPair()
   {
     tcp::acceptor acceptor{
       m_loop, tcp::endpoint{ asio::ip::address_v4::loopback(), 0 }
@@ -56,12 +56,12 @@
 
 }
 
-TEST_CASE("a small answer does not wait behind large ones that have not begun")
+TEST_CASE("a small answer overtakes large answers that are still queued")
 {
-  Pair pair;
-  pair.m_sender->Send(AnswerOf(1, 300'000));
-  pair.m_sender->Send(AnswerOf(2, 300'000));
-  pair.m_sender->Send(AnswerOf(3, 100));
+  ConnectionPair pair;
+  pair.m_sender->Send(MakeAnswer(1, 300'000));
+  pair.m_sender->Send(MakeAnswer(2, 300'000));
+  pair.m_sender->Send(MakeAnswer(3, 100));
   pair.RunUntilReceived(3);
   CHECK(pair.m_received.back().m_call == 2);
   for (const CallAnswer& each : pair.m_received) {
@@ -69,12 +69,12 @@
   }
 }
 
-TEST_CASE("a connection tells that answers wait until the last one has left")
+TEST_CASE("HasUnsent is true until the last answer is written")
 {
-  Pair pair;
+  ConnectionPair pair;
   CHECK_FALSE(pair.m_sender->HasUnsent());
-  pair.m_sender->Send(AnswerOf(1, 300'000));
-  pair.m_sender->Send(AnswerOf(2, 300'000));
+  pair.m_sender->Send(MakeAnswer(1, 300'000));
+  pair.m_sender->Send(MakeAnswer(2, 300'000));
   CHECK(pair.m_sender->HasUnsent());
   pair.RunUntilReceived(1);
   CHECK(pair.m_sender->HasUnsent());
@@ -85,11 +85,11 @@
   CHECK(pair.m_received.size() == 2);
 }
 
-TEST_CASE("a connection that closes while large answers wait ends cleanly")
+TEST_CASE("a connection with queued large answers closes cleanly")
 {
-  Pair pair;
-  pair.m_sender->Send(AnswerOf(1, 300'000));
-  pair.m_sender->Send(AnswerOf(2, 300'000));
+  ConnectionPair pair;
+  pair.m_sender->Send(MakeAnswer(1, 300'000));
+  pair.m_sender->Send(MakeAnswer(2, 300'000));
   pair.RunUntilReceived(1);
   pair.m_sender->Close();
   pair.m_loop.run();
--- a/tests/transport/link_deflate.cpp
+++ b/tests/transport/link_deflate.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kMax = 100'000;
+constexpr std::size_t kMaxBytes = 100'000;
 
 std::string
 Bytes(Random& aRandom, std::size_t aSize)
@@ -20,7 +20,7 @@
 }
 
 CallRequest
-Lookup(Random& aRandom)
+MakeLookup(Random& aRandom)
 {
   static constexpr const char* kHex = "0123456789abcdef";
   std::string id;
@@ -43,34 +43,34 @@
 
 }
 
-TEST_CASE("pieces of every size come back in order")
+TEST_CASE("blocks of all sizes survive compression in order")
 {
   Random random{ 3 };
   LinkDeflater deflater;
   LinkInflater inflater;
   for (const std::size_t size : { 0UL, 1UL, 5000UL, 60'000UL, 2048UL, 100UL }) {
     const std::string piece = Bytes(random, size);
-    const auto back = inflater.Inflate(deflater.Deflate(piece), kMax);
+    const auto back = inflater.Inflate(deflater.Deflate(piece), kMaxBytes);
     REQUIRE(back);
     CHECK(back.value() == piece);
   }
 }
 
-TEST_CASE("the heads of calls shrink to less than half")
+TEST_CASE("call heads compress to less than half their size")
 {
   Random random{ 5 };
   LinkDeflater deflater;
   LinkInflater inflater;
-  std::size_t plain = 0;
-  std::size_t small = 0;
+  std::size_t plainBytes = 0;
+  std::size_t deflatedBytes = 0;
   for (int i = 0; i < 200; ++i) {
-    const CallRequest request = Lookup(random);
-    std::string asIs;
-    AppendFrame(asIs, request);
+    const CallRequest request = MakeLookup(random);
+    std::string plainFrame;
+    AppendFrame(plainFrame, request);
     std::string frame;
     AppendFrame(frame, request, &deflater);
-    plain += asIs.size() - request.m_body.size();
-    small += frame.size() - request.m_body.size();
+    plainBytes += plainFrame.size() - request.m_body.size();
+    deflatedBytes += frame.size() - request.m_body.size();
     const auto back =
       DecodeFrame(std::string_view{ frame }.substr(kFrameHeader), &inflater);
     REQUIRE(back);
@@ -78,20 +78,21 @@
     CHECK(std::get<CallRequest>(back.value()).m_headers[4].m_value ==
           request.m_headers[4].m_value);
   }
-  MESSAGE("heads: " << plain << " bytes plain, " << small << " deflated");
-  CHECK(small < plain / 2);
+  MESSAGE("heads: " << plainBytes << " bytes plain, " << deflatedBytes
+                    << " deflated");
+  CHECK(deflatedBytes < plainBytes / 2);
 }
 
-TEST_CASE("damaged pieces and bombs are errors")
+TEST_CASE("corrupted data and decompression bombs are errors")
 {
   Random random{ 7 };
   for (int i = 0; i < 2000; ++i) {
     LinkInflater inflater;
     static_cast<void>(
-      inflater.Inflate(Bytes(random, 1 + Below(random, 200)), kMax));
+      inflater.Inflate(Bytes(random, 1 + Below(random, 200)), kMaxBytes));
   }
   LinkDeflater deflater;
   LinkInflater inflater;
   CHECK_FALSE(
-    inflater.Inflate(deflater.Deflate(std::string(1'000'000, 'x')), kMax));
+    inflater.Inflate(deflater.Deflate(std::string(1'000'000, 'x')), kMaxBytes));
 }
--- a/tests/transport/link_pacer.cpp
+++ b/tests/transport/link_pacer.cpp
@@ -5,7 +5,7 @@
 using namespace greengagehub;
 using namespace std::chrono_literals;
 
-TEST_CASE("large answers of many connections leave no faster than the link")
+TEST_CASE("large answers are paced to the bandwidth of the link")
 {
   LinkPacer pacer{ 15 };
   const TimePoint start{ 100s };
@@ -13,14 +13,14 @@
   for (std::size_t bytes = 0; bytes < 540'000; bytes += LinkPacer::kPart) {
     last = pacer.Reserve(start, LinkPacer::kPart);
   }
-  // 540 KB at 15 Mbit/s take 288 ms.
+  // 540 kB take 288 ms at 15 Mbit/s.
   CHECK(last >= 288ms - 9ms);
   CHECK(last <= 400ms);
   CHECK(pacer.Backlog(start + 1s) == Duration::zero());
   CHECK(pacer.Reserve(start + 1s, LinkPacer::kPart) == Duration::zero());
 }
 
-TEST_CASE("on a link whose rate is not known nothing waits")
+TEST_CASE("an unknown bandwidth disables pacing")
 {
   LinkPacer pacer{ 0 };
   CHECK(pacer.Reserve(TimePoint{ 1s }, 10'000'000) == Duration::zero());
--- a/tests/transport/link_pool.cpp
+++ b/tests/transport/link_pool.cpp
@@ -13,9 +13,8 @@
 
 namespace {
 
-/// Handlers that do nothing.
 LinkPool::Handlers
-QuietHandlers()
+NoOpHandlers()
 {
   LinkPool::Handlers handlers;
   handlers.m_onFrame = [](const std::string&, const LinkFrame&) {};
@@ -29,28 +28,27 @@
 
 }
 
-TEST_CASE("a request is never handed to another instance at the same address")
+TEST_CASE("a request is not sent to another instance at the same address")
 {
-  // An instance is lost for good, and its address is given to another one
-  // with another service. A caller's daemon that still knows the old one opens
-  // a link there and would send a release to a ledger. The greeting names the
-  // instance: the request is reported as not sent, and the old one as gone.
+  // Guards against sending a call to the wrong service when the address of a
+  // lost instance is reused.
   asio::io_context loop;
   int received = 0;
   TrafficMeter traffic;
-  LinkServer stranger{ loop,
-                       "127.0.0.1",
-                       0,
-                       LinkHello{ "new-instance", 2, 0 },
-                       traffic,
-                       { .m_onEpoch = [](std::uint64_t, std::uint64_t) {},
-                         .m_onFrame = [&](LinkConnection&,
-                                          const LinkFrame&) { ++received; } } };
+  LinkServer otherInstance{
+    loop,
+    "127.0.0.1",
+    0,
+    LinkHello{ "new-instance", 2, 0 },
+    traffic,
+    { .m_onEpoch = [](std::uint64_t, std::uint64_t) {},
+      .m_onFrame = [&](LinkConnection&, const LinkFrame&) { ++received; } }
+  };
   std::vector<std::uint64_t> notSent;
-  std::vector<std::string> gone;
-  LinkPool::Handlers handlers = QuietHandlers();
+  std::vector<std::string> lostSlots;
+  LinkPool::Handlers handlers = NoOpHandlers();
   handlers.m_onRefused = [&](const std::string& aSlot) {
-    gone.push_back(aSlot);
+    lostSlots.push_back(aSlot);
   };
   handlers.m_onNotSent = [&](std::uint64_t aAttempt) {
     notSent.push_back(aAttempt);
@@ -61,38 +59,40 @@
   CallRequest request;
   request.m_call = 7;
   pool.Send("old-instance",
-            MemberAddress{ "127.0.0.1", 0, 0, stranger.Port() },
+            MemberAddress{ "127.0.0.1", 0, 0, otherInstance.Port() },
             std::move(request));
-  while (gone.empty() && loop.run_one_for(std::chrono::seconds{ 10 }) > 0) {
+  while (lostSlots.empty() &&
+         loop.run_one_for(std::chrono::seconds{ 10 }) > 0) {
   }
   CHECK(notSent == std::vector<std::uint64_t>{ 7 });
-  CHECK(gone == std::vector<std::string>{ "old-instance" });
+  CHECK(lostSlots == std::vector<std::string>{ "old-instance" });
   loop.poll();
   CHECK(received == 0);
 }
 
-TEST_CASE("what was sent on a link that fell silent is not delivered later")
+TEST_CASE("bytes queued on a silent link are discarded when it is closed")
 {
-  // A lookup is sent into a cut. The caller gives up, the link is silent for
-  // too long and is closed; when the cut heals, the system of the caller would
-  // go on and deliver what it still holds, and the lookup would run for nobody.
+  // Guards against requests that are delivered after a network outage, when
+  // their callers have given up.
   asio::io_context loop;
   asio::ip::tcp::acceptor peer{ loop, { asio::ip::address_v4::loopback(), 0 } };
   TrafficMeter traffic;
-  bool up = false;
+  bool connected = false;
   bool lost = false;
-  LinkPool::Handlers handlers = QuietHandlers();
-  handlers.m_onUp = [&](const std::string&, std::uint64_t) { up = true; };
+  LinkPool::Handlers handlers = NoOpHandlers();
+  handlers.m_onUp = [&](const std::string&, std::uint64_t) {
+    connected = true;
+  };
   handlers.m_onLost = [&](const std::string&) { lost = true; };
   LinkPoolSettings settings;
-  settings.m_silence = std::chrono::milliseconds{ 50 };
+  settings.m_silenceTimeout = std::chrono::milliseconds{ 50 };
   LinkPool pool{
     loop, LinkHello{ "caller", 1, 0 }, settings, traffic, std::move(handlers)
   };
-  const auto until = [&](const bool& aDone) {
-    while (!aDone && loop.run_one_for(std::chrono::seconds{ 10 }) > 0) {
+  const auto runUntil = [&](const bool& aCondition) {
+    while (!aCondition && loop.run_one_for(std::chrono::seconds{ 10 }) > 0) {
     }
-    REQUIRE(aDone);
+    REQUIRE(aCondition);
   };
   CallRequest request;
   request.m_call = 7;
@@ -107,8 +107,8 @@
     REQUIRE_FALSE(aError);
     asio::write(socket, asio::buffer(hello));
   });
-  until(up);
-  // More than the systems of both ends hold, so that some is still to be sent.
+  runUntil(connected);
+  // Exceeds the socket buffers of both ends, so that bytes remain unsent.
   request.m_body = std::string(1'000'000, 'x');
   for (std::uint64_t call = 8; call < 40; ++call) {
     request.m_call = call;
@@ -116,7 +116,7 @@
   }
   const TimePoint later = Clock::now() + std::chrono::seconds{ 1 };
   pool.OnTick(later);
-  until(lost);
+  runUntil(lost);
   asio::error_code end;
   std::array<char, 65536> buffer{};
   while (!end) {
@@ -125,11 +125,10 @@
   CHECK(end == asio::error::connection_reset);
 }
 
-TEST_CASE("a request whose caller left while the link opened is not sent")
+TEST_CASE("a request that is canceled while the link opens is not sent")
 {
-  // The first call to a worker opens the link, behind a slow network. Its
-  // caller gives up before the link is open; another's request goes out when it
-  // is.
+  // Guards against running a request whose caller gave up while the link was
+  // being opened.
   asio::io_context loop;
   std::vector<std::uint64_t> received;
   TrafficMeter traffic;
@@ -145,7 +144,7 @@
                              std::get<CallRequest>(aFrame).m_call);
                          } } };
   LinkPool pool{
-    loop, LinkHello{ "caller", 1, 0 }, {}, traffic, QuietHandlers()
+    loop, LinkHello{ "caller", 1, 0 }, {}, traffic, NoOpHandlers()
   };
   const MemberAddress address{ "127.0.0.1", 0, 0, callee.Port() };
   CallRequest request;
