--- a/include/greengagehub/http/backend_client.hpp
+++ b/include/greengagehub/http/backend_client.hpp
@@ -12,65 +12,66 @@
 
 namespace greengagehub {
 
-/// \brief A request to the backend server beside this daemon.
+/// \brief A request to the backend server of this daemon.
 struct BackendRequest
 {
   std::string m_method{ "GET" };
+  /// Path and query.
   std::string m_target{ "/" };
   std::vector<HttpHeader> m_headers{};
   std::string m_body{};
-  /// Header that the answer echoes, and its value; an answer that bears
-  /// another value belongs to another request. Empty: not checked.
+  /// Response header that echoes the request, and its expected value. A
+  /// response with another value is discarded. Not checked if the name is
+  /// empty.
   std::string m_echoHeader{};
   std::string m_echo{};
-  /// The connection is dropped at this time.
+  /// The request fails and its connection is closed at this time.
   TimePoint m_deadline{};
-  /// A kept connection that was idle for longer is not used: the backend
-  /// server may have forgotten it.
+  /// Connections that were idle for longer are not reused, as the backend
+  /// server may have closed them.
   std::chrono::milliseconds m_maxIdle{ std::chrono::seconds{ 5 } };
 };
 
-/// \brief What became of a request to the backend server.
+/// \brief Result of a request to the backend server.
 struct BackendResult
 {
   enum class Kind : std::uint8_t
   {
-    /// A whole answer, in m_response.
+    /// A complete response is in m_response.
     Answered,
-    /// Certainly no byte of the request was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// Sent in part or whole; the answer is lost, cut or not one.
+    /// Sent, at least in part; the response is missing, truncated or invalid.
     Lost,
-    /// Sent; no answer by the deadline.
+    /// Sent, at least in part; no response by the deadline.
     TimedOut,
   };
 
   Kind m_kind{ Kind::NotSent };
   HttpResponse m_response{};
-  /// Lost on a kept connection before any byte of an answer: most likely it
-  /// had been closed by the backend server while it was idle.
+  /// A reused connection was lost before any byte of a response; most likely
+  /// the backend server had closed it while it was idle.
   bool m_wasStale{ false };
-  /// Nobody listens there.
+  /// The connection was refused.
   bool m_refused{ false };
-  /// Lost as the backend server closed or reset the connection.
+  /// The backend server closed or reset the connection after the send began.
   bool m_closed{ false };
 };
 
+/// \brief Address and limits of a BackendClient.
 struct BackendClientSettings
 {
   asio::ip::tcp::endpoint m_address{};
-  /// Well above the time of a connection within one instance.
   std::chrono::milliseconds m_connectTimeout{ 300 };
   std::size_t m_maxAnswerBytes{ 64UL * 1024 * 1024 };
-  /// Kept open while idle.
+  /// Maximum number of idle connections.
   std::size_t m_maxIdle{ 100 };
 };
 
-/// \brief HTTP/1.1 client for one backend server, with kept connections.
+/// \brief HTTP/1.1 client for one backend server, with persistent connections.
 ///
-/// Each request is put on at most one connection, at most once. Bytes behind
-/// an answer belong to no request and end their connection; an answer to
-/// another request, come late, is dropped.
+/// Each request is sent at most once. Bytes that follow a response close the
+/// connection. Late responses to other requests are discarded.
 class BackendClient
 {
 public:
@@ -82,22 +83,22 @@
   BackendClient(const BackendClient&) = delete;
   BackendClient& operator=(const BackendClient&) = delete;
 
-  /// \returns Connections, idle and in use.
+  /// \returns Number of connections, idle and in use.
   [[nodiscard]] std::size_t Connections() const noexcept;
-  /// \returns Connections opened so far.
+  /// \returns Number of connection attempts so far.
   [[nodiscard]] std::uint64_t Opened() const noexcept;
 
-  /// \brief Sends; `aDone` is called once, later, on the loop.
+  /// \brief Sends a request; `aDone` is called once, from the loop.
   Ticket Send(BackendRequest aRequest, Done aDone);
-  /// \brief Drops a request under way and its connection, at which most
-  /// backend servers stop working on it; its `aDone` is not called any more.
+  /// \brief Cancels a pending request without calling its `aDone`. Closes its
+  /// connection, on which most backend servers stop processing the request.
   void Abandon(Ticket aTicket);
-  /// \brief The process that had the address has ended: requests under way on
-  /// connections opened before `aOpenedBefore`, when it was seen alive, are
-  /// lost unless they are answered by `aUntil`. A later connection may be the
-  /// next process's, which is at work on it.
+  /// \brief Limits the deadline of pending requests on connections opened
+  /// before `aOpenedBefore` to `aUntil`; they then end as Lost. For use after
+  /// the backend server has restarted: `aOpenedBefore` is the last time at
+  /// which the former process was known to run.
   void LimitBusy(TimePoint aOpenedBefore, TimePoint aUntil);
-  /// \brief Closes kept connections, as when another process has the address.
+  /// \brief Closes idle connections, such as after a backend server restart.
   void CloseIdle();
 
 private:
--- a/include/greengagehub/http/blocking_client.hpp
+++ b/include/greengagehub/http/blocking_client.hpp
@@ -4,8 +4,7 @@
 
 namespace greengagehub {
 
-/// \brief Sends one request and waits for what becomes of it; for tools that
-/// have nothing else to do meanwhile.
+/// \brief Sends a request and blocks until its result; for command-line tools.
 [[nodiscard]] HttpClientResult
 SendAndWait(HttpClientRequest aRequest);
 
--- a/include/greengagehub/http/http.hpp
+++ b/include/greengagehub/http/http.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Everything of the http library.
+/// \brief Includes the headers of the http library.
 
 #include "greengagehub/http/http_client.hpp"
 #include "greengagehub/http/http_message.hpp"
--- a/include/greengagehub/http/http_client.hpp
+++ b/include/greengagehub/http/http_client.hpp
@@ -11,6 +11,7 @@
 
 namespace greengagehub {
 
+/// \brief A request to an HTTP server.
 struct HttpClientRequest
 {
   std::string m_method{ "GET" };
@@ -21,45 +22,47 @@
   std::size_t m_maxAnswerBytes{ 16UL * 1024 * 1024 };
 };
 
-/// \brief What became of a request sent by HttpClient.
+/// \brief Result of a request sent by HttpClient.
 struct HttpClientResult
 {
   enum class Kind : std::uint8_t
   {
-    /// A whole answer, in m_response.
+    /// A complete response is in m_response.
     Answered,
-    /// Certainly no byte of the request was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// Sent in part or whole; the answer is lost, cut or too late.
+    /// Possibly sent; the response is missing, truncated, too large or late.
     Lost,
   };
 
   Kind m_kind{ Kind::NotSent };
   HttpResponse m_response{};
+  /// Error text of libcurl; empty if answered.
   std::string m_detail{};
 };
 
-/// \brief HTTP/1.1 client on the caller's event loop, with kept connections.
+/// \brief HTTP/1.1 client on the caller's event loop, with persistent
+/// connections.
 ///
-/// libcurl sends a request a second time by itself when a kept connection
-/// dies before the first byte of an answer, whatever the method. The server
-/// may have run it by then. The client forbids that: each request is sent at
-/// most once, and a connection that dies reports Lost.
+/// Each request is sent at most once. libcurl by default resends a request of
+/// any method if a reused connection closes before the response, although the
+/// server may have executed it. This client reports Lost instead.
 class HttpClient
 {
 public:
   using Done = std::function<void(HttpClientResult)>;
   using Ticket = std::uint64_t;
 
+  /// \param aMaxIdle maximum number of cached connections.
   explicit HttpClient(asio::io_context& aLoop, std::size_t aMaxIdle = 32);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// \brief Sends; `aDone` is called once, later, on the loop.
+  /// \brief Sends a request; `aDone` is called once, from the loop.
   Ticket Send(HttpClientRequest aRequest, Done aDone);
-  /// \brief Drops a request under way and its connection; `aDone` of it is
-  /// not called any more.
+  /// \brief Cancels a pending request without calling its `aDone`, and closes
+  /// its connection.
   void Abandon(Ticket aTicket);
 
 private:
--- a/include/greengagehub/http/http_message.hpp
+++ b/include/greengagehub/http/http_message.hpp
@@ -21,16 +21,16 @@
   return aStatus >= 200 && aStatus < 300;
 }
 
-/// \returns The first value under this name (case is ignored), or empty.
+/// \returns Value of the first header with this name, ignoring case, or empty.
 [[nodiscard]] std::string_view
 HeaderValue(const std::vector<HttpHeader>& aHeaders,
             std::string_view aName) noexcept;
 
-/// \returns Whether two header names are the same, ignoring case.
+/// \returns Whether two header names are equal, ignoring case.
 [[nodiscard]] bool
 SameHeader(std::string_view aLeft, std::string_view aRight) noexcept;
 
-/// \brief A request as a server received it, whole.
+/// \brief A complete request received by a server.
 struct HttpRequest
 {
   std::string m_method;
@@ -38,9 +38,8 @@
   std::string m_target;
   std::vector<HttpHeader> m_headers;
   std::string m_body;
-  /// The connection it came on, for noticing that the caller hung up.
+  /// Connection id, as passed to the server's Closed handler.
   std::uint64_t m_connection{ 0 };
-  /// No request came before it on its connection.
   bool m_isFirstOnConnection{ true };
 };
 
@@ -51,15 +50,14 @@
   std::string m_body{};
 };
 
-/// \returns Path of a target, without its query.
+/// \returns Path of a request target, without the query.
 [[nodiscard]] std::string_view
 PathOf(std::string_view aTarget) noexcept;
 
-/// \returns Value of a query parameter, percent-decoded, or empty.
+/// \returns Percent-decoded value of a query parameter, or empty.
 [[nodiscard]] std::string
 QueryValue(std::string_view aTarget, std::string_view aName);
 
-/// \returns A JSON response.
 [[nodiscard]] HttpResponse
 JsonResponse(std::uint16_t aStatus, std::string aJson);
 
--- a/include/greengagehub/http/http_server.hpp
+++ b/include/greengagehub/http/http_server.hpp
@@ -10,9 +10,11 @@
 
 namespace greengagehub {
 
-/// \brief Sends the one answer to one request; may be kept and used later, on
-/// the loop's thread. Dropped without an answer, the connection stays silent
-/// until its client closes it.
+/// \brief Sends the answer to one request.
+///
+/// May be stored and used later on the thread of the loop. Without an answer
+/// the connection stays open until the client closes it or m_handleTimeout
+/// expires.
 class HttpResponder
 {
 public:
@@ -31,40 +33,41 @@
   Send m_send;
 };
 
-/// \brief What a client may send and how long it may take; may change while
-/// connections are open, and binds them from then on.
+/// \brief Size and time limits for clients.
 struct HttpServerLimits
 {
-  /// Larger heads are answered 431.
+  /// Larger heads are answered with status 431.
   std::size_t m_maxHeadBytes{ 64UL * 1024 };
-  /// Larger bodies are answered 413.
+  /// Larger bodies are answered with status 413.
   std::size_t m_maxBodyBytes{ 1024UL * 1024 };
-  /// From the first byte of a head to its end; then 408.
+  /// Maximum time to receive a head; exceeding it is answered with status 408.
   std::chrono::milliseconds m_headTimeout{ std::chrono::seconds{ 10 } };
-  /// Connections without a request are closed after this.
+  /// Connections without a request are closed after this time.
   std::chrono::milliseconds m_idleTimeout{ std::chrono::seconds{ 60 } };
 };
 
+/// \brief Address and limits of an HttpServer.
 struct HttpServerSettings
 {
   std::string m_address{ "127.0.0.1" };
-  /// 0 lets the system choose.
+  /// 0 picks a free port.
   std::uint16_t m_port{ 0 };
   HttpServerLimits m_limits{};
-  /// Connections of requests left without an answer are closed after this;
-  /// daemons have time limits of their own, which must come first.
+  /// Connections whose request is not answered are closed after this time; must
+  /// exceed the request timeouts of the handler.
   std::chrono::milliseconds m_handleTimeout{ std::chrono::hours{ 24 } };
 };
 
 /// \brief HTTP/1.1 server on the caller's event loop.
 ///
-/// Goes on reading while a request waits for its answer, so that a caller who
-/// leaves is noticed at once. Requests of one connection are handed out one
-/// at a time, in order.
+/// The server keeps reading while a request is handled, to detect a client that
+/// disconnects. The requests of a connection are passed to the handler one at a
+/// time, in order.
 class HttpServer
 {
 public:
   using Handler = std::function<void(HttpRequest, HttpResponder)>;
+  /// Called when a connection closes while its request is handled.
   using Closed = std::function<void(std::uint64_t aConnection)>;
 
   HttpServer(asio::io_context& aLoop,
@@ -75,17 +78,21 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// \returns The port it listens on.
+  /// \returns Port that it listens on; 0 before Open().
   [[nodiscard]] std::uint16_t Port() const noexcept;
 
+  /// \brief Starts to listen.
+  /// \returns The port, or ErrorCode::Io.
   [[nodiscard]] Outcome<std::uint16_t> Open();
+  /// \brief Changes the limits, also for open connections.
   void SetLimits(HttpServerLimits aLimits);
-  /// \brief Takes no new connections; open ones go on.
+  /// \brief Stops accepting connections; each open one closes after its next
+  /// answer.
   void StopAccepting();
-  /// \brief Takes no new connections and no new requests: idle connections are
-  /// closed within moments, the others with the answer to their request.
+  /// \brief Stops accepting connections, and closes the open ones: idle ones
+  /// shortly, others after the answer to their current request.
   void Finish();
-  /// \returns Connections with a request that is not yet answered.
+  /// \returns Number of connections that receive, handle or answer a request.
   [[nodiscard]] std::size_t Busy() const noexcept;
 
 private:
--- a/include/greengagehub/http/listen_check.hpp
+++ b/include/greengagehub/http/listen_check.hpp
@@ -7,18 +7,18 @@
 
 namespace greengagehub {
 
-/// \brief What an attempt to connect has shown.
+/// \brief Whether a process listens on an address.
 enum class Listening : std::uint8_t
 {
   Yes,
-  /// Refused: no process has the port.
+  /// The connection was refused.
   No,
-  /// No answer in time.
+  /// The attempt timed out or failed with another error.
   Unknown,
 };
 
-/// \brief Opens a connection to an address and closes it again.
-/// \param aDone called once, on the loop, after `aTimeout` at the latest.
+/// \brief Checks whether a process listens by connecting to the address.
+/// \param aDone called once, from the loop, after `aTimeout` at the latest.
 void
 CheckListening(asio::io_context& aLoop,
                const asio::ip::tcp::endpoint& aAddress,
--- a/src/http/backend_client.cpp
+++ b/src/http/backend_client.cpp
@@ -22,14 +22,14 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 16UL * 1024;
-/// Taken off the idle time that a backend server announces, for the way of its
-/// close to here.
+/// Subtracted from the idle timeout that a backend server announces, to not use
+/// a connection that it is about to close.
 constexpr auto kIdleMargin = std::chrono::milliseconds{ 500 };
 constexpr std::uint16_t kFirstFinalStatus = 200;
 
-/// \returns The idle time from "Keep-Alive: timeout=N", if there is one.
+/// \returns Idle timeout from a "Keep-Alive: timeout=N" header, if present.
 std::optional<std::chrono::milliseconds>
-AnnouncedIdle(const std::vector<HttpHeader>& aHeaders)
+AnnouncedIdleTimeout(const std::vector<HttpHeader>& aHeaders)
 {
   constexpr std::string_view kKey = "timeout=";
   const std::string_view value = HeaderValue(aHeaders, "keep-alive");
@@ -72,15 +72,15 @@
 
   asio::io_context& m_loop;
   BackendClientSettings m_settings;
-  std::map<Ticket, Pointer> m_busy;
-  /// Least recently used first; taken from the back, so that those not needed
-  /// at the present load run into the idle limit.
-  std::vector<Pointer> m_idle;
+  std::map<Ticket, Pointer> m_inUse;
+  /// Least recently used first. Reuse starts at the back, so that surplus
+  /// connections reach their idle limit.
+  std::vector<Pointer> m_idleConnections;
   Ticket m_lastTicket{ 0 };
-  std::uint64_t m_opened{ 0 };
+  std::uint64_t m_openedCount{ 0 };
 };
 
-/// One connection; carries one request at a time.
+/// A connection that carries one request at a time.
 class BackendClient::Impl::Connection
   : public boost::intrusive_ref_counter<Connection,
                                         boost::thread_unsafe_counter>
@@ -103,7 +103,7 @@
     return m_idleLimit && IdleFor(aNow) > *m_idleLimit - kIdleMargin;
   }
 
-  void Begin(Ticket aTicket, BackendRequest aRequest, Done aDone)
+  void Start(Ticket aTicket, BackendRequest aRequest, Done aDone)
   {
     m_ticket = aTicket;
     m_request = std::move(aRequest);
@@ -111,12 +111,12 @@
     m_parser.Reset(m_request.m_method == "HEAD");
     m_parser.SetLimits(
       { .m_bodyBytes = m_client->m_settings.m_maxAnswerBytes });
-    m_sent = false;
-    m_written = false;
-    m_sawBytes = false;
-    m_limited = false;
-    if (m_open) {
-      ArmDeadline();
+    m_isSendStarted = false;
+    m_isSendComplete = false;
+    m_hasReceivedBytes = false;
+    m_isDeadlineShortened = false;
+    if (m_isOpen) {
+      StartDeadlineTimer();
       Write();
     } else {
       Connect();
@@ -125,20 +125,21 @@
 
   [[nodiscard]] bool WasOpenedBefore(TimePoint aTime) const noexcept
   {
-    return m_open && m_openedAt < aTime;
+    return m_isOpen && m_openedAt < aTime;
   }
 
-  void LimitTo(TimePoint aUntil)
+  void ShortenDeadline(TimePoint aUntil)
   {
     if (aUntil < m_request.m_deadline) {
       m_request.m_deadline = aUntil;
-      m_limited = true;
-      ArmDeadline();
+      m_isDeadlineShortened = true;
+      StartDeadlineTimer();
     }
   }
 
-  /// Nothing of it calls back any more.
-  void Drop()
+  /// Closes the connection; pending handlers do nothing and `m_done` is not
+  /// called.
+  void Detach()
   {
     m_client = nullptr;
     m_done = nullptr;
@@ -150,15 +151,15 @@
 private:
   void Connect()
   {
-    ++m_client->m_opened;
+    ++m_client->m_openedCount;
     const auto limit =
       std::min<TimePoint>(Clock::now() + m_client->m_settings.m_connectTimeout,
                           m_request.m_deadline);
     m_timer.expires_at(limit);
     m_timer.async_wait(
       [self = Pointer{ this }](const asio::error_code& aError) {
-        if (!aError && self->m_client != nullptr && !self->m_open) {
-          self->End({ BackendResult::Kind::NotSent }, true);
+        if (!aError && self->m_client != nullptr && !self->m_isOpen) {
+          self->CompleteRequest({ BackendResult::Kind::NotSent }, true);
         }
       });
     m_socket.async_connect(
@@ -176,19 +177,19 @@
     if (aError) {
       BackendResult result{ BackendResult::Kind::NotSent };
       result.m_refused = aError == asio::error::connection_refused;
-      End(std::move(result), true);
+      CompleteRequest(std::move(result), true);
       return;
     }
-    m_open = true;
+    m_isOpen = true;
     m_openedAt = Clock::now();
     asio::error_code ignored;
     m_socket.set_option(tcp::no_delay{ true }, ignored);
-    ArmDeadline();
+    StartDeadlineTimer();
     Read();
     Write();
   }
 
-  void ArmDeadline()
+  void StartDeadlineTimer()
   {
     m_timer.expires_at(m_request.m_deadline);
     m_timer.async_wait([self = Pointer{ this },
@@ -196,28 +197,29 @@
       const bool due =
         !aError && self->m_client != nullptr && self->m_ticket == ticket;
       if (due) {
-        self->End({ self->m_limited ? BackendResult::Kind::Lost
-                                    : BackendResult::Kind::TimedOut },
-                  true);
+        self->CompleteRequest({ self->m_isDeadlineShortened
+                                  ? BackendResult::Kind::Lost
+                                  : BackendResult::Kind::TimedOut },
+                              true);
       }
     });
   }
 
   void Write()
   {
-    m_sent = true;
-    m_out = RequestText(m_request);
+    m_isSendStarted = true;
+    m_writeBuffer = RequestText(m_request);
     asio::async_write(
       m_socket,
-      asio::buffer(m_out),
+      asio::buffer(m_writeBuffer),
       [self = Pointer{ this },
        ticket = m_ticket](const asio::error_code& aError, std::size_t) {
         if (self->m_client == nullptr || self->m_ticket != ticket) {
           return;
         }
-        self->m_written = !aError;
-        // On a fault the read that is under way tells what became of it: an
-        // early answer may have come before the reset.
+        self->m_isSendComplete = !aError;
+        // An error is reported by the pending read, since an early response may
+        // have arrived before the reset.
       });
   }
 
@@ -231,7 +233,7 @@
           return;
         }
         if (aError) {
-          self->OnEnd(aError == asio::error::eof);
+          self->OnStreamEnd(aError == asio::error::eof);
           return;
         }
         self->OnBytes({ self->m_buffer.data(), aSize });
@@ -244,11 +246,11 @@
   void OnBytes(std::string_view aBytes)
   {
     if (m_ticket == 0) {
-      // Nothing was asked: bytes on an idle connection are no answer.
-      End({}, true);
+      // Unexpected bytes on an idle connection.
+      CompleteRequest({}, true);
       return;
     }
-    m_sawBytes = true;
+    m_hasReceivedBytes = true;
     while (!aBytes.empty()) {
       std::size_t consumed = 0;
       const auto status = m_parser.Feed(aBytes, consumed);
@@ -257,20 +259,20 @@
         return;
       }
       if (status != MessageParser::Status::Complete) {
-        End({ BackendResult::Kind::Lost }, true);
+        CompleteRequest({ BackendResult::Kind::Lost }, true);
         return;
       }
-      if (IsOurs()) {
-        OnAnswer(!aBytes.empty());
+      if (IsExpectedResponse()) {
+        OnResponse(!aBytes.empty());
         return;
       }
       m_parser.Reset(m_request.m_method == "HEAD");
     }
   }
 
-  /// An interim answer, or a second answer to an earlier request that came
-  /// late, is not the one that is waited for.
-  bool IsOurs()
+  /// \returns False for an interim response and for a late response to an
+  /// earlier request.
+  bool IsExpectedResponse()
   {
     if (m_parser.ResponseStatus() < kFirstFinalStatus) {
       return false;
@@ -281,41 +283,43 @@
            echo == m_request.m_echo;
   }
 
-  void OnAnswer(bool aHasMore)
+  void OnResponse(bool aHasExtraBytes)
   {
     BackendResult result{ BackendResult::Kind::Answered };
     result.m_response.m_status = m_parser.ResponseStatus();
     result.m_response.m_headers = std::move(m_parser.Headers());
     result.m_response.m_body = std::move(m_parser.Body());
-    if (const auto idle = AnnouncedIdle(result.m_response.m_headers)) {
+    if (const auto idle = AnnouncedIdleTimeout(result.m_response.m_headers)) {
       m_idleLimit = *idle;
     }
-    // Answered before the request was in: the rest of its body would be taken
-    // for the next request.
-    const bool closes = !m_parser.KeepsAlive() || aHasMore || !m_written;
-    End(std::move(result), closes);
+    // If the request was not completely written, the rest of its body would be
+    // parsed as the next request.
+    const bool closes =
+      !m_parser.KeepsAlive() || aHasExtraBytes || !m_isSendComplete;
+    CompleteRequest(std::move(result), closes);
   }
 
-  /// The stream ended, by the other side's close or a fault.
-  void OnEnd(bool aOrderly)
+  /// Called when the peer closed the stream or reading failed.
+  void OnStreamEnd(bool aIsOrderly)
   {
     if (m_ticket == 0) {
-      End({}, true);
+      CompleteRequest({}, true);
       return;
     }
-    if (aOrderly && m_sawBytes && m_parser.HasBegun() &&
-        m_parser.Finish() == MessageParser::Status::Complete && IsOurs()) {
-      OnAnswer(true);
+    if (aIsOrderly && m_hasReceivedBytes && m_parser.HasBegun() &&
+        m_parser.Finish() == MessageParser::Status::Complete &&
+        IsExpectedResponse()) {
+      OnResponse(true);
       return;
     }
-    BackendResult result{ m_sent ? BackendResult::Kind::Lost
-                                 : BackendResult::Kind::NotSent };
-    result.m_wasStale = m_used && !m_sawBytes;
-    result.m_closed = m_sent;
-    End(std::move(result), true);
+    BackendResult result{ m_isSendStarted ? BackendResult::Kind::Lost
+                                          : BackendResult::Kind::NotSent };
+    result.m_wasStale = m_wasUsedBefore && !m_hasReceivedBytes;
+    result.m_closed = m_isSendStarted;
+    CompleteRequest(std::move(result), true);
   }
 
-  void End(BackendResult aResult, bool aClose)
+  void CompleteRequest(BackendResult aResult, bool aClose)
   {
     Impl& client = *m_client;
     const Pointer self{ this };
@@ -323,14 +327,14 @@
     m_done = nullptr;
     m_timer.cancel();
     if (m_ticket != 0) {
-      client.m_busy.erase(m_ticket);
+      client.m_inUse.erase(m_ticket);
     } else {
-      std::erase(client.m_idle, self);
+      std::erase(client.m_idleConnections, self);
     }
     m_ticket = 0;
-    m_used = true;
+    m_wasUsedBefore = true;
     if (aClose) {
-      Drop();
+      Detach();
     } else {
       m_idleSince = Clock::now();
       client.KeepIdle(self);
@@ -346,39 +350,38 @@
   MessageParser m_parser{ MessageParser::Side::Responses };
   std::array<char, kReadBytes> m_buffer{};
   BackendRequest m_request;
-  std::string m_out;
+  std::string m_writeBuffer;
   Done m_done;
   Ticket m_ticket{ 0 };
   TimePoint m_openedAt{};
   TimePoint m_idleSince{};
   std::optional<std::chrono::milliseconds> m_idleLimit;
-  bool m_open{ false };
-  /// It has carried a request before this one.
-  bool m_used{ false };
-  bool m_sent{ false };
-  bool m_written{ false };
-  bool m_sawBytes{ false };
-  /// Its deadline was brought forward.
-  bool m_limited{ false };
+  bool m_isOpen{ false };
+  bool m_wasUsedBefore{ false };
+  bool m_isSendStarted{ false };
+  bool m_isSendComplete{ false };
+  bool m_hasReceivedBytes{ false };
+  /// Deadline was brought forward by LimitBusy().
+  bool m_isDeadlineShortened{ false };
 };
 
 BackendClient::Impl::~Impl()
 {
-  for (const auto& [ticket, connection] : m_busy) {
-    connection->Drop();
+  for (const auto& [ticket, connection] : m_inUse) {
+    connection->Detach();
   }
-  for (const Pointer& each : m_idle) {
-    each->Drop();
+  for (const Pointer& each : m_idleConnections) {
+    each->Detach();
   }
 }
 
 void
 BackendClient::Impl::KeepIdle(const Pointer& aConnection)
 {
-  m_idle.push_back(aConnection);
-  if (m_idle.size() > m_settings.m_maxIdle) {
-    m_idle.front()->Drop();
-    m_idle.erase(m_idle.begin());
+  m_idleConnections.push_back(aConnection);
+  if (m_idleConnections.size() > m_settings.m_maxIdle) {
+    m_idleConnections.front()->Detach();
+    m_idleConnections.erase(m_idleConnections.begin());
   }
 }
 
@@ -386,48 +389,50 @@
 BackendClient::Impl::Send(BackendRequest aRequest, Done aDone)
 {
   const TimePoint now = Clock::now();
-  while (!m_idle.empty() && m_idle.front()->IsPastIdleLimit(now)) {
-    m_idle.front()->Drop();
-    m_idle.erase(m_idle.begin());
+  while (!m_idleConnections.empty() &&
+         m_idleConnections.front()->IsPastIdleLimit(now)) {
+    m_idleConnections.front()->Detach();
+    m_idleConnections.erase(m_idleConnections.begin());
   }
   const Ticket ticket = ++m_lastTicket;
   Pointer connection;
-  if (!m_idle.empty() && m_idle.back()->IdleFor(now) <= aRequest.m_maxIdle) {
-    connection = m_idle.back();
-    m_idle.pop_back();
+  if (!m_idleConnections.empty() &&
+      m_idleConnections.back()->IdleFor(now) <= aRequest.m_maxIdle) {
+    connection = m_idleConnections.back();
+    m_idleConnections.pop_back();
   } else {
     connection = new Connection(*this);
   }
-  m_busy.emplace(ticket, connection);
-  connection->Begin(ticket, std::move(aRequest), std::move(aDone));
+  m_inUse.emplace(ticket, connection);
+  connection->Start(ticket, std::move(aRequest), std::move(aDone));
   return ticket;
 }
 
 void
 BackendClient::Impl::Abandon(Ticket aTicket)
 {
-  const auto found = m_busy.find(aTicket);
-  if (found != m_busy.end()) {
-    found->second->Drop();
-    m_busy.erase(found);
+  const auto found = m_inUse.find(aTicket);
+  if (found != m_inUse.end()) {
+    found->second->Detach();
+    m_inUse.erase(found);
   }
 }
 
 void
 BackendClient::Impl::CloseIdle()
 {
-  for (const Pointer& each : m_idle) {
-    each->Drop();
+  for (const Pointer& each : m_idleConnections) {
+    each->Detach();
   }
-  m_idle.clear();
+  m_idleConnections.clear();
 }
 
 void
 BackendClient::Impl::LimitBusy(TimePoint aOpenedBefore, TimePoint aUntil)
 {
-  for (const auto& [ticket, connection] : m_busy) {
+  for (const auto& [ticket, connection] : m_inUse) {
     if (connection->WasOpenedBefore(aOpenedBefore)) {
-      connection->LimitTo(aUntil);
+      connection->ShortenDeadline(aUntil);
     }
   }
 }
@@ -443,13 +448,13 @@
 std::size_t
 BackendClient::Connections() const noexcept
 {
-  return m_impl->m_busy.size() + m_impl->m_idle.size();
+  return m_impl->m_inUse.size() + m_impl->m_idleConnections.size();
 }
 
 std::uint64_t
 BackendClient::Opened() const noexcept
 {
-  return m_impl->m_opened;
+  return m_impl->m_openedCount;
 }
 
 BackendClient::Ticket
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Easy handles kept for reuse: setting one up costs more than a call.
+/// Limit of easy handles kept for reuse; creating one is expensive.
 constexpr std::size_t kMaxSpareHandles = 64;
 
 struct Transfer
@@ -26,8 +26,8 @@
   HttpClient::Done m_done;
   HttpClient::Ticket m_ticket{ 0 };
   HttpResponse m_response;
-  /// How often the library was about to put the request on a connection.
-  int m_sends{ 0 };
+  /// Number of times that libcurl attempted to send the request.
+  int m_sendCount{ 0 };
 };
 
 std::size_t
@@ -64,37 +64,37 @@
   return line.size();
 }
 
-/// Called before a request is put on a connection. The second time it is the
-/// library's own repeat after a kept connection died: the server may have run
-/// the request already, so a release could open a compartment twice.
+/// Called by libcurl before it sends a request. Aborts a second attempt, which
+/// is libcurl's retry after a reused connection closed: the server may already
+/// have executed the request.
 int
-BeforeSend(void* aSelf, char* /*unused*/, char* /*unused*/, int, int)
+OnBeforeSend(void* aSelf, char* /*unused*/, char* /*unused*/, int, int)
 {
   auto* transfer = static_cast<Transfer*>(aSelf);
-  ++transfer->m_sends;
-  return transfer->m_sends == 1 ? CURL_PREREQFUNC_OK : CURL_PREREQFUNC_ABORT;
+  ++transfer->m_sendCount;
+  return transfer->m_sendCount == 1 ? CURL_PREREQFUNC_OK
+                                    : CURL_PREREQFUNC_ABORT;
 }
 
-/// Called for each new socket. An open connection can go silent for good while
-/// new ones work, when something between the two ends has lost track of it: a
-/// watch on it would hear of no change until its time is over. Probes of the
-/// system's own notice within some seconds, at no cost to the other side.
+/// Called by libcurl for each new socket. Sets keep-alive and the user timeout
+/// of TCP, so that a long-running request fails within seconds if a middlebox
+/// has dropped the state of its connection.
 int
 OnNewSocket(void* /*unused*/, curl_socket_t aSocket, curlsocktype /*unused*/)
 {
   constexpr int kOn = 1;
   constexpr int kIdleSeconds = 1;
-  constexpr int kBetweenSeconds = 1;
+  constexpr int kIntervalSeconds = 1;
   constexpr int kProbes = 2;
-  constexpr unsigned kUnacknowledgedMs = 2500;
+  constexpr unsigned kUserTimeoutMs = 2500;
   const auto set = [aSocket](int aLevel, int aName, const auto& aValue) {
     setsockopt(aSocket, aLevel, aName, &aValue, sizeof(aValue));
   };
   set(SOL_SOCKET, SO_KEEPALIVE, kOn);
   set(IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
-  set(IPPROTO_TCP, TCP_KEEPINTVL, kBetweenSeconds);
+  set(IPPROTO_TCP, TCP_KEEPINTVL, kIntervalSeconds);
   set(IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-  set(IPPROTO_TCP, TCP_USER_TIMEOUT, kUnacknowledgedMs);
+  set(IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
   return CURL_SOCKOPT_OK;
 }
 
@@ -123,7 +123,7 @@
   CURL* easy = aTransfer.m_easy;
   const HttpClientRequest& request = aTransfer.m_request;
   for (const HttpHeader& each : request.m_headers) {
-    // A header with an empty value needs ";" or the library drops it.
+    // libcurl omits a header with an empty value unless it ends with ";".
     const std::string line = each.m_value.empty()
                                ? each.m_name + ";"
                                : each.m_name + ": " + each.m_value;
@@ -141,7 +141,7 @@
   curl_easy_setopt(easy, CURLOPT_WRITEDATA, &aTransfer);
   curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, OnHeader);
   curl_easy_setopt(easy, CURLOPT_HEADERDATA, &aTransfer);
-  curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, BeforeSend);
+  curl_easy_setopt(easy, CURLOPT_PREREQFUNCTION, OnBeforeSend);
   curl_easy_setopt(easy, CURLOPT_PREREQDATA, &aTransfer);
   curl_easy_setopt(
     easy, CURLOPT_TIMEOUT_MS, static_cast<long>(request.m_timeout.count()));
@@ -159,14 +159,14 @@
              std::move(aTransfer.m_response),
              {} };
   }
-  const auto kind = aTransfer.m_sends == 0 ? HttpClientResult::Kind::NotSent
-                                           : HttpClientResult::Kind::Lost;
+  const auto kind = aTransfer.m_sendCount == 0 ? HttpClientResult::Kind::NotSent
+                                               : HttpClientResult::Kind::Lost;
   return { kind, {}, curl_easy_strerror(aCode) };
 }
 
 }
 
-/// Drives libcurl's multi interface by the loop's readiness events.
+/// Drives libcurl's multi interface with readiness events of the loop.
 class HttpClient::Impl
 {
 public:
@@ -186,13 +186,13 @@
   Impl& operator=(const Impl&) = delete;
   ~Impl()
   {
-    m_closing = true;
+    m_isClosing = true;
     for (auto& [ticket, transfer] : m_transfers) {
       curl_multi_remove_handle(m_multi, transfer->m_easy);
       curl_slist_free_all(transfer->m_headers);
       curl_easy_cleanup(transfer->m_easy);
     }
-    for (CURL* each : m_spare) {
+    for (CURL* each : m_spareHandles) {
       curl_easy_cleanup(each);
     }
     curl_multi_cleanup(m_multi);
@@ -207,7 +207,7 @@
     transfer->m_request = std::move(aRequest);
     transfer->m_done = std::move(aDone);
     transfer->m_ticket = ++m_lastTicket;
-    transfer->m_easy = TakeHandle();
+    transfer->m_easy = AcquireHandle();
     SetOptions(*transfer);
     curl_multi_add_handle(m_multi, transfer->m_easy);
     m_transfers.emplace(m_lastTicket, std::move(transfer));
@@ -223,7 +223,7 @@
   }
 
 private:
-  /// One socket of the library, watched for the directions it asked for.
+  /// A socket of libcurl and the events it waits for.
   struct Watch
   {
     explicit Watch(asio::io_context& aLoop, int aSocket)
@@ -231,19 +231,19 @@
     {
     }
     asio::posix::stream_descriptor m_descriptor;
-    int m_wanted{ 0 };
+    int m_events{ 0 };
     bool m_reading{ false };
     bool m_writing{ false };
   };
   using Transfers = std::unordered_map<Ticket, std::unique_ptr<Transfer>>;
 
-  CURL* TakeHandle()
+  CURL* AcquireHandle()
   {
-    if (m_spare.empty()) {
+    if (m_spareHandles.empty()) {
       return curl_easy_init();
     }
-    CURL* easy = m_spare.back();
-    m_spare.pop_back();
+    CURL* easy = m_spareHandles.back();
+    m_spareHandles.pop_back();
     return easy;
   }
 
@@ -252,9 +252,9 @@
     Transfer& transfer = *aTransfer->second;
     curl_multi_remove_handle(m_multi, transfer.m_easy);
     curl_slist_free_all(transfer.m_headers);
-    if (m_spare.size() < kMaxSpareHandles) {
+    if (m_spareHandles.size() < kMaxSpareHandles) {
       curl_easy_reset(transfer.m_easy);
-      m_spare.push_back(transfer.m_easy);
+      m_spareHandles.push_back(transfer.m_easy);
     } else {
       curl_easy_cleanup(transfer.m_easy);
     }
@@ -267,7 +267,7 @@
                       void* aSelf,
                       void* /*unused*/)
   {
-    static_cast<Impl*>(aSelf)->Want(aSocket, aWhat);
+    static_cast<Impl*>(aSelf)->UpdateWatch(aSocket, aWhat);
     return 0;
   }
 
@@ -279,7 +279,7 @@
 
   void SetTimer(long aTimeoutMs)
   {
-    if (m_closing) {
+    if (m_isClosing) {
       return;
     }
     if (aTimeoutMs < 0) {
@@ -289,17 +289,17 @@
     m_timer.expires_after(std::chrono::milliseconds{ aTimeoutMs });
     m_timer.async_wait([this](const asio::error_code& aError) {
       if (!aError) {
-        Act(CURL_SOCKET_TIMEOUT, 0);
+        HandleEvent(CURL_SOCKET_TIMEOUT, 0);
       }
     });
   }
 
-  void Want(curl_socket_t aSocket, int aWhat)
+  void UpdateWatch(curl_socket_t aSocket, int aWhat)
   {
     const auto found = m_sockets.find(aSocket);
     if (aWhat == CURL_POLL_REMOVE) {
-      // The library closes the socket next and the number is used again at
-      // once: the loop must have let go of it by then.
+      // libcurl closes the socket next and its number may be reused at once, so
+      // the loop must release it here.
       if (found != m_sockets.end()) {
         found->second->m_descriptor.release();
         m_sockets.erase(found);
@@ -313,25 +313,25 @@
     } else {
       watch = found->second;
     }
-    watch->m_wanted = aWhat;
-    Arm(aSocket, watch);
+    watch->m_events = aWhat;
+    StartWaits(aSocket, watch);
   }
 
-  void Arm(curl_socket_t aSocket, const std::shared_ptr<Watch>& aWatch)
+  void StartWaits(curl_socket_t aSocket, const std::shared_ptr<Watch>& aWatch)
   {
-    if ((aWatch->m_wanted & CURL_POLL_IN) != 0 && !aWatch->m_reading) {
+    if ((aWatch->m_events & CURL_POLL_IN) != 0 && !aWatch->m_reading) {
       aWatch->m_reading = true;
-      Wait(aSocket, aWatch, asio::posix::descriptor_base::wait_read);
+      StartWait(aSocket, aWatch, asio::posix::descriptor_base::wait_read);
     }
-    if ((aWatch->m_wanted & CURL_POLL_OUT) != 0 && !aWatch->m_writing) {
+    if ((aWatch->m_events & CURL_POLL_OUT) != 0 && !aWatch->m_writing) {
       aWatch->m_writing = true;
-      Wait(aSocket, aWatch, asio::posix::descriptor_base::wait_write);
+      StartWait(aSocket, aWatch, asio::posix::descriptor_base::wait_write);
     }
   }
 
-  void Wait(curl_socket_t aSocket,
-            const std::shared_ptr<Watch>& aWatch,
-            asio::posix::descriptor_base::wait_type aType)
+  void StartWait(curl_socket_t aSocket,
+                 const std::shared_ptr<Watch>& aWatch,
+                 asio::posix::descriptor_base::wait_type aType)
   {
     const bool reading = aType == asio::posix::descriptor_base::wait_read;
     aWatch->m_descriptor.async_wait(
@@ -344,24 +344,24 @@
         }
         (reading ? watch->m_reading : watch->m_writing) = false;
         const int wanted = reading ? CURL_POLL_IN : CURL_POLL_OUT;
-        if ((watch->m_wanted & wanted) != 0) {
-          Act(aSocket, reading ? CURL_CSELECT_IN : CURL_CSELECT_OUT);
+        if ((watch->m_events & wanted) != 0) {
+          HandleEvent(aSocket, reading ? CURL_CSELECT_IN : CURL_CSELECT_OUT);
         }
-        const auto still = m_sockets.find(aSocket);
-        if (still != m_sockets.end() && still->second == watch) {
-          Arm(aSocket, watch);
+        const auto current = m_sockets.find(aSocket);
+        if (current != m_sockets.end() && current->second == watch) {
+          StartWaits(aSocket, watch);
         }
       });
   }
 
-  void Act(curl_socket_t aSocket, int aEvents)
+  void HandleEvent(curl_socket_t aSocket, int aEvents)
   {
     int running = 0;
     curl_multi_socket_action(m_multi, aSocket, aEvents, &running);
-    Collect();
+    CompleteTransfers();
   }
 
-  void Collect()
+  void CompleteTransfers()
   {
     int left = 0;
     while (CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
@@ -382,9 +382,9 @@
   CURLM* m_multi;
   Transfers m_transfers;
   std::unordered_map<curl_socket_t, std::shared_ptr<Watch>> m_sockets;
-  std::vector<CURL*> m_spare;
+  std::vector<CURL*> m_spareHandles;
   Ticket m_lastTicket{ 0 };
-  bool m_closing{ false };
+  bool m_isClosing{ false };
 };
 
 HttpClient::HttpClient(asio::io_context& aLoop, std::size_t aMaxIdle)
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -23,14 +23,14 @@
 using SteadyClock = std::chrono::steady_clock;
 
 constexpr std::size_t kReadBytes = 8UL * 1024;
-/// A client that sends ahead of its answers is not read beyond this.
+/// Limit of pipelined bytes buffered per connection.
 constexpr std::size_t kMaxReadAhead = 64UL * 1024;
-/// Precision of the limits on time, well below any of them.
-constexpr auto kSweep = std::chrono::milliseconds{ 250 };
-/// After a refusal the rest of the request is read and dropped for this long:
-/// closing with unread bytes would reset the connection and lose the answer.
-constexpr auto kLinger = std::chrono::milliseconds{ 1000 };
-/// A client that does not take its answer for this long is given up.
+/// Interval at which timeouts are checked.
+constexpr auto kTimeoutCheckInterval = std::chrono::milliseconds{ 250 };
+/// Time to read and discard input after the last answer: closing with unread
+/// bytes would reset the connection, and the client could lose the answer.
+constexpr auto kLingerTime = std::chrono::milliseconds{ 1000 };
+/// Maximum time to write an answer.
 constexpr auto kWriteTimeout = std::chrono::seconds{ 60 };
 
 }
@@ -43,29 +43,29 @@
   explicit Impl(asio::io_context& aLoop)
     : m_loop(aLoop)
     , m_acceptor(aLoop)
-    , m_sweeper(aLoop)
+    , m_timeoutTimer(aLoop)
   {
   }
 
   void Accept();
-  /// Takes in what waits to be accepted, without waiting for more.
-  void AcceptWaiting();
-  void Serve(tcp::socket aSocket);
-  void Sweep();
+  /// Accepts the connections in the listen queue without waiting for more.
+  void AcceptPending();
+  void AddConnection(tcp::socket aSocket);
+  void CheckTimeouts();
 
   asio::io_context& m_loop;
   HttpServerSettings m_settings;
   Handler m_handler;
   Closed m_closed;
   tcp::acceptor m_acceptor;
-  asio::steady_timer m_sweeper;
+  asio::steady_timer m_timeoutTimer;
   std::map<std::uint64_t, Pointer> m_connections;
   std::uint64_t m_lastConnection{ 0 };
   std::uint16_t m_port{ 0 };
-  bool m_stopped{ false };
+  bool m_isStopped{ false };
 };
 
-/// One client's connection: reading, one request under way, its answer.
+/// A client's connection, which handles one request at a time.
 class HttpServer::Impl::Connection
   : public boost::intrusive_ref_counter<Connection,
                                         boost::thread_unsafe_counter>
@@ -75,7 +75,7 @@
     : m_server(&aServer)
     , m_socket(std::move(aSocket))
     , m_id(aId)
-    , m_since(SteadyClock::now())
+    , m_stateSince(SteadyClock::now())
   {
   }
 
@@ -86,7 +86,7 @@
     Read();
   }
 
-  /// The server is gone; whatever completes later finds nothing to do.
+  /// Closes the socket; handlers that complete later do nothing.
   void Detach()
   {
     m_server = nullptr;
@@ -94,18 +94,18 @@
     m_socket.close(ignored);
   }
 
-  void CheckTime(SteadyClock::time_point aNow)
+  void CheckTimeout(SteadyClock::time_point aNow)
   {
     const HttpServerLimits& limits = m_server->m_settings.m_limits;
-    const auto age = aNow - m_since;
+    const auto age = aNow - m_stateSince;
     switch (m_state) {
       case State::Idle:
-        if (m_closes || age > limits.m_idleTimeout) {
+        if (m_closesAfterAnswer || age > limits.m_idleTimeout) {
           Close();
         }
         return;
       case State::Receiving:
-        // The limit is on heads; a body may take as long as it moves.
+        // A body has the idle timeout in addition to the head timeout.
         if (!m_parser.HasHead() && age > limits.m_headTimeout) {
           constexpr std::uint16_t kRequestTimeout = 408;
           Refuse(kRequestTimeout);
@@ -124,7 +124,7 @@
         }
         return;
       case State::Lingering:
-        if (age > kLinger) {
+        if (age > kLingerTime) {
           Close();
         }
         return;
@@ -137,10 +137,9 @@
            m_state == State::Answering;
   }
 
-  /// No request after the one that is under way, or has come and is not read
-  /// yet: on a slow machine that can be half a second's worth. Idle connections
-  /// are closed by the next look at the time, after what waits to be read.
-  void Finish() { m_closes = true; }
+  /// Closes the connection after the current request, or at the next timeout
+  /// check if it is idle and no unread request has arrived by then.
+  void Finish() { m_closesAfterAnswer = true; }
 
   void Answer(std::uint64_t aRequest,
               const HttpResponse& aResponse,
@@ -150,8 +149,8 @@
         aRequest != m_requests) {
       return;
     }
-    m_closes = m_closes || aClose;
-    Write(ResponseText(aResponse, m_isHead, m_closes));
+    m_closesAfterAnswer = m_closesAfterAnswer || aClose;
+    Write(ResponseText(aResponse, m_isHeadRequest, m_closesAfterAnswer));
   }
 
 private:
@@ -161,27 +160,27 @@
     Receiving,
     Handling,
     Answering,
-    /// Answered with a refusal; the rest of the request is dropped.
+    /// The last answer was sent; further input is discarded.
     Lingering,
   };
 
-  void Enter(State aState)
+  void SetState(State aState)
   {
     m_state = aState;
-    m_since = SteadyClock::now();
+    m_stateSince = SteadyClock::now();
   }
 
   void Read()
   {
-    if (m_reading || m_in.size() >= kMaxReadAhead) {
+    if (m_isReading || m_unparsed.size() >= kMaxReadAhead) {
       return;
     }
-    m_reading = true;
+    m_isReading = true;
     m_socket.async_read_some(
       asio::buffer(m_buffer),
       [self = Pointer{ this }](const asio::error_code& aError,
                                std::size_t aSize) {
-        self->m_reading = false;
+        self->m_isReading = false;
         if (self->m_server == nullptr) {
           return;
         }
@@ -196,7 +195,7 @@
   void OnBytes(std::string_view aBytes)
   {
     if (m_state != State::Lingering) {
-      m_in.append(aBytes);
+      m_unparsed.append(aBytes);
       Parse();
     }
     if (m_server != nullptr) {
@@ -206,25 +205,25 @@
 
   void Parse()
   {
-    while (!m_in.empty() &&
+    while (!m_unparsed.empty() &&
            (m_state == State::Idle || m_state == State::Receiving)) {
       if (m_state == State::Idle) {
         const HttpServerLimits& limits = m_server->m_settings.m_limits;
         m_parser.Reset();
         m_parser.SetLimits({ limits.m_maxHeadBytes, limits.m_maxBodyBytes });
-        m_continued = false;
-        Enter(State::Receiving);
+        m_hasSentContinue = false;
+        SetState(State::Receiving);
       }
       std::size_t consumed = 0;
-      const auto status = m_parser.Feed(m_in, consumed);
-      m_in.erase(0, consumed);
+      const auto status = m_parser.Feed(m_unparsed, consumed);
+      m_unparsed.erase(0, consumed);
       if (!OnParsed(status)) {
         return;
       }
     }
   }
 
-  /// \returns Whether there may be more to take out of what was received.
+  /// \returns Whether to continue parsing the received bytes.
   bool OnParsed(MessageParser::Status aStatus)
   {
     constexpr std::uint16_t kBadRequest = 400;
@@ -232,10 +231,10 @@
     constexpr std::uint16_t kHeadTooLarge = 431;
     switch (aStatus) {
       case MessageParser::Status::NeedsMore:
-        ContinueWhenAsked();
+        SendContinueIfExpected();
         return false;
       case MessageParser::Status::Complete:
-        HandOut();
+        DispatchRequest();
         return true;
       case MessageParser::Status::HeadTooLarge:
         Refuse(kHeadTooLarge);
@@ -250,15 +249,15 @@
     return false;
   }
 
-  void ContinueWhenAsked()
+  void SendContinueIfExpected()
   {
-    const bool asked =
-      m_parser.HasHead() && !m_continued &&
+    const bool isExpected =
+      m_parser.HasHead() && !m_hasSentContinue &&
       SameHeader(HeaderValue(m_parser.Headers(), "expect"), "100-continue");
-    if (!asked) {
+    if (!isExpected) {
       return;
     }
-    m_continued = true;
+    m_hasSentContinue = true;
     asio::error_code ignored;
     asio::write(
       m_socket,
@@ -266,9 +265,9 @@
       ignored);
   }
 
-  void HandOut()
+  void DispatchRequest()
   {
-    Enter(State::Handling);
+    SetState(State::Handling);
     ++m_requests;
     HttpRequest request;
     request.m_method = m_parser.Method();
@@ -277,8 +276,8 @@
     request.m_body = std::move(m_parser.Body());
     request.m_connection = m_id;
     request.m_isFirstOnConnection = m_requests == 1;
-    m_isHead = request.m_method == "HEAD";
-    m_closes = !m_parser.KeepsAlive() || m_server->m_stopped;
+    m_isHeadRequest = request.m_method == "HEAD";
+    m_closesAfterAnswer = !m_parser.KeepsAlive() || m_server->m_isStopped;
     m_server->m_handler(
       std::move(request),
       HttpResponder{ [self = Pointer{ this }, number = m_requests](
@@ -289,18 +288,18 @@
 
   void Refuse(std::uint16_t aStatus)
   {
-    m_closes = true;
-    m_in.clear();
+    m_closesAfterAnswer = true;
+    m_unparsed.clear();
     Write(ResponseText({ aStatus }, false, true));
   }
 
   void Write(std::string aText)
   {
-    Enter(State::Answering);
-    m_out = std::move(aText);
+    SetState(State::Answering);
+    m_writeBuffer = std::move(aText);
     asio::async_write(
       m_socket,
-      asio::buffer(m_out),
+      asio::buffer(m_writeBuffer),
       [self = Pointer{ this }](const asio::error_code& aError, std::size_t) {
         if (self->m_server == nullptr) {
           return;
@@ -315,16 +314,16 @@
 
   void OnWritten()
   {
-    m_out.clear();
-    if (m_closes) {
+    m_writeBuffer.clear();
+    if (m_closesAfterAnswer) {
       asio::error_code ignored;
       m_socket.shutdown(tcp::socket::shutdown_send, ignored);
-      Enter(State::Lingering);
-      m_in.clear();
+      SetState(State::Lingering);
+      m_unparsed.clear();
       Read();
       return;
     }
-    Enter(State::Idle);
+    SetState(State::Idle);
     Parse();
     if (m_server != nullptr) {
       Read();
@@ -337,11 +336,11 @@
       return;
     }
     Impl& server = *m_server;
-    const bool handling = m_state == State::Handling;
+    const bool wasHandling = m_state == State::Handling;
     const Pointer self{ this };
     Detach();
     server.m_connections.erase(m_id);
-    if (handling && server.m_closed) {
+    if (wasHandling && server.m_closed) {
       server.m_closed(m_id);
     }
   }
@@ -349,17 +348,17 @@
   Impl* m_server;
   tcp::socket m_socket;
   std::uint64_t m_id;
-  SteadyClock::time_point m_since;
+  SteadyClock::time_point m_stateSince;
   MessageParser m_parser{ MessageParser::Side::Requests };
   std::array<char, kReadBytes> m_buffer{};
-  std::string m_in;
-  std::string m_out;
+  std::string m_unparsed;
+  std::string m_writeBuffer;
   std::uint64_t m_requests{ 0 };
   State m_state{ State::Idle };
-  bool m_reading{ false };
-  bool m_isHead{ false };
-  bool m_closes{ false };
-  bool m_continued{ false };
+  bool m_isReading{ false };
+  bool m_isHeadRequest{ false };
+  bool m_closesAfterAnswer{ false };
+  bool m_hasSentContinue{ false };
 };
 
 void
@@ -371,16 +370,16 @@
         return;
       }
       if (!aError) {
-        Serve(std::move(aSocket));
+        AddConnection(std::move(aSocket));
       }
-      if (!m_stopped) {
+      if (!m_isStopped) {
         Accept();
       }
     });
 }
 
 void
-HttpServer::Impl::AcceptWaiting()
+HttpServer::Impl::AcceptPending()
 {
   asio::error_code error;
   m_acceptor.cancel(error);
@@ -389,16 +388,16 @@
     tcp::socket socket{ m_loop };
     m_acceptor.accept(socket, error);
     if (!error) {
-      Serve(std::move(socket));
+      AddConnection(std::move(socket));
     }
   }
 }
 
 void
-HttpServer::Impl::Serve(tcp::socket aSocket)
+HttpServer::Impl::AddConnection(tcp::socket aSocket)
 {
-  // One that was accepted just as the server stopped may have sent a request:
-  // it is served, and closed with the answer.
+  // A connection accepted while the server stops may have sent a request, so it
+  // is served and closed after the answer.
   const std::uint64_t id = ++m_lastConnection;
   const Pointer connection{ new Connection(*this, std::move(aSocket), id) };
   m_connections.emplace(id, connection);
@@ -406,19 +405,19 @@
 }
 
 void
-HttpServer::Impl::Sweep()
+HttpServer::Impl::CheckTimeouts()
 {
-  m_sweeper.expires_after(kSweep);
-  m_sweeper.async_wait([this](const asio::error_code& aError) {
+  m_timeoutTimer.expires_after(kTimeoutCheckInterval);
+  m_timeoutTimer.async_wait([this](const asio::error_code& aError) {
     if (aError) {
       return;
     }
     const auto now = SteadyClock::now();
     const auto connections = m_connections;
     for (const auto& [id, connection] : connections) {
-      connection->CheckTime(now);
+      connection->CheckTimeout(now);
     }
-    Sweep();
+    CheckTimeouts();
   });
 }
 
@@ -459,7 +458,7 @@
   }
   m_impl->m_port = acceptor.local_endpoint(error).port();
   m_impl->Accept();
-  m_impl->Sweep();
+  m_impl->CheckTimeouts();
   return m_impl->m_port;
 }
 
@@ -472,8 +471,8 @@
 void
 HttpServer::Finish()
 {
-  // Connections that wait to be accepted may have sent a request by now.
-  m_impl->AcceptWaiting();
+  // Connections in the listen queue may have sent a request already.
+  m_impl->AcceptPending();
   StopAccepting();
   const auto connections = m_impl->m_connections;
   for (const auto& [id, connection] : connections) {
@@ -492,7 +491,7 @@
 void
 HttpServer::StopAccepting()
 {
-  m_impl->m_stopped = true;
+  m_impl->m_isStopped = true;
   asio::error_code ignored;
   m_impl->m_acceptor.close(ignored);
 }
--- a/src/http/listen.hpp
+++ b/src/http/listen.hpp
@@ -6,9 +6,8 @@
 
 namespace greengagehub {
 
-/// \brief Binds and listens, also where a process before left connections that
-/// are not forgotten yet.
-/// \returns What went wrong, if anything.
+/// \brief Binds and listens, even if the port has connections in TIME_WAIT.
+/// \returns The error, if any.
 [[nodiscard]] asio::error_code
 Listen(asio::ip::tcp::acceptor& aAcceptor,
        const std::string& aHost,
--- a/src/http/listen_check.cpp
+++ b/src/http/listen_check.cpp
@@ -15,7 +15,7 @@
   {
   }
 
-  void End(Listening aResult)
+  void Complete(Listening aResult)
   {
     if (!m_done) {
       return;
@@ -56,12 +56,13 @@
   check->m_timer.expires_after(aTimeout);
   check->m_timer.async_wait([check](const asio::error_code& aError) {
     if (!aError) {
-      check->End(Listening::Unknown);
+      check->Complete(Listening::Unknown);
     }
   });
-  check->m_socket.async_connect(
-    aAddress,
-    [check](const asio::error_code& aError) { check->End(ResultOf(aError)); });
+  check->m_socket.async_connect(aAddress,
+                                [check](const asio::error_code& aError) {
+                                  check->Complete(ResultOf(aError));
+                                });
 }
 
 }
--- a/src/http/message_parser.cpp
+++ b/src/http/message_parser.cpp
@@ -4,7 +4,7 @@
 
 namespace greengagehub {
 
-/// Entry points for the C library; its `data` is the MessageParser.
+/// Callbacks of http_parser, whose `data` is the MessageParser.
 struct MessageParser::Callbacks
 {
   static MessageParser& Self(http_parser* aParser)
@@ -21,9 +21,9 @@
   static int OnName(http_parser* aParser, const char* aData, size_t aSize)
   {
     MessageParser& self = Self(aParser);
-    if (self.m_inValue || self.m_headers.empty()) {
+    if (self.m_isInValue || self.m_headers.empty()) {
       self.m_headers.emplace_back();
-      self.m_inValue = false;
+      self.m_isInValue = false;
     }
     self.m_headers.back().m_name.append(aData, aSize);
     return 0;
@@ -32,7 +32,7 @@
   static int OnValue(http_parser* aParser, const char* aData, size_t aSize)
   {
     MessageParser& self = Self(aParser);
-    self.m_inValue = true;
+    self.m_isInValue = true;
     self.m_headers.back().m_value.append(aData, aSize);
     return 0;
   }
@@ -41,26 +41,26 @@
   {
     MessageParser& self = Self(aParser);
     self.m_hasHead = true;
-    self.m_inValue = true;
+    self.m_isInValue = true;
     self.m_keepsAlive = http_should_keep_alive(aParser) != 0;
-    if (self.m_side == Side::Requests && self.HasTwoHosts()) {
+    if (self.m_side == Side::Requests && self.HasDuplicateHost()) {
       return -1;
     }
     const bool hasLength =
       aParser->content_length != static_cast<std::uint64_t>(-1);
     if (hasLength && aParser->content_length > self.m_limits.m_bodyBytes) {
-      self.m_bodyTooLarge = true;
+      self.m_isBodyTooLarge = true;
       return -1;
     }
     constexpr int kNoBody = 1;
-    return self.m_isHead ? kNoBody : 0;
+    return self.m_isHeadResponse ? kNoBody : 0;
   }
 
   static int OnBody(http_parser* aParser, const char* aData, size_t aSize)
   {
     MessageParser& self = Self(aParser);
     if (self.m_body.size() + aSize > self.m_limits.m_bodyBytes) {
-      self.m_bodyTooLarge = true;
+      self.m_isBodyTooLarge = true;
       return -1;
     }
     self.m_body.append(aData, aSize);
@@ -69,7 +69,7 @@
 
   static int OnComplete(http_parser* aParser)
   {
-    Self(aParser).m_complete = true;
+    Self(aParser).m_isComplete = true;
     http_parser_pause(aParser, 1);
     return 0;
   }
@@ -92,7 +92,7 @@
 };
 
 bool
-MessageParser::HasTwoHosts() const
+MessageParser::HasDuplicateHost() const
 {
   const auto isHost = [](const HttpHeader& aHeader) {
     return SameHeader(aHeader.m_name, "host");
@@ -107,7 +107,7 @@
 }
 
 void
-MessageParser::Reset(bool aHead) noexcept
+MessageParser::Reset(bool aIsHeadRequest) noexcept
 {
   http_parser_init(&m_parser,
                    m_side == Side::Requests ? HTTP_REQUEST : HTTP_RESPONSE);
@@ -116,23 +116,23 @@
   m_headers.clear();
   m_body.clear();
   m_headBytes = 0;
-  m_isHead = aHead;
-  m_begun = false;
+  m_isHeadResponse = aIsHeadRequest;
+  m_hasBegun = false;
   m_hasHead = false;
-  m_complete = false;
+  m_isComplete = false;
   m_keepsAlive = false;
-  m_bodyTooLarge = false;
-  m_inValue = false;
+  m_isBodyTooLarge = false;
+  m_isInValue = false;
 }
 
 MessageParser::Status
 MessageParser::Feed(std::string_view aBytes, std::size_t& aConsumed)
 {
-  m_begun = m_begun || !aBytes.empty();
+  m_hasBegun = m_hasBegun || !aBytes.empty();
   const bool hadHead = m_hasHead;
   aConsumed = http_parser_execute(
     &m_parser, &Callbacks::Table(), aBytes.data(), aBytes.size());
-  if (m_bodyTooLarge) {
+  if (m_isBodyTooLarge) {
     return Status::BodyTooLarge;
   }
   if (!hadHead) {
@@ -141,24 +141,24 @@
       return Status::HeadTooLarge;
     }
   }
-  if (m_complete) {
+  if (m_isComplete) {
     return Status::Complete;
   }
-  const auto fault = HTTP_PARSER_ERRNO(&m_parser);
-  if (fault == HPE_HEADER_OVERFLOW) {
+  const auto error = HTTP_PARSER_ERRNO(&m_parser);
+  if (error == HPE_HEADER_OVERFLOW) {
     return Status::HeadTooLarge;
   }
-  return fault == HPE_OK ? Status::NeedsMore : Status::Malformed;
+  return error == HPE_OK ? Status::NeedsMore : Status::Malformed;
 }
 
 MessageParser::Status
 MessageParser::Finish()
 {
-  if (!m_begun) {
+  if (!m_hasBegun) {
     return Status::NeedsMore;
   }
   http_parser_execute(&m_parser, &Callbacks::Table(), nullptr, 0);
-  return m_complete ? Status::Complete : Status::Malformed;
+  return m_isComplete ? Status::Complete : Status::Malformed;
 }
 
 std::string
--- a/src/http/message_parser.hpp
+++ b/src/http/message_parser.hpp
@@ -10,10 +10,10 @@
 
 namespace greengagehub {
 
-/// \brief Takes one HTTP/1.1 message after the other out of a stream of bytes.
+/// \brief Incremental parser for HTTP/1.1 messages.
 ///
-/// Stops exactly behind each message, so that bytes that follow it are never
-/// taken for a part of it.
+/// Parsing stops exactly at the end of each message and does not consume the
+/// bytes that follow.
 class MessageParser
 {
 public:
@@ -40,18 +40,20 @@
   MessageParser(const MessageParser&) = delete;
   MessageParser& operator=(const MessageParser&) = delete;
 
-  /// \brief Forgets the message before; `aHead` marks the next response as one
-  /// to a HEAD request, which has no body whatever its head says.
-  void Reset(bool aHead = false) noexcept;
+  /// \brief Prepares for the next message.
+  /// \param aIsHeadRequest the next response answers a HEAD request, so it has
+  /// no body regardless of its headers.
+  void Reset(bool aIsHeadRequest = false) noexcept;
   void SetLimits(Limits aLimits) noexcept { m_limits = aLimits; }
 
-  /// \param aConsumed how many of the bytes belong to the message.
+  /// \param aConsumed set to the number of bytes that belong to the message.
   [[nodiscard]] Status Feed(std::string_view aBytes, std::size_t& aConsumed);
-  /// \brief The stream ended; completes a response that has no length.
+  /// \brief Signals the end of the stream, which ends a response without a
+  /// length.
   [[nodiscard]] Status Finish();
 
-  /// \returns Whether a byte of the message was seen.
-  [[nodiscard]] bool HasBegun() const noexcept { return m_begun; }
+  /// \returns Whether any byte of the message was received.
+  [[nodiscard]] bool HasBegun() const noexcept { return m_hasBegun; }
   [[nodiscard]] bool HasHead() const noexcept { return m_hasHead; }
   [[nodiscard]] bool KeepsAlive() const noexcept { return m_keepsAlive; }
   [[nodiscard]] std::uint16_t ResponseStatus() const noexcept
@@ -69,8 +71,9 @@
 private:
   struct Callbacks;
 
-  /// A route by one host and a worker that goes by the other would disagree.
-  [[nodiscard]] bool HasTwoHosts() const;
+  /// Such a request is rejected, since routing and the backend server might use
+  /// different hosts.
+  [[nodiscard]] bool HasDuplicateHost() const;
 
   http_parser m_parser{};
   Side m_side;
@@ -79,14 +82,14 @@
   std::vector<HttpHeader> m_headers;
   std::string m_body;
   std::size_t m_headBytes{ 0 };
-  bool m_isHead{ false };
-  bool m_begun{ false };
+  bool m_isHeadResponse{ false };
+  bool m_hasBegun{ false };
   bool m_hasHead{ false };
-  bool m_complete{ false };
+  bool m_isComplete{ false };
   bool m_keepsAlive{ false };
-  bool m_bodyTooLarge{ false };
-  /// The last piece of a header was a part of its value.
-  bool m_inValue{ false };
+  bool m_isBodyTooLarge{ false };
+  /// The last callback was for a header value; a name starts a new header.
+  bool m_isInValue{ false };
 };
 
 }
--- a/src/http/message_text.cpp
+++ b/src/http/message_text.cpp
@@ -13,7 +13,8 @@
   return http_status_str(static_cast<http_status>(aStatus));
 }
 
-/// Headers that describe the connection or the length, which are set here.
+/// \returns Whether the header describes the connection or the body length,
+/// which ResponseText() sets itself.
 bool
 IsFramingHeader(std::string_view aName)
 {
@@ -26,7 +27,7 @@
 }
 
 std::string
-ResponseText(const HttpResponse& aResponse, bool aHead, bool aClose)
+ResponseText(const HttpResponse& aResponse, bool aIsHeadRequest, bool aClose)
 {
   std::string out = fmt::format(
     "HTTP/1.1 {} {}\r\n", aResponse.m_status, ReasonPhrase(aResponse.m_status));
@@ -37,7 +38,7 @@
   }
   out += fmt::format("Content-Length: {}\r\n", aResponse.m_body.size());
   out += aClose ? "Connection: close\r\n\r\n" : "\r\n";
-  if (!aHead) {
+  if (!aIsHeadRequest) {
     out += aResponse.m_body;
   }
   return out;
--- a/src/http/message_text.hpp
+++ b/src/http/message_text.hpp
@@ -7,14 +7,14 @@
 
 namespace greengagehub {
 
-/// \returns The response as it goes to a client: with its length, without the
-/// headers that concern the worker's own connection.
-/// \param aHead the request was HEAD, so that no body follows.
-/// \param aClose the connection ends with it.
+/// \returns The serialized response, with its own Content-Length and without
+/// headers that concern the backend server's connection.
+/// \param aIsHeadRequest omits the body, as in the answer to a HEAD request.
+/// \param aClose adds "Connection: close".
 [[nodiscard]] std::string
-ResponseText(const HttpResponse& aResponse, bool aHead, bool aClose);
+ResponseText(const HttpResponse& aResponse, bool aIsHeadRequest, bool aClose);
 
-/// \returns The request as it goes to the backend server.
+/// \returns The serialized request to the backend server.
 [[nodiscard]] std::string
 RequestText(const BackendRequest& aRequest);
 
--- a/tests/http/http_client.cpp
+++ b/tests/http/http_client.cpp
@@ -11,13 +11,12 @@
 
 namespace {
 
-/// A server that answers the first request on each connection and reads the
-/// second one without an answer, then closes: as a backend server that dies
-/// after it ran a request.
-class DyingServer
+/// Answers the first request on each connection and closes the connection after
+/// reading the second, like a backend server that crashes during a request.
+class UnansweringServer
 {
 public:
-  explicit DyingServer(asio::io_context& aLoop)
+  explicit UnansweringServer(asio::io_context& aLoop)
     : m_acceptor(aLoop, tcp::endpoint{ asio::ip::address_v4::loopback(), 0 })
   {
     Accept();
@@ -38,7 +37,7 @@
     }
     tcp::socket m_socket;
     std::array<char, 4096> m_buffer{};
-    int m_seen{ 0 };
+    int m_requestCount{ 0 };
   };
   using Pointer = std::shared_ptr<Connection>;
 
@@ -62,7 +61,7 @@
           return;
         }
         ++m_requests;
-        if (++aConnection->m_seen > 1) {
+        if (++aConnection->m_requestCount > 1) {
           aConnection->m_socket.close();
           return;
         }
@@ -97,13 +96,12 @@
 
 }
 
-TEST_CASE("a request on a kept connection that dies is not sent again")
+TEST_CASE("a request is not resent when its reused connection closes")
 {
-  // A release is sent on a kept connection. The backend server runs it and
-  // dies before its answer. libcurl by itself sends the request once more on
-  // a new connection, and the compartment opens twice.
+  // Guards against libcurl's automatic retry, which could execute a request
+  // twice.
   asio::io_context loop;
-  DyingServer server{ loop };
+  UnansweringServer server{ loop };
   HttpClient client{ loop };
   REQUIRE(Post(loop, client, server.Port()).m_kind ==
           HttpClientResult::Kind::Answered);
@@ -112,7 +110,7 @@
   CHECK(server.Requests() == 2);
 }
 
-TEST_CASE("a port where nobody listens is told as not sent")
+TEST_CASE("a request to a port without a listener is reported as not sent")
 {
   asio::io_context loop;
   std::uint16_t port = 0;
--- a/tests/http/http_server.cpp
+++ b/tests/http/http_server.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// A server whose requests the test answers by hand, and one client.
-class OneClient
+/// A server that collects requests for the test to answer, and one client.
+class TestConnection
 {
 public:
-  explicit OneClient(HttpServerLimits aLimits = {})
+  explicit TestConnection(HttpServerLimits aLimits = {})
     : m_server(
         m_loop,
         { .m_limits = aLimits },
@@ -23,7 +23,9 @@
           m_requests.push_back(std::move(aRequest));
           m_responders.push_back(std::move(aResponder));
         },
-        [this](std::uint64_t aConnection) { m_gone.push_back(aConnection); })
+        [this](std::uint64_t aConnection) {
+          m_closedConnections.push_back(aConnection);
+        })
     , m_socket(m_loop)
   {
     const std::uint16_t port = m_server.Open().value();
@@ -39,8 +41,8 @@
   template<class Condition>
   [[nodiscard]] bool RunUntil(Condition aCondition)
   {
-    const auto until = std::chrono::steady_clock::now() + 10s;
-    while (!aCondition() && std::chrono::steady_clock::now() < until) {
+    const auto deadline = std::chrono::steady_clock::now() + 10s;
+    while (!aCondition() && std::chrono::steady_clock::now() < deadline) {
       m_loop.run_one_for(50ms);
     }
     return aCondition();
@@ -51,7 +53,7 @@
   tcp::socket m_socket;
   std::vector<HttpRequest> m_requests;
   std::vector<HttpResponder> m_responders;
-  std::vector<std::uint64_t> m_gone;
+  std::vector<std::uint64_t> m_closedConnections;
   std::string m_received;
   bool m_closed{ false };
 
@@ -77,58 +79,57 @@
 
 }
 
-TEST_CASE("a caller that leaves while its request is handled is noticed")
+TEST_CASE("a client that disconnects while its request is handled is detected")
 {
-  // A tenant closes the app while the lookup runs. Without a read in progress
-  // the server would hear of it only when it writes the answer, and the
-  // worker would go on for nobody.
-  OneClient client;
+  // Guards against processing a request after its client has disconnected.
+  TestConnection client;
   client.Send(kGet);
   REQUIRE(client.RunUntil([&] { return client.m_requests.size() == 1; }));
   client.m_socket.close();
-  CHECK(client.RunUntil([&] { return client.m_gone.size() == 1; }));
+  CHECK(
+    client.RunUntil([&] { return client.m_closedConnections.size() == 1; }));
 }
 
-TEST_CASE("limits are answered, not just enforced")
+TEST_CASE("exceeded limits are answered with an error status")
 {
   HttpServerLimits limits;
   limits.m_maxHeadBytes = 200;
   limits.m_maxBodyBytes = 10;
   limits.m_headTimeout = 300ms;
-  OneClient client{ limits };
-  SUBCASE("a body over the limit")
+  TestConnection client{ limits };
+  SUBCASE("a body above the limit")
   {
     client.Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n");
     CHECK(client.RunUntil([&] { return client.m_closed; }));
     CHECK(client.m_received.starts_with("HTTP/1.1 413 "));
   }
-  SUBCASE("a chunked body over the limit")
+  SUBCASE("a chunked body above the limit")
   {
     client.Send("POST /a HTTP/1.1\r\nHost: h\r\n"
                 "Transfer-Encoding: chunked\r\n\r\nb\r\n12345678901\r\n");
     CHECK(client.RunUntil([&] { return client.m_closed; }));
     CHECK(client.m_received.starts_with("HTTP/1.1 413 "));
   }
-  SUBCASE("a head over the limit")
+  SUBCASE("a head above the limit")
   {
     client.Send("GET /a HTTP/1.1\r\nX: " + std::string(300, 'x'));
     CHECK(client.RunUntil([&] { return client.m_closed; }));
     CHECK(client.m_received.starts_with("HTTP/1.1 431 "));
   }
-  SUBCASE("a head that does not come to an end")
+  SUBCASE("an incomplete head")
   {
     client.Send("GET /a HTTP/1.1\r\nX: ");
     CHECK(client.RunUntil([&] { return client.m_closed; }));
     CHECK(client.m_received.starts_with("HTTP/1.1 408 "));
   }
-  SUBCASE("two hosts: the route would be one's, and the worker sees both")
+  SUBCASE("two Host headers")
   {
     client.Send("GET /a HTTP/1.1\r\nHost: h\r\nhost: g\r\n\r\n");
     CHECK(client.RunUntil([&] { return client.m_closed; }));
     CHECK(client.m_received.starts_with("HTTP/1.1 400 "));
     CHECK(client.m_requests.empty());
   }
-  SUBCASE("two lengths that differ: one of them smuggles a request")
+  SUBCASE("request smuggling by Content-Length and Transfer-Encoding")
   {
     client.Send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
                 "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
@@ -138,16 +139,16 @@
   }
 }
 
-TEST_CASE("limits that change bind open connections")
+TEST_CASE("changed limits apply to open connections")
 {
-  OneClient client;
+  TestConnection client;
   client.m_server.SetLimits({ .m_idleTimeout = 300ms });
   CHECK(client.RunUntil([&] { return client.m_closed; }));
 }
 
-TEST_CASE("requests sent together are handed out one after the other")
+TEST_CASE("pipelined requests are handled one at a time")
 {
-  OneClient client;
+  TestConnection client;
   client.Send(std::string{ kGet } + std::string{ kGet });
   REQUIRE(client.RunUntil([&] { return client.m_requests.size() == 1; }));
   client.m_loop.poll();
@@ -158,17 +159,16 @@
   CHECK(client.RunUntil([&] { return client.m_received.ends_with("two"); }));
 }
 
-TEST_CASE("a server that finishes answers what it has taken, and takes no more")
+TEST_CASE("a finishing server answers pending requests and closes")
 {
-  // A daemon leaves. A caller whose request it has read gets the whole answer
-  // and hears that the connection ends; an idle connection ends at once.
-  OneClient client;
-  SUBCASE("idle")
+  // Guards against requests lost or connections left open when a daemon drains.
+  TestConnection client;
+  SUBCASE("an idle connection")
   {
     client.m_server.Finish();
     CHECK(client.RunUntil([&] { return client.m_closed; }));
   }
-  SUBCASE("sent, and not read yet")
+  SUBCASE("a request that is sent but not yet read")
   {
     client.Send(kGet);
     client.m_server.Finish();
@@ -177,7 +177,7 @@
     CHECK(client.RunUntil([&] { return client.m_closed; }));
     CHECK(client.m_received.ends_with("whole"));
   }
-  SUBCASE("under way")
+  SUBCASE("a request that is being handled")
   {
     client.Send(kGet);
     REQUIRE(client.RunUntil([&] { return client.m_requests.size() == 1; }));
