--- a/include/greengagehub/transport/bulk_channel.hpp
+++ b/include/greengagehub/transport/bulk_channel.hpp
@@ -33,7 +33,7 @@
   BulkChannel(const BulkChannel&) = delete;
   BulkChannel& operator=(const BulkChannel&) = delete;
 
-  /// \returns Port that it listens on.
+  /// \returns TCP port that it listens on.
   [[nodiscard]] std::uint16_t Port() const noexcept;
   [[nodiscard]] const TrafficCounts& Counts() const noexcept;
 
--- a/include/greengagehub/transport/link_connection.hpp
+++ b/include/greengagehub/transport/link_connection.hpp
@@ -55,7 +55,9 @@
   bool m_helloReceived{ false };
   TimePoint m_openedAt{};
 
+  /// \brief Starts reading frames.
   void Start(OnFrame aOnFrame, OnClosed aOnClosed);
+  /// \brief Queues a frame; does nothing after a close.
   void Send(const LinkFrame& aFrame);
   /// \brief Marks the peer as being in another failure domain: later frames
   /// are counted as cross-domain traffic and their heads are compressed.
--- a/include/greengagehub/transport/link_frame.hpp
+++ b/include/greengagehub/transport/link_frame.hpp
@@ -22,10 +22,11 @@
 };
 
 /// \brief Cancels an attempt that has not started. A started attempt continues
-/// and is answered on the newest connection, unless m_abandon is set.
+/// and is answered on the newest connection, unless it is abandoned.
 struct LinkCancel
 {
   std::uint64_t m_call{ 0 };
+  /// The answer is no longer needed; no LinkCancelResult is sent.
   bool m_abandon{ false };
 };
 
