--- a/include/greengagehub/settings/settings.hpp
+++ b/include/greengagehub/settings/settings.hpp
@@ -14,7 +14,7 @@
 
 namespace greengagehub {
 
-/// \brief An IP number and a port.
+/// \brief A numeric IP address and a port.
 struct HostPort
 {
   std::string m_host;
@@ -24,11 +24,11 @@
 struct ListenSettings
 {
   std::string m_host{ "127.0.0.1" };
-  /// Where the platform asks whether this daemon is ready, and where the
-  /// backend server beside it sends heartbeats; port 0: nowhere.
+  /// Address of the readiness check; port 0 disables it.
   HostPort m_readiness{};
+  /// Address that receives the backend server's heartbeats; port 0 disables it.
   HostPort m_heartbeats{};
-  /// Where callers connect; empty: m_host.
+  /// Address that accepts callers; empty: m_host.
   std::string m_callsHost{};
   std::uint16_t m_callsPort{ 0 };
   std::uint16_t m_operatorsPort{ 0 };
@@ -41,61 +41,62 @@
 {
   std::string m_url{};
   std::chrono::milliseconds m_timeout{ 2000 };
-  /// How long one watch waits.
+  /// Longest wait of one watch request for a change.
   std::chrono::milliseconds m_watch{ 20'000 };
-  /// Longest pause between tries while the store is away.
+  /// Longest pause between retries while the store is unreachable.
   std::chrono::milliseconds m_maxBackoff{ 15'000 };
 };
 
 struct CallSettings
 {
   std::uint64_t m_maxBodyBytes{ 1024UL * 1024 };
-  /// Most retries that one call may use, over all its hops.
+  /// Maximum number of retries of one call, over all its hops.
   std::uint32_t m_tries{ 2 };
   /// Longest time that a drain waits for calls in flight.
   std::chrono::milliseconds m_drain{ 30'000 };
-  /// How long a leaving daemon stays reachable after its last call, so that
-  /// callers learn of it.
+  /// How long a draining daemon stays reachable after its last call, so that
+  /// callers learn that it is going away.
   std::chrono::milliseconds m_linger{ 500 };
-  /// How long the event loop looks for events before it sleeps while calls are
-  /// under way, and the share of a processor that this may use.
+  /// How long the event loop polls before it blocks while calls are in flight.
   std::chrono::microseconds m_spin{ 0 };
+  /// Maximum share of a processor used for polling.
   std::uint32_t m_spinPercent{ 5 };
 };
 
-/// \brief What a platform that hosts the fleet lays down. Without it, daemons
-/// take configuration from operators' patches and know their backend server
-/// from the settings alone.
+/// \brief Limits set by the platform that hosts the fleet.
+///
+/// Without a platform, daemons take configuration from operators' patches and
+/// the address of their backend server from the settings alone.
 struct PlatformSettings
 {
   bool m_enabled{ false };
-  /// Between two heartbeats of a backend server.
+  /// Time between two heartbeats of a backend server.
   std::chrono::milliseconds m_heartbeat{ 1500 };
-  /// After an acknowledged leave, no request may reach the backend server
-  /// later than this.
+  /// Time after an acknowledged deregistration in which requests may still
+  /// reach the backend server.
   std::chrono::milliseconds m_workerDrain{ 2000 };
-  /// Between SIGTERM and SIGKILL.
+  /// Time between SIGTERM and SIGKILL.
   std::chrono::milliseconds m_grace{ 6000 };
-  /// A new configuration is in force everywhere within this.
+  /// Maximum time until a new configuration is in force on every daemon.
   std::chrono::milliseconds m_configApply{ 2000 };
-  /// Attempts beyond the first of each request that a service may get, in the
-  /// window, from the whole fleet: a share of its requests, and some.
+  /// Retry budget of a service over the whole fleet: in each window, at most
+  /// this share of its requests plus the slack.
   double m_retryShare{ 0.2 };
   std::chrono::milliseconds m_retryWindow{ 10'000 };
-  /// May have a fraction.
+  /// Retries; a fraction is allowed.
   double m_retrySlack{ 50.0 };
-  /// Of a service's calls from the order to its deadline, what a bad version on
-  /// trial may get: a share, and some.
+  /// Calls that a bad canary may receive until its roll-out's deadline: at most
+  /// this share of the service's calls plus the slack.
   double m_trialShare{ 0.1 };
   double m_trialSlack{ 50.0 };
 };
 
-/// \brief How workspaces of the configuration are served.
+/// \brief Enforcement of the workspaces' API keys and quotas.
 struct WorkspaceSettings
 {
-  /// A key that was taken away is accepted nowhere later than this after the
-  /// store acknowledged it, also at daemons that the store or their peers do
-  /// not reach; 0: as soon as the daemon hears of it.
+  /// Maximum time from the store's acknowledgement of a key's removal until no
+  /// daemon accepts it, including daemons cut off from the store and their
+  /// peers; 0: each daemon rejects the key when the change reaches it.
   std::chrono::milliseconds m_revokeWithin{ 0 };
   QuotaRules m_quota{};
 };
@@ -109,28 +110,29 @@
     std::string m_level;
   };
   std::vector<Component> m_components{};
-  /// Share of new traces that are sampled, in percent.
+  /// Share of new traces that is sampled, in percent.
   std::uint32_t m_tracePercent{ 0 };
 };
 
-/// \brief Everything that a daemon is told at start.
+/// \brief The settings of one daemon, read at start.
 struct Settings
 {
   std::string m_slot{};
   std::string m_service{};
   std::string m_region{};
   std::string m_domain{};
-  /// Rate of this machine's link, in Mbit/s; 0: not known.
+  /// Bandwidth of this instance's network link, in Mbit/s; 0: unknown.
   std::uint32_t m_linkMbps{ 0 };
   ListenSettings m_listen{};
-  /// Guards what changes something; never logged. Empty: nothing is changed.
+  /// Required for operators' requests that change state; never logged. Empty:
+  /// such requests are rejected.
   std::string m_operatorToken{};
   HostPort m_worker{};
   RunTableSettings m_runs{};
   std::uint32_t m_workerConnections{ 100 };
   StoreSettings m_store{};
   MembershipSettings m_membership{};
-  /// Addresses "host:port" of gossip ports to join by, beside the store's.
+  /// Gossip addresses contacted to join, in addition to those in the store.
   std::vector<MemberAddress> m_seeds{};
   WatchRoleSettings m_watch{};
   DisseminationSettings m_dissemination{};
@@ -140,17 +142,17 @@
   WorkspaceSettings m_workspaces{};
 };
 
-/// \brief Settings, or every fault in them with its place.
+/// \brief The settings, or all errors in them with their source regions.
 using SettingsResult =
   boost::outcome_v2::std_result<Settings,
                                 std::vector<Error>,
                                 boost::outcome_v2::policy::all_narrow>;
 
-/// \param aFile shown as the place of faults.
+/// \param aFile file name reported in errors.
 [[nodiscard]] SettingsResult
 ParseSettings(std::string_view aToml, const std::string& aFile);
 
-/// \brief Reads and parses a file.
+/// \brief Reads and parses a settings file.
 [[nodiscard]] SettingsResult
 LoadSettings(const std::string& aFile);
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -15,14 +15,18 @@
 constexpr std::int64_t kHourMs = 3'600'000;
 constexpr std::int64_t kMaxSlots = 100'000;
 constexpr double kMaxMbps = 1'000'000.0;
-constexpr std::int64_t kMaxBody = 16L * 1024 * 1024;
-const std::vector<std::string> kLevels{ "debug", "info", "warning", "error" };
-const std::vector<std::string> kSections{
+constexpr std::int64_t kMaxBodyBytes = 16L * 1024 * 1024;
+const std::vector<std::string> kLogLevels{ "debug",
+                                           "info",
+                                           "warning",
+                                           "error" };
+const std::vector<std::string> kSectionNames{
   "daemon",        "listen", "operators", "worker",   "store",     "membership",
   "dissemination", "calls",  "log",       "platform", "decisions", "workspaces"
 };
 
-/// \returns Host and port of "IP:PORT", or nothing.
+/// \returns Host and port of "IP:PORT", or nothing if the text has another
+/// form.
 std::optional<HostPort>
 ParseHostPort(std::string_view aText)
 {
@@ -39,10 +43,9 @@
   return HostPort{ std::string{ aText.substr(0, colon) }, port };
 }
 
-/// No names are looked up: the address is needed at once, and again after each
-/// loss of a connection.
+/// Host names are not accepted: a DNS lookup would delay every connection.
 bool
-IsIpNumber(const std::string& aHost)
+IsIpAddress(const std::string& aHost)
 {
   in_addr four{};
   in6_addr six{};
@@ -50,7 +53,7 @@
          inet_pton(AF_INET6, aHost.c_str(), &six) == 1;
 }
 
-/// One parse of one file: all sections report into the same list of faults.
+/// Parses all sections of one file and collects their errors.
 class SettingsParser
 {
 public:
@@ -60,7 +63,7 @@
   {
   }
 
-  SettingsResult Run()
+  SettingsResult Parse()
   {
     CheckSections();
     ReadDaemon();
@@ -75,8 +78,8 @@
     ReadPlatform();
     ReadWorkspaces();
     ReadDecisions();
-    if (!m_faults.empty()) {
-      return m_faults;
+    if (!m_errors.empty()) {
+      return m_errors;
     }
     return m_settings;
   }
@@ -84,16 +87,16 @@
 private:
   [[nodiscard]] SettingsReader Section(const char* aName)
   {
-    return { m_root, m_file, aName, m_faults };
+    return { m_root, m_file, aName, m_errors };
   }
 
   void CheckSections()
   {
     for (const auto& [key, node] : m_root) {
       const std::string name{ key.str() };
-      if (std::find(kSections.begin(), kSections.end(), name) ==
-          kSections.end()) {
-        m_faults.push_back(Error{ ErrorCode::Invalid,
+      if (std::find(kSectionNames.begin(), kSectionNames.end(), name) ==
+          kSectionNames.end()) {
+        m_errors.push_back(Error{ ErrorCode::Invalid,
                                   "unknown section or key \"" + name + "\"",
                                   SourceRegion{ m_file,
                                                 node.source().begin.line,
@@ -105,14 +108,14 @@
   void ReadDaemon()
   {
     SettingsReader reader = Section("daemon");
-    reader.NeededText("slot", m_settings.m_slot);
-    reader.NeededText("service", m_settings.m_service);
-    reader.NeededText("region", m_settings.m_region);
-    reader.NeededText("domain", m_settings.m_domain);
+    reader.RequiredText("slot", m_settings.m_slot);
+    reader.RequiredText("service", m_settings.m_service);
+    reader.RequiredText("region", m_settings.m_region);
+    reader.RequiredText("domain", m_settings.m_domain);
     double rate = 0.0;
     reader.Number("link_mbps", rate, 0.0, kMaxMbps);
     m_settings.m_linkMbps = static_cast<std::uint32_t>(rate);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadListen()
@@ -133,10 +136,10 @@
     }
     ReadAddress(reader, "readiness", listen.m_readiness);
     ReadAddress(reader, "heartbeats", listen.m_heartbeats);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
-  /// Ports between daemons, one after the other from the first on.
+  /// Assigns consecutive ports, beginning with "first_port".
   void ReadPortRange(SettingsReader& aReader)
   {
     ListenSettings& listen = m_settings.m_listen;
@@ -164,7 +167,7 @@
     }
     const auto address = ParseHostPort(text);
     if (!address) {
-      aReader.Fault(aKey, "\"IP:PORT\"");
+      aReader.AddError(aKey, "\"IP:PORT\"");
       return false;
     }
     aTarget = *address;
@@ -174,13 +177,13 @@
   void ReadOperators()
   {
     SettingsReader reader = Section("operators");
-    // On a platform the operators write to its store, and need no way in here.
+    // On a platform, operators write to the platform's store instead.
     if (m_root.contains("platform")) {
       reader.Text("token", m_settings.m_operatorToken);
     } else {
-      reader.NeededText("token", m_settings.m_operatorToken);
+      reader.RequiredText("token", m_settings.m_operatorToken);
     }
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadWorker()
@@ -188,31 +191,31 @@
     SettingsReader reader = Section("worker");
     RunTableSettings& runs = m_settings.m_runs;
     std::string url;
-    reader.NeededText("url", url);
+    reader.RequiredText("url", url);
     constexpr std::string_view kScheme = "http://";
     const auto address =
       url.starts_with(kScheme)
         ? ParseHostPort(std::string_view{ url }.substr(kScheme.size()))
         : std::nullopt;
-    if (address && IsIpNumber(address->m_host)) {
+    if (address && IsIpAddress(address->m_host)) {
       m_settings.m_worker = *address;
     } else {
-      reader.Fault("url", "\"http://IP:PORT\"");
+      reader.AddError("url", "\"http://IP:PORT\"");
     }
     reader.Count("slots", runs.m_slots, 1, kMaxSlots);
     reader.Count("queue", runs.m_queue, 0, kMaxSlots);
     reader.Count("connections", m_settings.m_workerConnections, 1, kMaxSlots);
     reader.Millis("warm_up_ms", runs.m_warmUp, 0, kHourMs);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadStore()
   {
     SettingsReader reader = Section("store");
     StoreSettings& store = m_settings.m_store;
-    reader.NeededText("url", store.m_url);
+    reader.RequiredText("url", store.m_url);
     if (!store.m_url.starts_with("http://")) {
-      reader.Fault("url", "an address that starts with http://");
+      reader.AddError("url", "a URL that starts with http://");
     }
     reader.Millis("timeout_ms", store.m_timeout, 1, kHourMs);
     reader.Millis("watch_ms", store.m_watch, 1, kHourMs);
@@ -222,7 +225,7 @@
     reader.Millis("watch_retry_ms", m_settings.m_watch.m_retry, 10, kHourMs);
     reader.Millis(
       "watch_max_retry_ms", m_settings.m_watch.m_maxRetry, 10, kHourMs);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadMembership()
@@ -230,7 +233,7 @@
     SettingsReader reader = Section("membership");
     MembershipSettings& membership = m_settings.m_membership;
     std::vector<std::string> seeds;
-    reader.Texts("seeds", seeds);
+    reader.TextArray("seeds", seeds);
     for (const std::string& each : seeds) {
       ReadSeed(reader, each);
     }
@@ -239,14 +242,14 @@
     reader.Count("indirect", membership.m_indirect, 0, 16);
     reader.Count("suspicion_factor", membership.m_suspicionFactor, 1, 1000);
     reader.Count("lost_every", membership.m_lostEvery, 1, 1000);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadSeed(SettingsReader& aReader, const std::string& aText)
   {
     const auto address = ParseHostPort(aText);
     if (!address) {
-      aReader.Fault("seeds", "each \"IP:PORT\"");
+      aReader.AddError("seeds", "an array of \"IP:PORT\" strings");
       return;
     }
     m_settings.m_seeds.push_back(
@@ -261,14 +264,14 @@
     reader.Millis("pull_delay_ms", target.m_pullDelay, 0, 60'000);
     reader.Millis("far_delay_ms", target.m_farDelay, 0, 60'000);
     reader.Millis("pull_timeout_ms", target.m_pullTimeout, 10, 60'000);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadCalls()
   {
     SettingsReader reader = Section("calls");
     CallSettings& calls = m_settings.m_calls;
-    reader.Count("max_body_bytes", calls.m_maxBodyBytes, 1, kMaxBody);
+    reader.Count("max_body_bytes", calls.m_maxBodyBytes, 1, kMaxBodyBytes);
     reader.Count("tries", calls.m_tries, 0, 16);
     reader.Millis("drain_ms", calls.m_drain, 0, kHourMs);
     reader.Millis("linger_ms", calls.m_linger, 0, 60'000);
@@ -276,7 +279,7 @@
     reader.Count("spin_us", spin, 0, 10'000);
     calls.m_spin = std::chrono::microseconds{ spin };
     reader.Count("spin_percent", calls.m_spinPercent, 0, 100);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadPlatform()
@@ -293,7 +296,7 @@
     reader.Number("retry_slack", platform.m_retrySlack, 0.0, kMaxSlots);
     reader.Number("trial_share", platform.m_trialShare, 0.0, 1.0);
     reader.Number("trial_slack", platform.m_trialSlack, 0.0, kMaxSlots);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadWorkspaces()
@@ -305,7 +308,7 @@
     reader.Millis("quota_window_ms", quota.m_window, 1, kHourMs);
     reader.Number("quota_overage", quota.m_overage, 0.0, 1.0);
     reader.Number("quota_slack", quota.m_slack, 0.0, kMaxSlots);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadDecisions()
@@ -332,16 +335,16 @@
     reader.Flag("ejects", target.m_ejects);
     reader.Flag("weighs_age", target.m_weighsAge);
     reader.Flag("sees_common_cause", target.m_seesCommonCause);
-    reader.Finish();
+    reader.ReportUnknownKeys();
   }
 
   void ReadLog()
   {
     SettingsReader reader = Section("log");
     LogSettings& log = m_settings.m_log;
-    reader.OneOf("level", log.m_level, kLevels);
+    reader.OneOf("level", log.m_level, kLogLevels);
     reader.Count("trace_percent", log.m_tracePercent, 0, 100);
-    reader.Finish({ "components" });
+    reader.ReportUnknownKeys({ "components" });
     const toml::table* table = reader.Table();
     const toml::node* node =
       table == nullptr ? nullptr : table->get("components");
@@ -349,14 +352,15 @@
       return;
     }
     if (!node->is_table()) {
-      reader.Fault("components", "a table of levels");
+      reader.AddError("components", "a table of log levels");
       return;
     }
     for (const auto& [key, value] : *node->as_table()) {
       const std::string name{ key.str() };
       std::string level = value.value_or(std::string{});
-      if (std::find(kLevels.begin(), kLevels.end(), level) == kLevels.end()) {
-        reader.Fault("components", "debug, info, warning, error");
+      if (std::find(kLogLevels.begin(), kLogLevels.end(), level) ==
+          kLogLevels.end()) {
+        reader.AddError("components", "one of debug, info, warning, error");
       }
       log.m_components.push_back({ name, std::move(level) });
     }
@@ -364,7 +368,7 @@
 
   const toml::table& m_root;
   std::string m_file;
-  std::vector<Error> m_faults;
+  std::vector<Error> m_errors;
   Settings m_settings;
 };
 
@@ -375,13 +379,13 @@
 {
   try {
     const toml::table root = toml::parse(aToml, aFile);
-    return SettingsParser{ root, aFile }.Run();
-  } catch (const toml::parse_error& fault) {
+    return SettingsParser{ root, aFile }.Parse();
+  } catch (const toml::parse_error& error) {
     return std::vector<Error>{ Error{
       ErrorCode::Invalid,
-      std::string{ fault.description() },
+      std::string{ error.description() },
       SourceRegion{
-        aFile, fault.source().begin.line, fault.source().begin.column } } };
+        aFile, error.source().begin.line, error.source().begin.column } } };
   }
 }
 
@@ -391,7 +395,7 @@
   std::ifstream file{ aFile };
   if (!file) {
     return std::vector<Error>{ Error{
-      ErrorCode::Io, "cannot be read", SourceRegion{ aFile } } };
+      ErrorCode::Io, "cannot open file", SourceRegion{ aFile } } };
   }
   std::ostringstream text;
   text << file.rdbuf();
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -9,10 +9,10 @@
 SettingsReader::SettingsReader(const toml::table& aRoot,
                                std::string aFile,
                                std::string aSection,
-                               std::vector<Error>& aFaults)
+                               std::vector<Error>& aErrors)
   : m_file(std::move(aFile))
   , m_section(std::move(aSection))
-  , m_faults(aFaults)
+  , m_errors(aErrors)
 {
   const toml::node* node = aRoot.get(m_section);
   if (node == nullptr) {
@@ -20,34 +20,34 @@
   }
   m_table = node->as_table();
   if (m_table == nullptr) {
-    FaultAt(node, fmt::format("[{}] must be a table", m_section));
+    AddErrorAt(node, fmt::format("[{}]: expected a table", m_section));
   }
 }
 
 const toml::node*
 SettingsReader::Find(const char* aKey)
 {
-  m_known.emplace_back(aKey);
+  m_knownKeys.emplace_back(aKey);
   return m_table == nullptr ? nullptr : m_table->get(aKey);
 }
 
 void
-SettingsReader::FaultAt(const toml::node* aNode, const std::string& aMessage)
+SettingsReader::AddErrorAt(const toml::node* aNode, const std::string& aMessage)
 {
-  Error fault{ ErrorCode::Invalid, aMessage, SourceRegion{ m_file } };
+  Error error{ ErrorCode::Invalid, aMessage, SourceRegion{ m_file } };
   if (aNode != nullptr) {
-    fault.m_source->m_line = aNode->source().begin.line;
-    fault.m_source->m_column = aNode->source().begin.column;
+    error.m_source->m_line = aNode->source().begin.line;
+    error.m_source->m_column = aNode->source().begin.column;
   }
-  m_faults.push_back(std::move(fault));
+  m_errors.push_back(std::move(error));
 }
 
 void
-SettingsReader::Fault(const char* aKey, const std::string& aAllowed)
+SettingsReader::AddError(const char* aKey, const std::string& aExpected)
 {
   const toml::node* node = m_table == nullptr ? nullptr : m_table->get(aKey);
-  FaultAt(node == nullptr ? m_table : node,
-          fmt::format("{}.{}: allowed: {}", m_section, aKey, aAllowed));
+  AddErrorAt(node == nullptr ? m_table : node,
+             fmt::format("{}.{}: expected {}", m_section, aKey, aExpected));
 }
 
 void
@@ -58,24 +58,24 @@
     return;
   }
   if (!node->is_string()) {
-    Fault(aKey, "a string");
+    AddError(aKey, "a string");
     return;
   }
   aTarget = node->as_string()->get();
 }
 
 void
-SettingsReader::NeededText(const char* aKey, std::string& aTarget)
+SettingsReader::RequiredText(const char* aKey, std::string& aTarget)
 {
-  const std::size_t before = m_faults.size();
+  const std::size_t errorsBefore = m_errors.size();
   Text(aKey, aTarget);
-  if (aTarget.empty() && m_faults.size() == before) {
-    Fault(aKey, "a string that is not empty; it must be given");
+  if (aTarget.empty() && m_errors.size() == errorsBefore) {
+    AddError(aKey, "a non-empty string; the key is required");
   }
 }
 
 void
-SettingsReader::Texts(const char* aKey, std::vector<std::string>& aTarget)
+SettingsReader::TextArray(const char* aKey, std::vector<std::string>& aTarget)
 {
   const toml::node* node = Find(aKey);
   if (node == nullptr) {
@@ -88,7 +88,7 @@
       return aNode.is_string();
     });
   if (!valid) {
-    Fault(aKey, "an array of strings");
+    AddError(aKey, "an array of strings");
     return;
   }
   for (const toml::node& each : *array) {
@@ -105,7 +105,7 @@
   const bool found =
     std::find(aAllowed.begin(), aAllowed.end(), aTarget) != aAllowed.end();
   if (!found) {
-    Fault(aKey, fmt::format("{}", fmt::join(aAllowed, ", ")));
+    AddError(aKey, fmt::format("one of {}", fmt::join(aAllowed, ", ")));
   }
 }
 
@@ -122,7 +122,7 @@
   const bool valid = node->is_integer() && node->as_integer()->get() >= aLow &&
                      node->as_integer()->get() <= aHigh;
   if (!valid) {
-    Fault(aKey, fmt::format("a whole number from {} to {}", aLow, aHigh));
+    AddError(aKey, fmt::format("an integer from {} to {}", aLow, aHigh));
     return false;
   }
   aTarget = node->as_integer()->get();
@@ -137,7 +137,7 @@
     return;
   }
   if (!node->is_boolean()) {
-    Fault(aKey, "true or false");
+    AddError(aKey, "true or false");
     return;
   }
   aTarget = node->as_boolean()->get();
@@ -162,7 +162,7 @@
 }
 
 void
-SettingsReader::Finish(const std::vector<std::string>& aTables)
+SettingsReader::ReportUnknownKeys(const std::vector<std::string>& aTables)
 {
   if (m_table == nullptr) {
     return;
@@ -172,12 +172,12 @@
     const auto in = [&name](const std::vector<std::string>& aNames) {
       return std::find(aNames.begin(), aNames.end(), name) != aNames.end();
     };
-    if (!in(m_known) && !in(aTables)) {
-      FaultAt(&node,
-              fmt::format("{}.{}: unknown key; allowed: {}",
-                          m_section,
-                          name,
-                          fmt::join(m_known, ", ")));
+    if (!in(m_knownKeys) && !in(aTables)) {
+      AddErrorAt(&node,
+                 fmt::format("{}.{}: unknown key; known keys: {}",
+                             m_section,
+                             name,
+                             fmt::join(m_knownKeys, ", ")));
     }
   }
 }
@@ -194,7 +194,7 @@
   }
   const std::optional<double> value = node->value<double>();
   if (!value || *value < aLow || *value > aHigh) {
-    Fault(aKey, fmt::format("a number from {} to {}", aLow, aHigh));
+    AddError(aKey, fmt::format("a number from {} to {}", aLow, aHigh));
     return;
   }
   aTarget = *value;
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -12,20 +12,24 @@
 
 namespace greengagehub {
 
-/// \brief Reads one section of a TOML file; collects every fault with its
-/// line, key and what is allowed.
+/// \brief Reads one section of a TOML file and collects errors.
+///
+/// A key that is absent leaves its target unchanged. An error names the key,
+/// its position in the file and the expected value.
 class SettingsReader
 {
 public:
   SettingsReader(const toml::table& aRoot,
                  std::string aFile,
                  std::string aSection,
-                 std::vector<Error>& aFaults);
+                 std::vector<Error>& aErrors);
 
   void Text(const char* aKey, std::string& aTarget);
-  /// \brief As Text, but the key must be there and not be empty.
-  void NeededText(const char* aKey, std::string& aTarget);
-  void Texts(const char* aKey, std::vector<std::string>& aTarget);
+  /// \brief Reads a string that must be present and not empty.
+  void RequiredText(const char* aKey, std::string& aTarget);
+  /// \brief Appends the strings of an array.
+  void TextArray(const char* aKey, std::vector<std::string>& aTarget);
+  /// \brief Reads a string that must be one of `aAllowed`.
   void OneOf(const char* aKey,
              std::string& aTarget,
              const std::vector<std::string>& aAllowed);
@@ -35,8 +39,9 @@
               std::chrono::milliseconds& aTarget,
               std::int64_t aLow,
               std::int64_t aHigh);
-  /// \brief A number in [aLow, aHigh], whole or not.
+  /// \brief Reads an integer or floating-point number in [aLow, aHigh].
   void Number(const char* aKey, double& aTarget, double aLow, double aHigh);
+  /// \brief Reads an integer in [aLow, aHigh].
   template<class Number>
   void Count(const char* aKey,
              Number& aTarget,
@@ -48,24 +53,27 @@
       aTarget = static_cast<Number>(value);
     }
   }
-  /// \brief Keys that are left are faults; `aTables` names allowed subtables.
-  void Finish(const std::vector<std::string>& aTables = {});
-  void Fault(const char* aKey, const std::string& aAllowed);
+  /// \brief Reports the keys that were not read.
+  /// \param aTables subtables to ignore.
+  void ReportUnknownKeys(const std::vector<std::string>& aTables = {});
+  void AddError(const char* aKey, const std::string& aExpected);
+  /// \returns The section, or null if it is absent or not a table.
   [[nodiscard]] const toml::table* Table() const noexcept { return m_table; }
 
 private:
   [[nodiscard]] const toml::node* Find(const char* aKey);
+  /// \returns Whether `aTarget` was assigned.
   bool Integer(const char* aKey,
                std::int64_t& aTarget,
                std::int64_t aLow,
                std::int64_t aHigh);
-  void FaultAt(const toml::node* aNode, const std::string& aMessage);
+  void AddErrorAt(const toml::node* aNode, const std::string& aMessage);
 
   const toml::table* m_table{ nullptr };
   std::string m_file;
   std::string m_section;
-  std::vector<Error>& m_faults;
-  std::vector<std::string> m_known;
+  std::vector<Error>& m_errors;
+  std::vector<std::string> m_knownKeys;
 };
 
 }
--- a/tests/settings/settings.cpp
+++ b/tests/settings/settings.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr const char* kGood = R"(
+constexpr const char* kValid = R"(
 [daemon]
 slot = "a"
 service = "locker-app"
@@ -22,31 +22,32 @@
 
 }
 
-TEST_CASE("good settings are read, with defaults for the rest")
+TEST_CASE("absent keys take their default values")
 {
-  const auto settings = ParseSettings(kGood, "good.toml");
+  const auto settings = ParseSettings(kValid, "good.toml");
   REQUIRE(settings);
   CHECK(settings.value().m_slot == "a");
   CHECK(settings.value().m_runs.m_slots == 20);
   CHECK(settings.value().m_store.m_timeout == std::chrono::seconds{ 2 });
 }
 
-TEST_CASE("mechanisms of decisions are switched by name")
+TEST_CASE(
+  "the decisions section overrides single settings and checks their types")
 {
-  const auto given = ParseSettings(std::string{ kGood } + R"([decisions]
+  const auto settings = ParseSettings(std::string{ kValid } + R"([decisions]
 counts_time = false
 crossing_per_kib = 0.2
 max_busy = 0
 )",
-                                   "good.toml");
-  REQUIRE(given);
-  const DecisionSettings& decisions = given.value().m_runs.m_decisions;
+                                      "good.toml");
+  REQUIRE(settings);
+  const DecisionSettings& decisions = settings.value().m_runs.m_decisions;
   CHECK_FALSE(decisions.m_countsTime);
   CHECK(decisions.m_crossingPerKib == 0.2);
   CHECK(decisions.m_maxBusy == 0);
   CHECK(decisions.m_refusesEarly);
 
-  const auto bad = ParseSettings(std::string{ kGood } + R"([decisions]
+  const auto bad = ParseSettings(std::string{ kValid } + R"([decisions]
 ejects = 1
 late_credit = 2.0
 )",
@@ -55,9 +56,9 @@
   CHECK(bad.error().size() == 2);
 }
 
-TEST_CASE("every fault is told in one go, each with its line")
+TEST_CASE("all errors of a file are reported, each with its line")
 {
-  const std::string bad = std::string{ kGood } + R"([calls]
+  const std::string bad = std::string{ kValid } + R"([calls]
 tries = 99
 colour = "red"
 [listen]
@@ -74,7 +75,7 @@
   }
 }
 
-TEST_CASE("what must be given is missed by name")
+TEST_CASE("a missing required key is reported by name")
 {
   const auto settings = ParseSettings("", "empty.toml");
   REQUIRE_FALSE(settings);
@@ -91,7 +92,7 @@
   }
 }
 
-TEST_CASE("what is no TOML is told with its place")
+TEST_CASE("a TOML syntax error is reported with its line")
 {
   const auto settings = ParseSettings("[daemon\nslot = 1", "cut.toml");
   REQUIRE_FALSE(settings);
@@ -99,23 +100,23 @@
   CHECK(settings.error()[0].m_source->m_line == 1);
 }
 
-TEST_CASE("seeds are addresses")
+TEST_CASE("a seed must be an IP address and a port")
 {
   const std::string with =
-    std::string{ kGood } + "[membership]\nseeds = [\"127.0.0.1:7001\"]\n";
+    std::string{ kValid } + "[membership]\nseeds = [\"127.0.0.1:7001\"]\n";
   const auto settings = ParseSettings(with, "seeds.toml");
   REQUIRE(settings);
   REQUIRE(settings.value().m_seeds.size() == 1);
   CHECK(settings.value().m_seeds[0].m_gossipPort == 7001);
   const std::string wrong =
-    std::string{ kGood } + "[membership]\nseeds = [\"nowhere\"]\n";
+    std::string{ kValid } + "[membership]\nseeds = [\"nowhere\"]\n";
   CHECK_FALSE(ParseSettings(wrong, "seeds.toml"));
 }
 
-TEST_CASE("a backend server is named by number")
+TEST_CASE("the backend server's host must be an IP address")
 {
-  // A name would have to be looked up while callers wait; the client takes
-  // numbers only, and must not learn of a name when it starts.
+  // Guards against a host name that passes the settings check and fails only
+  // when the client connects.
   const std::string text = R"([daemon]
 slot = "a"
 service = "s"
