--- a/tests/platform/base64.cpp
+++ b/tests/platform/base64.cpp
@@ -4,7 +4,7 @@
 
 using namespace greengagehub::platform;
 
-TEST_CASE("bytes of every length come back")
+TEST_CASE("base64 round trip for every length, and invalid input")
 {
   std::string bytes;
   for (int i = 0; i < 300; ++i) {
--- a/tests/platform/config_document.cpp
+++ b/tests/platform/config_document.cpp
@@ -29,7 +29,7 @@
 
 }
 
-TEST_CASE("a document becomes a content of ours")
+TEST_CASE("a document is translated into a content")
 {
   platform::ConfigReader reader;
   const auto document = reader.Read(kDocument);
@@ -54,13 +54,12 @@
   CHECK(status.m_service.empty());
   REQUIRE(status.m_split.size() == 2);
   CHECK(status.m_split[1].m_weight == 90);
-  // The same document again differs in nothing.
   const auto again = reader.Read(kDocument);
   REQUIRE(again);
   CHECK(PatchBetween(content, again.value().m_content) == "{}");
 }
 
-TEST_CASE("a document that makes no sense is an error, never a part of one")
+TEST_CASE("an invalid document is rejected as a whole")
 {
   platform::ConfigReader reader;
   for (const char* text :
@@ -76,7 +75,7 @@
   }
 }
 
-TEST_CASE("tenants become workspaces, their keys digests")
+TEST_CASE("tenants become workspaces with digests of their API keys")
 {
   platform::ConfigReader reader;
   const auto document = reader.Read(R"({
@@ -104,7 +103,7 @@
   CHECK(open.m_idempotency == Route::Idempotency::Yes);
 }
 
-TEST_CASE("a damaged tenant is an error of the whole document")
+TEST_CASE("an invalid tenant rejects the whole document")
 {
   platform::ConfigReader reader;
   for (const char* tenant : { R"({"api_keys":["k"]})",
--- a/tests/platform/heartbeat.cpp
+++ b/tests/platform/heartbeat.cpp
@@ -25,7 +25,7 @@
 
 }
 
-TEST_CASE("heartbeats and farewells")
+TEST_CASE("heartbeats and deregistrations are parsed")
 {
   const auto beat =
     platform::ParseNotice(Request("PUT", "/instances/i-7f", kBody));
@@ -48,7 +48,7 @@
   CHECK_FALSE(platform::ParseNotice(Request("PUT", "/other", kBody)));
 }
 
-TEST_CASE("the time of a start is a whole number of milliseconds")
+TEST_CASE("the start time is given in milliseconds")
 {
   auto body = nlohmann::json::parse(kBody);
   body["born"] = 1'764'000'000'123;
@@ -64,52 +64,51 @@
   CHECK(std::get<platform::WorkerLeft>(left.value()).m_start.m_born == born);
 }
 
-TEST_CASE("a report of another writer names no worker")
+TEST_CASE("a report with a missing or invalid field is rejected")
 {
-  // Whoever else writes to this address sends what it likes: a state that is
-  // not known would drain a sound worker, and half a slot or minus one would
-  // become a number of slots.
+  // Guards against malformed reports that would drain a healthy worker or set
+  // an arbitrary number of slots.
   using Json = nlohmann::json;
-  const Json whole = [] {
+  const Json valid = [] {
     Json body = Json::parse(kBody);
     body["born"] = 1'764'000'000'123;
     return body;
   }();
-  const auto refused = [](const std::string& aBody) {
+  const auto isRejected = [](const std::string& aBody) {
     return !platform::ParseNotice(Request("PUT", "/instances/i-7f", aBody));
   };
-  REQUIRE_FALSE(refused(whole.dump()));
-  const std::vector<Json> wrong{ nullptr,       true,           -1,
-                                 6.5,           1e30,           "",
-                                 Json::array(), Json::object(), "4" };
-  for (auto field = whole.begin(); field != whole.end(); ++field) {
+  REQUIRE_FALSE(isRejected(valid.dump()));
+  const std::vector<Json> invalid{ nullptr,       true,           -1,
+                                   6.5,           1e30,           "",
+                                   Json::array(), Json::object(), "4" };
+  for (auto field = valid.begin(); field != valid.end(); ++field) {
     const std::string& name = field.key();
     const Json& value = field.value();
     CAPTURE(name);
     if (name != "born") {
-      Json body = whole;
+      Json body = valid;
       body.erase(name);
-      CHECK(refused(body.dump()));
+      CHECK(isRejected(body.dump()));
     }
-    for (const Json& each : wrong) {
-      // Any text may be the name of a place, an address or a version.
+    for (const Json& each : invalid) {
+      // Any text is a valid service, address, zone or version.
       if (value.is_string() && each == "4" && name != "state") {
         continue;
       }
       CAPTURE(each);
-      Json body = whole;
+      Json body = valid;
       body[name] = each;
-      CHECK(refused(body.dump()));
+      CHECK(isRejected(body.dump()));
     }
   }
   for (const char* state : { "resting", "READY", "ready ", "Draining" }) {
-    Json body = whole;
+    Json body = valid;
     body["state"] = state;
-    CHECK(refused(body.dump()));
+    CHECK(isRejected(body.dump()));
   }
-  Json body = whole;
+  Json body = valid;
   body["slots"] = 0;
-  CHECK(refused(body.dump()));
+  CHECK(isRejected(body.dump()));
   for (const char* text : { "",
                             "null",
                             "[]",
@@ -118,15 +117,15 @@
                             "{\"service\":",
                             "\xff\xfe\x00",
                             "{\"service\":\"\xc3\x28\"}" }) {
-    CHECK(refused(text));
+    CHECK(isRejected(text));
   }
-  CHECK(refused(std::string(100'000, '[')));
+  CHECK(isRejected(std::string(100'000, '[')));
   CHECK_FALSE(platform::ParseNotice(
     Request("DELETE", "/instances/i-7f", R"({"born":-4})")));
   CHECK_FALSE(platform::ParseNotice(Request("DELETE", "/instances/")));
 }
 
-TEST_CASE("damaged reports are refused or read, and end nothing")
+TEST_CASE("mutated reports are rejected or parsed within limits")
 {
   Random random{ 23 };
   for (int i = 0; i < 50'000; ++i) {
