--- a/tests/platform/heartbeat.cpp
+++ b/tests/platform/heartbeat.cpp
@@ -125,7 +125,7 @@
   CHECK_FALSE(platform::ParseNotice(Request("DELETE", "/instances/")));
 }
 
-TEST_CASE("mutated reports are rejected or parsed within limits")
+TEST_CASE("damaged reports are rejected or parsed within limits")
 {
   Random random{ 23 };
   for (int i = 0; i < 50'000; ++i) {
