--- a/include/greengagehub/observe/line_budget.hpp
+++ b/include/greengagehub/observe/line_budget.hpp
@@ -8,11 +8,13 @@
 
 namespace greengagehub {
 
-/// \brief Lines that may be logged: a rate, and a burst beyond it. What does
-/// not fit is counted.
+/// \brief Token bucket that limits the rate of log lines and counts suppressed
+/// ones.
 class LineBudget
 {
 public:
+  /// \param aPerSecond lines per second.
+  /// \param aBurst lines that may be written at once.
   LineBudget(double aPerSecond, double aBurst) noexcept
     : m_perSecond(aPerSecond)
     , m_burst(aBurst)
@@ -20,35 +22,36 @@
   {
   }
 
+  /// \returns Whether a line may be written now.
   [[nodiscard]] bool Take(TimePoint aNow) noexcept
   {
-    if (m_since != TimePoint{}) {
-      const std::chrono::duration<double> age = aNow - m_since;
-      m_tokens = std::min(m_burst, m_tokens + age.count() * m_perSecond);
+    if (m_lastRefill != TimePoint{}) {
+      const std::chrono::duration<double> elapsed = aNow - m_lastRefill;
+      m_tokens = std::min(m_burst, m_tokens + elapsed.count() * m_perSecond);
     }
-    m_since = aNow;
+    m_lastRefill = aNow;
     if (m_tokens < 1.0) {
-      ++m_left;
+      ++m_suppressed;
       return false;
     }
     m_tokens -= 1.0;
     return true;
   }
 
-  /// \returns Lines left out since the last call.
+  /// \returns Number of lines suppressed since the last call.
   [[nodiscard]] std::uint64_t TakeLeftOut() noexcept
   {
-    const std::uint64_t left = m_left;
-    m_left = 0;
-    return left;
+    const std::uint64_t count = m_suppressed;
+    m_suppressed = 0;
+    return count;
   }
 
 private:
   double m_perSecond;
   double m_burst;
   double m_tokens;
-  TimePoint m_since{};
-  std::uint64_t m_left{ 0 };
+  TimePoint m_lastRefill{};
+  std::uint64_t m_suppressed{ 0 };
 };
 
 }
--- a/include/greengagehub/observe/log.hpp
+++ b/include/greengagehub/observe/log.hpp
@@ -34,7 +34,7 @@
   Value m_value;
 };
 
-/// \brief JSON lines on standard output: level, component, event, fields.
+/// \brief Logger that writes JSON lines to standard output.
 ///
 /// \code
 /// log.Info("config", "version_in_force", { { "version", version } });
@@ -46,9 +46,10 @@
       std::map<std::string, LogLevel, std::less<>> aComponents,
       std::string aSlot);
 
-  /// \brief Writes what waits, as far as the reader takes it.
+  /// \brief Writes buffered lines as far as possible without blocking.
   void Flush() const { m_sink->Flush(); }
-  /// \brief Other levels from now on.
+  /// \brief Replaces the levels.
+  /// \param aComponents levels of components that differ from `aLevel`.
   void SetLevels(LogLevel aLevel,
                  std::map<std::string, LogLevel, std::less<>> aComponents);
   [[nodiscard]] bool Enabled(LogLevel aLevel,
@@ -90,7 +91,7 @@
   std::string m_slot;
 };
 
-/// \returns One line as it would be written, without its end.
+/// \returns One log line, without the line feed.
 [[nodiscard]] std::string
 FormatLogLine(WallTime aAt,
               LogLevel aLevel,
--- a/include/greengagehub/observe/log_sink.hpp
+++ b/include/greengagehub/observe/log_sink.hpp
@@ -6,38 +6,45 @@
 
 namespace greengagehub {
 
-/// \brief Lines on their way to a descriptor, without ever waiting for it.
+/// \brief Writes lines to a file descriptor without blocking.
 ///
-/// A reader of standard output that stalls must not stall calls, nor fill
-/// memory: the buffer is bounded, and once it is full lines are left out and
-/// counted. A line that tells how many follows as soon as there is room.
+/// A stalled reader of standard output must neither block calls nor exhaust
+/// memory. The buffer is bounded: while it is full, lines are dropped and
+/// counted. The count is logged as soon as there is room again.
 class LogSink
 {
 public:
-  /// A minute of a quiet daemon's lines, or some seconds of a busy one's.
-  static constexpr std::size_t kMaxBytes = 256UL * 1024;
+  static constexpr std::size_t kMaxBufferBytes = 256UL * 1024;
 
-  explicit LogSink(int aDescriptor, std::size_t aMaxBytes = kMaxBytes) noexcept
+  explicit LogSink(int aDescriptor,
+                   std::size_t aMaxBytes = kMaxBufferBytes) noexcept
     : m_descriptor(aDescriptor)
     , m_maxBytes(aMaxBytes)
   {
   }
 
-  /// \returns Lines left out so far.
-  [[nodiscard]] std::uint64_t Dropped() const noexcept { return m_dropped; }
-  [[nodiscard]] std::size_t Waiting() const noexcept { return m_buffer.size(); }
+  /// \returns Number of lines dropped so far.
+  [[nodiscard]] std::uint64_t DroppedLines() const noexcept
+  {
+    return m_droppedLines;
+  }
+  [[nodiscard]] std::size_t BufferedBytes() const noexcept
+  {
+    return m_buffer.size();
+  }
 
-  /// \param aLine without its end.
+  /// \param aLine without the line feed.
   void Append(const std::string& aLine);
-  /// \brief Writes what the reader takes now.
+  /// \brief Writes as much as the descriptor accepts without blocking.
   void Flush();
 
 private:
   int m_descriptor;
   std::size_t m_maxBytes;
   std::string m_buffer;
-  std::uint64_t m_dropped{ 0 };
-  std::uint64_t m_untold{ 0 };
+  std::uint64_t m_droppedLines{ 0 };
+  /// Dropped lines whose number has not been logged yet.
+  std::uint64_t m_unreportedDrops{ 0 };
 };
 
 }
--- a/include/greengagehub/observe/metrics.hpp
+++ b/include/greengagehub/observe/metrics.hpp
@@ -7,10 +7,9 @@
 
 namespace greengagehub {
 
-/// \brief Counters and gauges of a daemon, in the Prometheus text format.
+/// \brief Metrics of a daemon, exposed in the Prometheus text format.
 ///
-/// Names and meanings are listed in docs/OPERATIONS.md; all start with
-/// `greengagehub_`.
+/// All names start with `greengagehub_`; docs/OPERATIONS.md lists them.
 class Metrics
 {
 public:
@@ -19,22 +18,26 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  /// \brief A call from a caller got its final answer.
+  /// \brief Counts a final answer to a caller.
   void CountCall(std::string_view aOutcome, std::string_view aReason);
-  /// \brief An attempt at the own worker ended or was refused.
+  /// \brief Counts an attempt at the local worker that ended or was refused.
   void CountRun(std::string_view aResult);
-  /// \brief The own worker's process ended.
+  /// \brief Counts a crash of the local worker.
   void CountWorkerEnd();
-  /// \brief A report about a backend server was not taken.
+  /// \brief Counts a rejected report about a backend server.
   void CountRefusedReport(std::string_view aReason);
-  /// \brief Sets a counter to a total that is kept elsewhere.
+  /// \brief Sets the total of control traffic, in bytes since start.
   void SetBytes(std::string_view aPurpose,
                 std::string_view aDirection,
                 std::uint64_t aTotal);
+  /// \brief Sets the total of requests to the store since start.
   void SetStoreCalls(std::string_view aKind, std::uint64_t aTotal);
+  /// \param aName without the prefix `greengagehub_`.
   void SetGauge(std::string_view aName, std::string_view aHelp, double aValue);
+  /// \brief Records the time from a caller's request to its answer.
   void ObserveLatency(double aSeconds);
 
+  /// \returns All metrics in the text format.
   [[nodiscard]] std::string Expose() const;
 
 private:
--- a/include/greengagehub/observe/observe.hpp
+++ b/include/greengagehub/observe/observe.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 /// \file
-/// \brief Everything of the observe library: logs, metrics, spans.
+/// \brief Includes logs, metrics and spans of the observe library.
 
 #include "greengagehub/observe/log.hpp"
 #include "greengagehub/observe/metrics.hpp"
--- a/include/greengagehub/observe/request_trace.hpp
+++ b/include/greengagehub/observe/request_trace.hpp
@@ -6,30 +6,31 @@
 
 namespace greengagehub {
 
-/// \brief One line of a log that concerns a request.
+/// \brief A log line about a request.
 struct TracedLine
 {
-  /// As the writer's time of day had it.
+  /// Time that orders the line among those of other processes.
   std::string m_time;
   std::string m_slot;
   std::string m_event;
+  /// The full line.
   std::string m_text;
 };
 
-/// \brief What logs of several processes say of one request.
+/// \brief Log lines of several processes about one request.
 struct RequestTrace
 {
-  /// In order: each process's lines as it wrote them, processes by time of day.
+  /// Merged by time; lines of one process stay in the order of writing.
   std::vector<TracedLine> m_lines;
-  /// The line that ended it, if any: the last `request_finished`.
-  std::string m_end;
+  /// The last `request_finished` line; empty if there is none.
+  std::string m_finishedLine;
 };
 
-/// \brief Collects the lines of one request out of logs, one text for each
-/// process.
+/// \brief Collects the lines about one request from the logs of processes.
 ///
-/// A process whose time of day stepped back in between keeps the order in which
-/// it wrote; others are merged beside it by the time that they had.
+/// If the clock of a process stepped back, its later lines count as written at
+/// its latest time before.
+/// \param aLogs the log text of each process.
 [[nodiscard]] RequestTrace
 TraceRequest(std::string_view aId, const std::vector<std::string>& aLogs);
 
--- a/include/greengagehub/observe/span.hpp
+++ b/include/greengagehub/observe/span.hpp
@@ -11,7 +11,7 @@
 
 namespace greengagehub {
 
-/// \brief Identity of one hop of a call, as W3C Trace Context carries it.
+/// \brief Identifies one hop of a call, as defined by W3C Trace Context.
 struct TraceContext
 {
   std::array<std::uint64_t, 2> m_trace{};
@@ -20,23 +20,25 @@
 };
 
 /// \param aHeader value of a `traceparent` header.
-/// \returns Nothing for a value that the standard tells to ignore.
+/// \returns The context, or nothing if the value is invalid.
 [[nodiscard]] std::optional<TraceContext>
 ParseTraceparent(std::string_view aHeader);
 
-/// \returns The header value that names this span as the parent.
+/// \returns The `traceparent` value that names this span as the parent.
 [[nodiscard]] std::string
 FormatTraceparent(const TraceContext& aContext);
 
-/// \returns A child of the parent, or a new trace without one.
+/// \returns A child of the parent, or the root of a new trace without one.
+/// \param aSample whether a new trace is sampled; a child inherits the flag.
 [[nodiscard]] TraceContext
 NewSpan(const std::optional<TraceContext>& aParent,
         bool aSample,
         Random& aRandom);
 
-/// \brief One finished hop.
+/// \brief A finished hop of a call.
 struct Span
 {
+  /// Values of the OTLP enum SpanKind.
   enum class Kind : std::uint8_t
   {
     Server = 2,
@@ -44,6 +46,7 @@
   };
 
   TraceContext m_context;
+  /// 0: a root span.
   std::uint64_t m_parent{ 0 };
   Kind m_kind{ Kind::Server };
   std::string m_name;
--- a/src/cli/common.cpp
+++ b/src/cli/common.cpp
@@ -6,7 +6,9 @@
 namespace greengagehub::cli {
 
 HttpClientRequest
-Request(const Options& aOptions, std::string aMethod, const std::string& aPath)
+MakeRequest(const Options& aOptions,
+            std::string aMethod,
+            const std::string& aPath)
 {
   HttpClientRequest request;
   request.m_method = std::move(aMethod);
@@ -24,17 +26,18 @@
 {
   std::string out;
   for (const char each : aText) {
-    const bool plain =
+    const bool isUnreserved =
       (each >= 'a' && each <= 'z') || (each >= 'A' && each <= 'Z') ||
       (each >= '0' && each <= '9') || each == '-' || each == '.' || each == '_';
-    out += plain ? std::string{ each }
-                 : fmt::format("%{:02X}", static_cast<unsigned char>(each));
+    out += isUnreserved
+             ? std::string{ each }
+             : fmt::format("%{:02X}", static_cast<unsigned char>(each));
   }
   return out;
 }
 
 int
-TellUnreachable(const Options& aOptions, const HttpClientResult& aResult)
+ReportUnreachable(const Options& aOptions, const HttpClientResult& aResult)
 {
   fmt::print(stderr, "{}: {}\n", aOptions.m_daemon, aResult.m_detail);
   return aResult.m_kind == HttpClientResult::Kind::NotSent ? Unreachable
@@ -44,9 +47,10 @@
 std::optional<Json>
 GetJson(const Options& aOptions, const std::string& aPath)
 {
-  const HttpClientResult result = SendAndWait(Request(aOptions, "GET", aPath));
+  const HttpClientResult result =
+    SendAndWait(MakeRequest(aOptions, "GET", aPath));
   if (result.m_kind != HttpClientResult::Kind::Answered) {
-    TellUnreachable(aOptions, result);
+    ReportUnreachable(aOptions, result);
     return std::nullopt;
   }
   Json body = Json::parse(result.m_response.m_body, nullptr, false);
--- a/src/cli/common.hpp
+++ b/src/cli/common.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-// What all commands of the operators' command line share.
+// Options, exit codes and requests shared by the operators' commands.
 
 namespace greengagehub::cli {
 
@@ -27,30 +27,40 @@
 struct Options
 {
   std::string m_command;
+  /// First positional argument of the command.
   std::string m_argument;
+  /// Remaining positional arguments.
   std::vector<std::string> m_files;
   std::string m_daemon;
   std::string m_token;
+  /// Id of the patch.
   std::string m_id;
   std::string m_author;
+  /// Version that the patch is based on.
   std::optional<std::uint64_t> m_base;
+  /// Version to wait for.
   std::optional<std::uint64_t> m_wait;
   std::chrono::seconds m_timeout{ 10 };
   bool m_rebase{ false };
   bool m_json{ false };
 };
 
+/// \returns A request to the daemon with the operators' token.
 [[nodiscard]] HttpClientRequest
-Request(const Options& aOptions, std::string aMethod, const std::string& aPath);
+MakeRequest(const Options& aOptions,
+            std::string aMethod,
+            const std::string& aPath);
 
 [[nodiscard]] std::string
 PercentEncoded(std::string_view aText);
 
-/// \returns The exit code for a daemon that gave no answer.
+/// \brief Prints why a daemon gave no answer.
+/// \returns The exit code.
 int
-TellUnreachable(const Options& aOptions, const HttpClientResult& aResult);
+ReportUnreachable(const Options& aOptions, const HttpClientResult& aResult);
 
-/// \returns Nothing if there is no answer; that has been told then.
+/// \returns The body of a GET, or nothing if it failed; a connection error is
+/// printed.
 [[nodiscard]] std::optional<Json>
 GetJson(const Options& aOptions, const std::string& aPath);
 
--- a/src/cli/quarantine.hpp
+++ b/src/cli/quarantine.hpp
@@ -4,12 +4,12 @@
 
 namespace greengagehub::cli {
 
-/// \brief Shows the requests that are held, with their witnesses.
+/// \brief Prints the quarantined fingerprints and the workers they crashed.
 [[nodiscard]] int
-ShowHeld(const Options& aOptions);
+ShowQuarantine(const Options& aOptions);
 
-/// \brief Lets the content that is the command's argument run again.
+/// \brief Lifts the quarantine of the fingerprint given as the argument.
 [[nodiscard]] int
-Lift(const Options& aOptions);
+LiftQuarantine(const Options& aOptions);
 
 }
--- a/src/cli/rollout.cpp
+++ b/src/cli/rollout.cpp
@@ -22,7 +22,7 @@
 }
 
 void
-PrintGrounds(const Json& aRollout)
+PrintEvidence(const Json& aRollout)
 {
   fmt::print("  share of calls: {} in 1000, on {} workers (0: all)\n",
              aRollout.value("permille", 0),
@@ -34,9 +34,10 @@
              aRollout.value("harmed_expected", 0));
 }
 
-/// \param aService empty: all.
+/// \param aService empty: all services.
+/// \param aExplain whether to print the evidence for the state.
 int
-Show(const Options& aOptions, const std::string& aService, bool aExplains)
+Show(const Options& aOptions, const std::string& aService, bool aExplain)
 {
   const auto answer = GetJson(aOptions, "/v1/rollouts");
   if (!answer) {
@@ -53,8 +54,8 @@
     }
     ++shown;
     PrintRollout(each);
-    if (aExplains) {
-      PrintGrounds(each);
+    if (aExplain) {
+      PrintEvidence(each);
     }
   }
   fmt::print("{} known\n", shown);
@@ -62,12 +63,13 @@
 }
 
 int
-Change(const Options& aOptions, const std::string& aPath)
+PostChange(const Options& aOptions, const std::string& aPath)
 {
   constexpr int kAccepted = 202;
-  const HttpClientResult result = SendAndWait(Request(aOptions, "POST", aPath));
+  const HttpClientResult result =
+    SendAndWait(MakeRequest(aOptions, "POST", aPath));
   if (result.m_kind != HttpClientResult::Kind::Answered) {
-    return TellUnreachable(aOptions, result);
+    return ReportUnreachable(aOptions, result);
   }
   fmt::print("{}\n", result.m_response.m_body);
   return result.m_response.m_status == kAccepted ? Done : Refused;
@@ -88,11 +90,11 @@
     return Show(aOptions, service, true);
   }
   if (verb == "stop" && words.size() == 1) {
-    return Change(aOptions,
-                  "/v1/rollouts/stop?service=" + PercentEncoded(service));
+    return PostChange(aOptions,
+                      "/v1/rollouts/stop?service=" + PercentEncoded(service));
   }
   if (verb == "start" && words.size() == 2) {
-    return Change(
+    return PostChange(
       aOptions,
       fmt::format("/v1/rollouts/start?service={}&target={}&duration_ms={}",
                   PercentEncoded(service),
--- a/src/cli/rollout.hpp
+++ b/src/cli/rollout.hpp
@@ -4,8 +4,8 @@
 
 namespace greengagehub::cli {
 
-/// \brief Orders, shows, explains or rolls back versions on trial; the
-/// command's argument says which.
+/// \brief Starts, shows, explains or stops roll-outs, as the first argument
+/// says.
 [[nodiscard]] int
 Rollout(const Options& aOptions);
 
--- a/src/greengagehub.cpp
+++ b/src/greengagehub.cpp
@@ -15,7 +15,7 @@
 #include <thread>
 
 /// \file
-/// \brief The operators' command line: patches, decisions, versions, status.
+/// \brief The operators' command-line client.
 
 namespace {
 
@@ -77,15 +77,17 @@
   }
 }
 
-/// Shows the answer of a patch or a question about one.
+/// Prints the response to a submitted patch or to a query about one.
 int
-TellDecision(const Options& aOptions, const HttpClientResult& aResult)
+ReportDecision(const Options& aOptions, const HttpClientResult& aResult)
 {
   if (aResult.m_kind != HttpClientResult::Kind::Answered) {
     if (!aOptions.m_id.empty()) {
-      fmt::print(stderr, "ask again about patch id {}\n", aOptions.m_id);
+      fmt::print(stderr,
+                 "use patch id {} to look up the decision or to submit again\n",
+                 aOptions.m_id);
     }
-    return TellUnreachable(aOptions, aResult);
+    return ReportUnreachable(aOptions, aResult);
   }
   const auto& response = aResult.m_response;
   const Json body = Json::parse(response.m_body, nullptr, false);
@@ -108,8 +110,8 @@
 // ---------------------------------------------------------------------------
 // Commands
 
-/// Shows what was accepted since the patch's own base, before it is handed in
-/// again against the head.
+/// Prints the changes accepted since the patch's base.
+/// \returns The newest version as the new base, or nothing if it is unknown.
 std::optional<std::uint64_t>
 Rebase(const Options& aOptions)
 {
@@ -142,7 +144,7 @@
 {
   std::ifstream file{ aOptions.m_argument };
   if (!file) {
-    fmt::print(stderr, "{}: cannot be read\n", aOptions.m_argument);
+    fmt::print(stderr, "{}: cannot open file\n", aOptions.m_argument);
     return WrongUse;
   }
   std::ostringstream patch;
@@ -158,18 +160,18 @@
     aOptions.m_id = RandomId();
   }
   HttpClientRequest request =
-    Request(aOptions,
-            "POST",
-            fmt::format("/v1/patches?id={}&base={}&author={}",
-                        PercentEncoded(aOptions.m_id),
-                        *base,
-                        PercentEncoded(aOptions.m_author)));
+    MakeRequest(aOptions,
+                "POST",
+                fmt::format("/v1/patches?id={}&base={}&author={}",
+                            PercentEncoded(aOptions.m_id),
+                            *base,
+                            PercentEncoded(aOptions.m_author)));
   request.m_body = patch.str();
-  return TellDecision(aOptions, SendAndWait(std::move(request)));
+  return ReportDecision(aOptions, SendAndWait(std::move(request)));
 }
 
 int
-WaitFor(const Options& aOptions, std::uint64_t aVersion)
+WaitForVersion(const Options& aOptions, std::uint64_t aVersion)
 {
   const auto until = std::chrono::steady_clock::now() + aOptions.m_timeout;
   constexpr auto kPause = std::chrono::milliseconds{ 100 };
@@ -195,7 +197,7 @@
 ShowVersion(const Options& aOptions)
 {
   if (aOptions.m_wait) {
-    return WaitFor(aOptions, *aOptions.m_wait);
+    return WaitForVersion(aOptions, *aOptions.m_wait);
   }
   const auto now = GetJson(aOptions, "/v1/version");
   if (!now) {
@@ -213,9 +215,9 @@
 Explain(Options aOptions)
 {
   aOptions.m_id = aOptions.m_argument;
-  return TellDecision(
+  return ReportDecision(
     aOptions,
-    SendAndWait(Request(
+    SendAndWait(MakeRequest(
       aOptions, "GET", "/v1/patches/" + PercentEncoded(aOptions.m_argument))));
 }
 
@@ -234,9 +236,9 @@
 Drain(const Options& aOptions)
 {
   const HttpClientResult result =
-    SendAndWait(Request(aOptions, "POST", "/v1/drain"));
+    SendAndWait(MakeRequest(aOptions, "POST", "/v1/drain"));
   if (result.m_kind != HttpClientResult::Kind::Answered) {
-    return TellUnreachable(aOptions, result);
+    return ReportUnreachable(aOptions, result);
   }
   fmt::print("{}\n", result.m_response.m_body);
   return result.m_response.m_status == 202 ? Done : WrongUse;
@@ -263,7 +265,7 @@
   for (const std::string& each : aOptions.m_files) {
     std::ifstream file{ each };
     if (!file) {
-      fmt::print(stderr, "{}: cannot be read\n", each);
+      fmt::print(stderr, "{}: cannot open file\n", each);
       return WrongUse;
     }
     std::ostringstream text;
@@ -275,11 +277,12 @@
     fmt::print("{}\n", each.m_text);
   }
   if (trace.m_lines.empty()) {
-    fmt::print(stderr, "nothing is logged about {}\n", aOptions.m_argument);
+    fmt::print(stderr, "no log lines about request {}\n", aOptions.m_argument);
     return Refused;
   }
   fmt::print("ended by: {}\n",
-             trace.m_end.empty() ? "nothing that is logged" : trace.m_end);
+             trace.m_finishedLine.empty() ? "nothing that is logged"
+                                          : trace.m_finishedLine);
   return Done;
 }
 
@@ -291,7 +294,7 @@
                              command == "check-settings" ||
                              command == "trace" || command == "lift";
   if (needsArgument && aOptions.m_argument.empty()) {
-    fmt::print(stderr, "{} needs an argument; see --help\n", command);
+    fmt::print(stderr, "{}: missing argument; see --help\n", command);
     return WrongUse;
   }
   if (command == "check-settings") {
@@ -302,7 +305,7 @@
   }
   if (aOptions.m_daemon.empty()) {
     fmt::print(stderr,
-               "--daemon URL or GREENGAGEHUB_DAEMON is needed; see --help\n");
+               "--daemon URL or GREENGAGEHUB_DAEMON is required; see --help\n");
     return WrongUse;
   }
   if (command == "submit") {
@@ -318,10 +321,10 @@
     return Status(aOptions);
   }
   if (command == "held") {
-    return ShowHeld(aOptions);
+    return ShowQuarantine(aOptions);
   }
   if (command == "lift") {
-    return Lift(aOptions);
+    return LiftQuarantine(aOptions);
   }
   if (command == "rollout") {
     return Rollout(aOptions);
--- a/src/greengagehubd.cpp
+++ b/src/greengagehubd.cpp
@@ -8,25 +8,24 @@
 #include <malloc.h>
 
 /// \file
-/// \brief The daemon beside each backend server.
+/// \brief The daemon that runs beside each backend server.
 
 namespace {
 
 constexpr int kBadSettings = 2;
 constexpr const char* kVersion = "0.1.0";
 
-/// Larger blocks are mapped by themselves and given back when they are freed:
-/// bodies of some hundred kilobytes otherwise leave holes in the heap that stay
-/// resident.
-constexpr int kMappedFromBytes = 64 * 1024;
-/// Free memory at the end of the heap beyond this is given back.
-constexpr int kKeptFreeBytes = 256 * 1024;
+/// Blocks from this size on are mapped one by one and returned to the system
+/// when freed. Large bodies would otherwise fragment the heap.
+constexpr int kMmapThresholdBytes = 64 * 1024;
+/// Free memory at the end of the heap beyond this is returned to the system.
+constexpr int kTrimThresholdBytes = 256 * 1024;
 
 void
 LimitIdleMemory()
 {
-  mallopt(M_MMAP_THRESHOLD, kMappedFromBytes);
-  mallopt(M_TRIM_THRESHOLD, kKeptFreeBytes);
+  mallopt(M_MMAP_THRESHOLD, kMmapThresholdBytes);
+  mallopt(M_TRIM_THRESHOLD, kTrimThresholdBytes);
 }
 
 int
@@ -42,9 +41,9 @@
   greengagehub::Daemon daemon{ std::move(settings.value()), aFile };
   const int code = daemon.Run();
   std::fflush(nullptr);
-  // Without destructors: the messaging library's threads take seconds to end
-  // while peers cannot be reached, past the time until the process is killed,
-  // and callers' connections would stay open with nobody behind them.
+  // Skips destructors: while peers are unreachable, the messaging library's
+  // threads take seconds to end, during which callers' connections would stay
+  // open without being served.
   std::_Exit(code);
 }
 
@@ -73,7 +72,7 @@
       return 0;
     }
     if (given.count("settings") == 0) {
-      fmt::print(stderr, "--settings FILE is needed; see --help\n");
+      fmt::print(stderr, "--settings FILE is required; see --help\n");
       return kBadSettings;
     }
     return RunWith(given["settings"].as<std::string>());
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// Upper bounds, in seconds.
 const prometheus::Histogram::BucketBoundaries kLatencyBuckets{
   0.0001, 0.0002, 0.00035, 0.0005, 0.001, 0.002, 0.005,
   0.01,   0.02,   0.05,    0.1,    0.2,   0.5,   1.0
@@ -31,13 +32,13 @@
       .Name("greengagehub_runs_total")
       .Help("Attempts at the own worker, by what became of them")
       .Register(m_registry);
-  prometheus::Counter& m_workerEnds =
+  prometheus::Counter& m_workerCrashes =
     prometheus::BuildCounter()
       .Name("greengagehub_worker_ends_total")
       .Help("Ends of the own worker's process while it ran requests")
       .Register(m_registry)
       .Add({});
-  prometheus::Family<prometheus::Counter>& m_refusedReports =
+  prometheus::Family<prometheus::Counter>& m_rejectedReports =
     prometheus::BuildCounter()
       .Name("greengagehub_refused_reports_total")
       .Help("Reports about backend servers that were not taken, by reason")
@@ -86,13 +87,13 @@
 void
 Metrics::CountWorkerEnd()
 {
-  m_impl->m_workerEnds.Increment();
+  m_impl->m_workerCrashes.Increment();
 }
 
 void
 Metrics::CountRefusedReport(std::string_view aReason)
 {
-  m_impl->m_refusedReports.Add({ { "reason", std::string{ aReason } } })
+  m_impl->m_rejectedReports.Add({ { "reason", std::string{ aReason } } })
     .Increment();
 }
 
--- a/src/observe/request_trace.cpp
+++ b/src/observe/request_trace.cpp
@@ -11,15 +11,15 @@
 
 using Json = nlohmann::json;
 
-constexpr const char* kEndEvent = "request_finished";
+constexpr const char* kFinishedEvent = "request_finished";
 
-/// \returns The request's lines of one process, in the order of writing.
+/// \returns The lines of one process about the request, in written order.
 std::deque<TracedLine>
-LinesOf(std::string_view aId, const std::string& aLog)
+CollectLines(std::string_view aId, const std::string& aLog)
 {
   std::deque<TracedLine> lines;
   std::istringstream text{ aLog };
-  std::string latest;
+  std::string latestTime;
   for (std::string line; std::getline(text, line);) {
     if (line.find(aId) == std::string::npos) {
       continue;
@@ -28,9 +28,9 @@
     if (!json.is_object() || json.value("request", std::string{}) != aId) {
       continue;
     }
-    // After a step back of the time of day the order of writing counts.
-    latest = std::max(latest, json.value("time", std::string{}));
-    lines.push_back({ latest,
+    // Keeps the written order when the wall clock stepped back.
+    latestTime = std::max(latestTime, json.value("time", std::string{}));
+    lines.push_back({ latestTime,
                       json.value("slot", std::string{}),
                       json.value("event", std::string{}),
                       line });
@@ -46,22 +46,22 @@
   std::vector<std::deque<TracedLine>> processes;
   processes.reserve(aLogs.size());
   for (const std::string& each : aLogs) {
-    processes.push_back(LinesOf(aId, each));
+    processes.push_back(CollectLines(aId, each));
   }
   RequestTrace trace;
   while (true) {
     std::deque<TracedLine>* next = nullptr;
     for (auto& each : processes) {
-      const bool earlier =
+      const bool isEarlier =
         !each.empty() &&
         (next == nullptr || each.front().m_time < next->front().m_time);
-      next = earlier ? &each : next;
+      next = isEarlier ? &each : next;
     }
     if (next == nullptr) {
       return trace;
     }
-    if (next->front().m_event == kEndEvent) {
-      trace.m_end = next->front().m_text;
+    if (next->front().m_event == kFinishedEvent) {
+      trace.m_finishedLine = next->front().m_text;
     }
     trace.m_lines.push_back(std::move(next->front()));
     next->pop_front();
--- a/src/observe/span.cpp
+++ b/src/observe/span.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kTraceparentSize = 55;
 
 std::optional<std::uint64_t>
-Hex64(std::string_view aText)
+ParseHex64(std::string_view aText)
 {
   std::uint64_t value = 0;
   const char* end = aText.data() + aText.size();
@@ -33,16 +33,16 @@
 std::optional<TraceContext>
 ParseTraceparent(std::string_view aHeader)
 {
-  const bool shape = aHeader.size() == kTraceparentSize &&
-                     aHeader.starts_with("00-") && aHeader[35] == '-' &&
-                     aHeader[52] == '-';
-  if (!shape) {
+  const bool hasValidFormat = aHeader.size() == kTraceparentSize &&
+                              aHeader.starts_with("00-") &&
+                              aHeader[35] == '-' && aHeader[52] == '-';
+  if (!hasValidFormat) {
     return std::nullopt;
   }
-  const auto high = Hex64(aHeader.substr(3, 16));
-  const auto low = Hex64(aHeader.substr(19, 16));
-  const auto span = Hex64(aHeader.substr(36, 16));
-  const auto flags = Hex64(aHeader.substr(53, 2));
+  const auto high = ParseHex64(aHeader.substr(3, 16));
+  const auto low = ParseHex64(aHeader.substr(19, 16));
+  const auto span = ParseHex64(aHeader.substr(36, 16));
+  const auto flags = ParseHex64(aHeader.substr(53, 2));
   const bool valid =
     high && low && span && flags && *span != 0 && (*high != 0 || *low != 0);
   if (!valid) {
--- a/tests/observe/log_sink.cpp
+++ b/tests/observe/log_sink.cpp
@@ -9,11 +9,11 @@
 using namespace greengagehub;
 using namespace std::chrono_literals;
 
-TEST_CASE("a reader of the log that stalls costs lines, not calls or memory")
+TEST_CASE(
+  "a stalled log reader makes the sink drop lines and report their number")
 {
-  // Whoever collects standard output hangs. A plain write would block the loop
-  // with every call on it once the pipe is full, and an unbounded buffer would
-  // end the process when memory runs out.
+  // Guards against writes that block the event loop and a buffer that grows
+  // without bound when nothing reads standard output.
   std::array<int, 2> ends{};
   REQUIRE(pipe(ends.data()) == 0);
   LogSink sink{ ends[1], 10'000 };
@@ -22,14 +22,14 @@
     sink.Append(line);
     sink.Flush();
   }
-  CHECK(sink.Waiting() <= 10'000);
-  CHECK(sink.Dropped() > 3000);
+  CHECK(sink.BufferedBytes() <= 10'000);
+  CHECK(sink.DroppedLines() > 3000);
 
-  // The reader wakes up: what waited comes, and then how much is missing.
+  // The reader resumes: buffered lines arrive, then the number of dropped ones.
   std::string received;
   std::array<char, 4096> buffer{};
   const auto drain = [&] {
-    while (sink.Waiting() > 0) {
+    while (sink.BufferedBytes() > 0) {
       received.append(
         buffer.data(),
         static_cast<std::size_t>(read(ends[0], buffer.data(), buffer.size())));
@@ -37,8 +37,8 @@
     }
   };
   drain();
-  const std::string told =
-    "\"lines_dropped\",\"count\":" + std::to_string(sink.Dropped());
+  const std::string report =
+    "\"lines_dropped\",\"count\":" + std::to_string(sink.DroppedLines());
   sink.Append(line);
   drain();
   close(ends[1]);
@@ -47,11 +47,11 @@
     received.append(buffer.data(), static_cast<std::size_t>(size));
   }
   close(ends[0]);
-  CHECK(received.find(told) != std::string::npos);
+  CHECK(received.find(report) != std::string::npos);
   CHECK(received.starts_with(line + "\n"));
 }
 
-TEST_CASE("lines have a rate and a burst")
+TEST_CASE("the rate of lines is limited beyond a burst")
 {
   LineBudget budget{ 10.0, 5.0 };
   const TimePoint start{ 1h };
--- a/tests/observe/observe.cpp
+++ b/tests/observe/observe.cpp
@@ -5,7 +5,7 @@
 
 using namespace greengagehub;
 
-TEST_CASE("a log line is JSON, whatever its texts hold")
+TEST_CASE("a log line is valid JSON for any text in its fields")
 {
   const std::string line =
     FormatLogLine(WallTime{},
@@ -21,14 +21,14 @@
   CHECK(json["slot"] == "slot \"1\"");
 }
 
-TEST_CASE("a component's own level goes before the general one")
+TEST_CASE("a component's level overrides the general level")
 {
   const Log log{ LogLevel::Warning, { { "calls", LogLevel::Debug } }, "a" };
   CHECK(log.Enabled(LogLevel::Debug, "calls"));
   CHECK_FALSE(log.Enabled(LogLevel::Info, "store"));
 }
 
-TEST_CASE("a traceparent comes back as it was, and nonsense is ignored")
+TEST_CASE("traceparent round trip, and invalid values")
 {
   const std::string header =
     "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
@@ -40,7 +40,7 @@
     "00-00000000000000000000000000000000-b7ad6b7169203331-01"));
 }
 
-TEST_CASE("a hop is a child of the caller's span")
+TEST_CASE("a child span inherits trace and sampling from its parent")
 {
   Random random{ 1 };
   const TraceContext parent = NewSpan(std::nullopt, true, random);
@@ -56,7 +56,7 @@
     "parentSpanId"));
 }
 
-TEST_CASE("metrics are exposed by name")
+TEST_CASE("metrics are exposed with the project's prefix")
 {
   Metrics metrics;
   metrics.CountCall("answered", "none");
--- a/tests/observe/request_trace.cpp
+++ b/tests/observe/request_trace.cpp
@@ -21,10 +21,10 @@
 
 }
 
-TEST_CASE("a request's lines come together over processes and steps of time")
+TEST_CASE(
+  "a request's lines of several processes are merged despite a clock step")
 {
-  // A release fails; its caller has only the id. The worker's daemon refused
-  // it, and the time of day stepped back there in between.
+  // Guards against a wrong order of lines when the worker's clock steps back.
   const std::string caller =
     Line("10:00:00.100", "a", "request_placed", "r1") +
     Line("10:00:00.200", "a", "request_finished", "r1") +
@@ -37,6 +37,6 @@
   CHECK(trace.m_lines[1].m_event == "run_refused");
   CHECK(trace.m_lines[2].m_event == "run_lost");
   CHECK(trace.m_lines[3].m_event == "request_finished");
-  CHECK(trace.m_end == trace.m_lines[3].m_text);
+  CHECK(trace.m_finishedLine == trace.m_lines[3].m_text);
   CHECK(TraceRequest("r9", { caller, worker }).m_lines.empty());
 }
