--- a/examples/decide_a_patch.cpp
+++ b/examples/decide_a_patch.cpp
@@ -3,8 +3,8 @@
 #include <fmt/format.h>
 
 /// \file
-/// \brief The decision library on its own: two operators patch the same
-/// version; one is accepted, the other hears why not.
+/// \brief Uses the decision library alone: of two patches against the same
+/// version, one is accepted and the other rejected with a reason.
 
 int
 main()
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -6,27 +6,25 @@
 
 #include <algorithm>
 
-// Figures and small rules of the dispatcher.
+// Constants and helper functions of the dispatcher.
 
 namespace greengagehub {
 
-/// How long past the deadline the worker's daemon may take to say "not run";
-/// then the caller is told that the outcome is unknown.
+/// Time after the deadline in which the worker's daemon may still report that
+/// it did not run the call. After that the outcome is unknown.
 inline constexpr auto kGrace = std::chrono::milliseconds{ 2 };
-/// A worker that refused more than this share of its last attempts, about the
-/// last eight, is not tried after another one's refusal.
+/// A worker that refused a larger share of its recent attempts is not tried
+/// after another worker's refusal.
 inline constexpr double kKnownToRefuse = 0.5;
-/// Where the workers of a service fail more than this share of calls on
-/// average, the cause is one that they share, such as a service they call; with
-/// a tenth or two of them failing by themselves the mean stays below a tenth.
+/// If a service's workers fail a larger share of calls on average, the cause is
+/// treated as common to them, such as a service that all of them call.
 inline constexpr double kCommonFailures = 0.2;
 
-/// Workers that are gone, one after the other, which a call passes by: where
-/// half of them are gone, one call in 64 is refused with others left.
+/// Maximum number of unavailable workers that one call tries.
 inline constexpr std::uint32_t kMaxAbsent = 6;
 
-/// \returns Whether no worker is there that may have the call. That says
-/// nothing of how busy the others are, and costs a message.
+/// \returns Whether the call found no available worker at the daemon it was
+/// sent to, which is no sign of overload.
 inline bool
 IsAbsent(RefusalReason aReason) noexcept
 {
@@ -35,11 +33,11 @@
          aReason == RefusalReason::NotInService;
 }
 
-/// \brief The same worker for a content at every daemon, as long as they know
-/// the same workers (rendezvous hashing, Thaler and Ravishankar, 1998).
+/// \brief Selects the same worker for a fingerprint at every daemon that knows
+/// the same workers (rendezvous hashing).
 ///
-/// Answers the load pattern of many copies of a request that has ended workers:
-/// spread out, they end as many at once as run at the same time.
+/// Concurrent copies of a request that crashes workers then crash one worker
+/// instead of many.
 struct OnePlace
 {
   Fingerprint m_content;
@@ -57,14 +55,13 @@
   }
 };
 
-/// One in so many is the weight of an ask in the mean time that asking takes:
-/// the last eight or so count.
+/// Divisor of a new sample in the moving mean of the time to a busy reply.
 inline constexpr int kAskWeight = 8;
-/// A call that does not ask takes one part in so many off that mean, so that a
-/// busy daemon asks again after a second or so.
+/// Divisor of this mean's decay with each call that is sent without asking for
+/// a busy reply. Without the decay a high mean would never be measured again.
 inline constexpr int kAskForgets = 32;
 
-/// What an answer that is not the worker's own says of the worker.
+/// Rates a worker by an answer that its daemon or the dispatcher gave instead.
 inline WorkerTable::Verdict
 VerdictOf(const CallAnswer& aAnswer)
 {
@@ -89,7 +86,8 @@
   }
 }
 
-/// \returns Whether asking costs little: a policy that knows of domains tells.
+/// \returns Whether the worker is in this daemon's failure domain; false if the
+/// policy does not distinguish domains.
 template<RoutingPolicy Policy>
 bool
 IsNear(const Policy& aPolicy, const WorkerRow& aRow)
--- a/src/daemon/operators_answers.hpp
+++ b/src/daemon/operators_answers.hpp
@@ -7,18 +7,20 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 
-// What answers to operators are made of.
+// Helper functions for responses to operators.
 
 namespace greengagehub {
 
 using Json = nlohmann::json;
 
+/// \returns Compact JSON; invalid UTF-8 is replaced.
 inline std::string
 Dump(const Json& aJson)
 {
   return aJson.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
+/// \returns An error response with a machine-readable code and a description.
 inline HttpResponse
 Problem(std::uint16_t aStatus, std::string_view aCode, std::string_view aDetail)
 {
@@ -32,6 +34,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(aSpan).count();
 }
 
+/// \returns The number, or nothing if the text is not a decimal number.
 inline std::optional<std::uint64_t>
 ParseNumber(std::string_view aText)
 {
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// \returns The quoted names at the begin of the lines of a file, as a filter.
+/// \returns A filter of the quoted names at the start of a file's lines.
 std::string
-NamesIn(const char* aFile)
+ReadFilter(const char* aFile)
 {
   std::string names;
   std::ifstream file{ aFile };
@@ -27,13 +27,13 @@
 
 }
 
-/// Test cases named in the file GREENGAGEHUB_KNOWN_RED are passed over.
+/// Skips the test cases listed in the file named by GREENGAGEHUB_KNOWN_RED.
 int
 main(int aCount, char** aArguments)
 {
   doctest::Context context{ aCount, aArguments };
   if (const char* file = std::getenv("GREENGAGEHUB_KNOWN_RED")) {
-    const std::string names = NamesIn(file);
+    const std::string names = ReadFilter(file);
     if (!names.empty()) {
       context.addFilter("test-case-exclude", names.c_str());
     }
--- a/tests/support/damage.hpp
+++ b/tests/support/damage.hpp
@@ -6,31 +6,31 @@
 
 namespace greengagehub::test {
 
-/// \returns The text with a few bytes changed, doubled, taken out, or replaced
-/// by what parsers stumble over. The same for the same state of the random
-/// source.
+/// \returns The text with a few bytes inserted, erased, duplicated or replaced
+/// by tokens that parsers often mishandle.
 inline std::string
 Damaged(std::string aText, Random& aRandom)
 {
-  static const char* const kOdd[]{
+  static const char* const kTokens[]{
     "null", "-1", "1e999",   "true", "{",
     "]",    "\"", "\\u0000", "\xff", "999999999999999999999999"
   };
-  for (std::uint64_t hits = 1 + Below(aRandom, 4); hits > 0; --hits) {
-    const std::size_t at = Below(aRandom, aText.size() + 1);
+  for (std::uint64_t edits = 1 + Below(aRandom, 4); edits > 0; --edits) {
+    const std::size_t position = Below(aRandom, aText.size() + 1);
     const std::size_t length = Below(aRandom, 8);
     switch (Below(aRandom, 4)) {
       case 0:
-        aText.insert(at, 1, static_cast<char>(aRandom()));
+        aText.insert(position, 1, static_cast<char>(aRandom()));
         break;
       case 1:
-        aText.erase(at, length);
+        aText.erase(position, length);
         break;
       case 2:
-        aText.replace(at, length, kOdd[Below(aRandom, std::size(kOdd))]);
+        aText.replace(
+          position, length, kTokens[Below(aRandom, std::size(kTokens))]);
         break;
       default:
-        aText.insert(at, aText.substr(at / 2, length));
+        aText.insert(position, aText.substr(position / 2, length));
         break;
     }
   }
--- a/tests/support/trace_file.hpp
+++ b/tests/support/trace_file.hpp
@@ -11,10 +11,11 @@
 
 namespace greengagehub::testkit {
 
-/// \brief One line of a recorded trace: a step and its stated outcome.
+/// \brief One line of a recorded trace: a step and its expected outcome.
 struct TraceLine
 {
-  std::string m_where;
+  /// File and line.
+  std::string m_location;
   std::string m_step;
   std::string m_outcome;
 };
@@ -33,7 +34,8 @@
     }
     const std::size_t arrow = line.rfind(" => ");
     if (arrow == std::string::npos) {
-      throw std::runtime_error{ aFile.string() + ": a line has no outcome" };
+      throw std::runtime_error{ aFile.string() + ":" + std::to_string(number) +
+                                ": expected \"STEP => OUTCOME\"" };
     }
     lines.push_back({ aFile.filename().string() + ":" + std::to_string(number),
                       line.substr(0, arrow),
@@ -42,9 +44,9 @@
   return lines;
 }
 
-/// \returns All traces of a directory, in order of their names.
+/// \returns All trace files of a directory, sorted by name.
 [[nodiscard]] inline std::vector<std::filesystem::path>
-TracesIn(const std::string& aDirectory)
+ListTraces(const std::string& aDirectory)
 {
   std::vector<std::filesystem::path> files;
   for (const auto& each : std::filesystem::directory_iterator{ aDirectory }) {
@@ -54,18 +56,19 @@
   return files;
 }
 
-/// \brief Replays each trace of a directory through a fresh Replay, whose
+/// \brief Checks each trace of a directory against a new Replay, whose
 /// Step(text) returns the outcome.
+/// \param aAtLeast minimum number of trace files.
 template<class Replay>
 void
 ReplayAll(const std::string& aDirectory, std::size_t aAtLeast)
 {
-  const auto files = TracesIn(aDirectory);
+  const auto files = ListTraces(aDirectory);
   REQUIRE(files.size() >= aAtLeast);
   for (const auto& file : files) {
     Replay replay;
     for (const TraceLine& line : ReadTrace(file)) {
-      INFO(line.m_where, ": ", line.m_step);
+      INFO(line.m_location, ": ", line.m_step);
       CHECK(replay.Step(line.m_step) == line.m_outcome);
     }
   }
