--- a/include/greengagehub/settings/settings.hpp
+++ b/include/greengagehub/settings/settings.hpp
@@ -114,7 +114,7 @@
   std::uint32_t m_tracePercent{ 0 };
 };
 
-/// \brief The settings of one daemon, read at start.
+/// \brief The settings of one daemon.
 struct Settings
 {
   std::string m_slot{};
