--- a/bench/footprint.cpp
+++ b/bench/footprint.cpp
@@ -11,8 +11,8 @@
 #include <malloc.h>
 
 /// \file
-/// \brief Memory that a daemon's tables take at the target's size, from the
-/// allocator's own accounts.
+/// \brief Prints the memory of a daemon's tables at the planned fleet size, as
+/// the allocator reports it.
 
 namespace {
 
@@ -20,14 +20,14 @@
 using namespace std::chrono_literals;
 
 double
-UsedMb()
+AllocatedMb()
 {
   const auto info = mallinfo2();
   return static_cast<double>(info.uordblks + info.hblkhd) / 1e6;
 }
 
 std::string
-PatchOf(int aServices)
+MakePatch(int aServices)
 {
   std::string services;
   std::string routes;
@@ -48,38 +48,38 @@
 
 template<class Build>
 void
-Measure(const char* aWhat, double aCount, Build aBuild)
+Measure(const char* aName, double aCount, Build aBuild)
 {
-  const double before = UsedMb();
+  const double before = AllocatedMb();
   const auto kept = aBuild();
-  const double used = UsedMb() - before;
+  const double used = AllocatedMb() - before;
   fmt::print(
-    "{:36} {:8.2f} MB {:8.0f} B each\n", aWhat, used, used * 1e6 / aCount);
+    "{:36} {:8.2f} MB {:8.0f} B each\n", aName, used, used * 1e6 / aCount);
   static_cast<void>(kept);
 }
 
 std::unique_ptr<Membership>
-Members(int aCount)
+MakeMembership(int aCount)
 {
   auto membership =
-    std::make_unique<Membership>(Record(0), MembershipSettings{}, 1);
+    std::make_unique<Membership>(MakeMemberRecord(0), MembershipSettings{}, 1);
   std::vector<MemberRecord> records;
   for (int i = 1; i < aCount; ++i) {
-    records.push_back(Record(i));
+    records.push_back(MakeMemberRecord(i));
   }
   static_cast<void>(membership->OnRecords(TimePoint{ 1h }, records));
   return membership;
 }
 
 std::unique_ptr<WorkerTable>
-Workers(int aCount)
+MakeWorkerTable(int aCount)
 {
   auto workers = std::make_unique<WorkerTable>();
   for (int i = 0; i < aCount; ++i) {
     WorkerRow row;
-    row.m_slot = Record(i).m_slot;
-    row.m_service = Record(i).m_service;
-    row.m_domain = Record(i).m_domain;
+    row.m_slot = MakeMemberRecord(i).m_slot;
+    row.m_service = MakeMemberRecord(i).m_service;
+    row.m_domain = MakeMemberRecord(i).m_domain;
     workers->Put(std::move(row));
   }
   return workers;
@@ -92,10 +92,10 @@
 {
   for (const int count : { 1000, 10'000, 38'000 }) {
     Measure(fmt::format("members, {}", count).c_str(), count, [count] {
-      return Members(count);
+      return MakeMembership(count);
     });
     Measure(fmt::format("workers, {}", count).c_str(), count, [count] {
-      return Workers(count);
+      return MakeWorkerTable(count);
     });
   }
   for (const int count : { 1000, 6800 }) {
@@ -103,7 +103,7 @@
     Measure(fmt::format("content, {} services and routes", count).c_str(),
             count,
             [&] {
-              static_cast<void>(content.Apply(PatchOf(count)));
+              static_cast<void>(content.Apply(MakePatch(count)));
               return 0;
             });
     Measure(fmt::format("route table, {}", count).c_str(), count, [&] {
--- a/bench/hot_path.cpp
+++ b/bench/hot_path.cpp
@@ -12,17 +12,17 @@
 #include <fmt/format.h>
 
 /// \file
-/// \brief Costs of single steps, at sizes up to the target's, for the slopes of
-/// docs/CAPACITY.md.
+/// \brief Microbenchmarks of a daemon's operations at sizes up to the planned
+/// fleet size of docs/CAPACITY.md.
 
 namespace {
 
 using namespace greengagehub; // NOLINT: a program in one file
 using namespace std::chrono_literals;
 
-/// Services and routes in equal number, as one patch.
+/// \returns A patch with this number of services and as many routes.
 std::string
-PatchOf(std::int64_t aServices)
+MakePatch(std::int64_t aServices)
 {
   std::string services;
   std::string routes;
@@ -46,7 +46,7 @@
 void
 ApplySnapshot(benchmark::State& aState)
 {
-  const std::string patch = PatchOf(aState.range(0));
+  const std::string patch = MakePatch(aState.range(0));
   for (auto _ : aState) {
     Content content;
     benchmark::DoNotOptimize(content.Apply(patch));
@@ -60,7 +60,7 @@
 ApplyOnePatch(benchmark::State& aState)
 {
   Content base;
-  static_cast<void>(base.Apply(PatchOf(aState.range(0))));
+  static_cast<void>(base.Apply(MakePatch(aState.range(0))));
   const std::string patch =
     R"({"routes":{"route-7":{"path":"/new/path","service":"service-9"}}})";
   for (auto _ : aState) {
@@ -74,7 +74,7 @@
 BuildRouteTable(benchmark::State& aState)
 {
   Content content;
-  static_cast<void>(content.Apply(PatchOf(aState.range(0))));
+  static_cast<void>(content.Apply(MakePatch(aState.range(0))));
   for (auto _ : aState) {
     RouteTable table{ content };
     benchmark::DoNotOptimize(table);
@@ -86,7 +86,7 @@
 FindRoute(benchmark::State& aState)
 {
   Content content;
-  static_cast<void>(content.Apply(PatchOf(aState.range(0))));
+  static_cast<void>(content.Apply(MakePatch(aState.range(0))));
   const RouteTable table{ content };
   for (auto _ : aState) {
     benchmark::DoNotOptimize(table.Find("host", "/service/42/calls/17/x"));
@@ -131,12 +131,12 @@
 BENCHMARK(AdmitAndFinish);
 
 Membership
-MembershipOf(std::int64_t aCount)
+MakeMembership(std::int64_t aCount)
 {
-  Membership membership{ Record(0), {}, 1 };
+  Membership membership{ MakeMemberRecord(0), {}, 1 };
   std::vector<MemberRecord> records;
   for (std::int64_t i = 1; i < aCount; ++i) {
-    records.push_back(Record(i));
+    records.push_back(MakeMemberRecord(i));
   }
   static_cast<void>(membership.OnRecords(TimePoint{ 1h }, records));
   return membership;
@@ -145,12 +145,12 @@
 void
 MembershipPeriod(benchmark::State& aState)
 {
-  Membership membership = MembershipOf(aState.range(0));
+  Membership membership = MakeMembership(aState.range(0));
   TimePoint now{ 1h };
   GossipMessage ping;
-  ping.m_sender = Record(5);
+  ping.m_sender = MakeMemberRecord(5);
   for (auto _ : aState) {
-    // Ten ticks and two messages: what a daemon does in a second at rest.
+    // The work of an idle daemon in a second.
     for (int i = 0; i < 10; ++i) {
       now += 100ms;
       benchmark::DoNotOptimize(membership.OnTick(now));
@@ -165,7 +165,7 @@
 void
 DomainRank(benchmark::State& aState)
 {
-  const Membership membership = MembershipOf(aState.range(0));
+  const Membership membership = MakeMembership(aState.range(0));
   for (auto _ : aState) {
     benchmark::DoNotOptimize(membership.RankInDomain());
   }
@@ -175,7 +175,7 @@
 void
 EncodeMemberTable(benchmark::State& aState)
 {
-  Membership membership = MembershipOf(aState.range(0));
+  Membership membership = MakeMembership(aState.range(0));
   PullAnswer answer;
   answer.m_members = membership.RecordsFor(MemberDigests{});
   std::size_t bytes = 0;
--- a/bench/rollout_lab.hpp
+++ b/bench/rollout_lab.hpp
@@ -10,77 +10,81 @@
 #include <vector>
 
 /// \file
-/// \brief Roll-outs in virtual time: the product's decisions, driven by calls
-/// to simulated workers.
+/// \brief Simulation of roll-outs in virtual time: the real decisions with
+/// calls to simulated workers.
 
 namespace greengagehub::lab {
 
-/// \brief What is wrong with the new version.
+/// \brief Fault of the new version.
 enum class VersionFault : std::uint8_t
 {
   None,
   Errors,
   Slow,
-  /// Fails while most slots of a worker are taken.
+  /// Fails at workers with at least m_loaded pending calls.
   UnderLoad,
   OneRoute,
-  /// Fails from kLateFrom after the order on.
+  /// Fails from kLateFrom after the order.
   Late,
 };
 
-/// \brief What goes on beside the roll-out, from 3 s after the order on.
+/// \brief A disturbance that starts 3 s after the order and does not depend on
+/// the version.
 enum class Disturbance : std::uint8_t
 {
   None,
-  /// A fifth of all workers fails 40 of 100 runs.
+  /// A fifth of the workers fails 40% of its runs.
   GreyWorkers,
-  /// A fifth of all workers takes four times as long.
+  /// A fifth of the workers takes four times as long.
   SlowWorkers,
-  /// Half of all workers lose 30 of 100 answers.
+  /// Half of the workers lose 30% of their answers.
   LostAnswers,
-  /// A service that both versions call fails: so do 40 of 100 runs, for 4 s.
+  /// A service that both versions call fails 40% of their runs for 4 s.
   FailingCallee,
-  /// Calls come 1.6 times as fast.
+  /// The call rate grows by a factor of 1.6.
   Burst,
 };
 
+/// \brief Parameters of a simulated roll-out.
 struct RolloutScenario
 {
   VersionFault m_fault{ VersionFault::None };
   Disturbance m_beside{ Disturbance::None };
-  /// Of the runs that the fault harms.
+  /// Share of the new version's runs that the fault affects.
   double m_share{ 0.33 };
-  /// What a slow run takes, in times of a usual one.
+  /// Factor on the duration of a slow run.
   double m_times{ 8.0 };
-  /// Calls at work from which on a worker fails under load.
+  /// Pending calls from which a worker fails under load.
   std::uint32_t m_loaded{ 3 };
   std::uint32_t m_oldWorkers{ 57 };
   std::uint32_t m_newWorkers{ 57 };
   double m_callsPerSecond{ 1865.0 };
   std::chrono::milliseconds m_duration{ 15'000 };
-  /// When the daemon that leads is lost, after the order; 0: never. Another
-  /// one leads after kTakeOver.
+  /// Time from the order to the loss of the leader; 0 for no loss. A successor
+  /// leads kTakeOver later.
   std::chrono::milliseconds m_leaderLost{ 0 };
-  /// Whether another one leads at all.
+  /// Whether a successor takes over.
   bool m_hasSuccessor{ true };
 };
 
+/// \brief Result of a simulated roll-out.
 struct RolloutResult
 {
   RolloutState m_state{ RolloutState::Running };
   RollbackCause m_cause{ RollbackCause::None };
-  /// Since the order.
+  /// Time from the order to the final state.
   Duration m_decidedAfter{};
-  /// Calls from the order to its deadline, and those that the new version got.
+  /// Calls from the order to its deadline: all, and those at the new version.
   std::uint64_t m_calls{ 0 };
   std::uint64_t m_exposed{ 0 };
-  /// How long after the 50th harmed answer the new version last got a call.
+  /// Time from the 50th bad run to the last call to the new version.
   Duration m_usedAfterHarm{};
-  /// Calls at work at the old workers when it was completed.
+  /// Pending calls at the old workers when the roll-out completed.
   std::uint64_t m_cut{ 0 };
 };
 
-/// \brief One roll-out, from its order until two seconds past its deadline.
+/// \brief Simulates a roll-out from its order until two seconds after its
+/// deadline.
 class RolloutLab
 {
 public:
@@ -93,7 +97,7 @@
     , m_random(aSeed)
   {
     AddWorkers("old", m_scenario.m_oldWorkers, Clock::duration::zero());
-    AddWorkers("new", m_scenario.m_newWorkers, kStart);
+    AddWorkers("new", m_scenario.m_newWorkers, kNewWorkersDelay);
   }
 
   RolloutResult Run()
@@ -101,10 +105,10 @@
     const RolloutOrder order{ kService, "new", m_scenario.m_duration };
     static_cast<void>(m_table.OnOrder(m_now, order, "old"));
     const TimePoint end = m_now + m_scenario.m_duration;
-    m_holder.emplace(m_now, "new", RolloutLimits{});
+    m_leader.emplace(m_now, "new", RolloutLimits{});
     while (m_now < end + std::chrono::seconds{ 2 }) {
       m_now += kTick;
-      EndRuns();
+      FinishRuns();
       Arrive(m_now <= end);
       Lead();
     }
@@ -113,17 +117,17 @@
 
 private:
   static constexpr const char* kService = "lockers";
-  static constexpr std::chrono::milliseconds kStart{ 800 };
-  static constexpr std::chrono::milliseconds kCold{ 3000 };
-  static constexpr std::chrono::milliseconds kTellEvery{ 300 };
-  static constexpr std::uint64_t kHarmed = 50;
+  static constexpr std::chrono::milliseconds kNewWorkersDelay{ 800 };
+  static constexpr std::chrono::milliseconds kColdStart{ 3000 };
+  static constexpr std::chrono::milliseconds kReportInterval{ 300 };
+  static constexpr std::uint64_t kBadRunLimit = 50;
   static constexpr std::chrono::milliseconds kDeadline{ 2500 };
   static constexpr std::size_t kSlots = 6;
 
   struct Route
   {
     std::uint64_t m_id;
-    double m_part;
+    double m_weight;
     double m_mean;
   };
   static constexpr std::array kRoutes{ Route{ 11, 0.55, 120.0 },
@@ -135,27 +139,27 @@
     std::string m_slot;
     bool m_isNew{ false };
     double m_speed{ 1.0 };
-    bool m_isHit{ false };
-    TimePoint m_from;
+    bool m_isDisturbed{ false };
+    TimePoint m_startsAt;
     std::vector<TimePoint> m_freeAt{ std::vector<TimePoint>(kSlots) };
     std::uint32_t m_atWork{ 0 };
     RunTally m_tally;
   };
-  struct Ending
+  struct RunEnd
   {
     TimePoint m_at;
     std::size_t m_worker{ 0 };
     std::uint64_t m_route{ 0 };
     RunTally::Result m_result{};
     Duration m_took{};
-    bool m_isHarmed{ false };
-    [[nodiscard]] bool operator>(const Ending& aOther) const
+    bool m_isBad{ false };
+    [[nodiscard]] bool operator>(const RunEnd& aOther) const
     {
       return m_at > aOther.m_at;
     }
   };
 
-  [[nodiscard]] Duration Age() const { return m_now - kOrdered; }
+  [[nodiscard]] Duration SinceOrder() const { return m_now - kOrdered; }
   [[nodiscard]] bool Chance(double aShare)
   {
     return std::uniform_real_distribution<>{}(m_random) < aShare;
@@ -165,60 +169,61 @@
     const bool isCallee = aKind == Disturbance::FailingCallee;
     const Duration until =
       isCallee ? std::chrono::seconds{ 7 } : std::chrono::seconds{ 9 };
-    return m_scenario.m_beside == aKind && Age() > std::chrono::seconds{ 3 } &&
-           Age() < until;
+    return m_scenario.m_beside == aKind &&
+           SinceOrder() > std::chrono::seconds{ 3 } && SinceOrder() < until;
   }
 
   void AddWorkers(const std::string& aVersion,
                   std::uint32_t aCount,
-                  Duration aFrom)
+                  Duration aStartDelay)
   {
     constexpr std::array kSpeeds{ 0.7, 0.7, 1.6 };
-    const double hit =
+    const double disturbedShare =
       m_scenario.m_beside == Disturbance::LostAnswers ? 0.5 : 0.2;
     for (std::uint32_t i = 0; i < aCount; ++i) {
       Worker worker;
       worker.m_slot = aVersion + std::to_string(i);
       worker.m_isNew = aVersion == "new";
       worker.m_speed = kSpeeds.at(Below(m_random, kSpeeds.size()));
-      worker.m_isHit = Chance(hit);
-      worker.m_from = kOrdered + aFrom;
+      worker.m_isDisturbed = Chance(disturbedShare);
+      worker.m_startsAt = kOrdered + aStartDelay;
       m_workers.push_back(std::move(worker));
     }
   }
 
-  void EndRuns()
+  void FinishRuns()
   {
-    while (!m_endings.empty() && m_endings.top().m_at <= m_now) {
-      const Ending ending = m_endings.top();
-      m_endings.pop();
-      Worker& worker = m_workers[ending.m_worker];
+    while (!m_runEnds.empty() && m_runEnds.top().m_at <= m_now) {
+      const RunEnd runEnd = m_runEnds.top();
+      m_runEnds.pop();
+      Worker& worker = m_workers[runEnd.m_worker];
       --worker.m_atWork;
-      const bool isCold = worker.m_isNew && ending.m_at < worker.m_from + kCold;
+      const bool isCold =
+        worker.m_isNew && runEnd.m_at < worker.m_startsAt + kColdStart;
       worker.m_tally.Ended(
-        ending.m_route, ending.m_result, ending.m_took, isCold);
-      m_harmed += ending.m_isHarmed ? 1 : 0;
-      if (m_harmed == kHarmed && !m_harmedAt) {
-        m_harmedAt = ending.m_at;
+        runEnd.m_route, runEnd.m_result, runEnd.m_took, isCold);
+      m_badRuns += runEnd.m_isBad ? 1 : 0;
+      if (m_badRuns == kBadRunLimit && !m_badRunsAt) {
+        m_badRunsAt = runEnd.m_at;
       }
     }
   }
 
-  void Arrive(bool aCounts)
+  void Arrive(bool aCountsCalls)
   {
     const double burst = IsDisturbed(Disturbance::Burst) ? 1.6 : 1.0;
-    m_due += burst * m_scenario.m_callsPerSecond *
-             std::chrono::duration<double>(kTick).count();
-    for (; m_due >= 1.0; m_due -= 1.0) {
-      m_result.m_calls += aCounts ? 1 : 0;
+    m_dueCalls += burst * m_scenario.m_callsPerSecond *
+                  std::chrono::duration<double>(kTick).count();
+    for (; m_dueCalls >= 1.0; m_dueCalls -= 1.0) {
+      m_result.m_calls += aCountsCalls ? 1 : 0;
       const auto chosen = Choose();
       if (!chosen) {
         continue;
       }
       const bool isNew = m_workers[*chosen].m_isNew;
-      m_result.m_exposed += isNew && aCounts ? 1 : 0;
-      if (isNew && m_harmedAt) {
-        m_result.m_usedAfterHarm = m_now - *m_harmedAt;
+      m_result.m_exposed += isNew && aCountsCalls ? 1 : 0;
+      if (isNew && m_badRunsAt) {
+        m_result.m_usedAfterHarm = m_now - *m_badRunsAt;
       }
       Begin(*chosen);
     }
@@ -226,13 +231,14 @@
 
   [[nodiscard]] std::optional<std::size_t> Choose()
   {
-    const bool trial = m_table.DrawsTrial(m_now, kService, m_random);
-    for (const VersionRule& rule : m_table.RulesFor(m_now, kService, trial)) {
+    const bool isCanary = m_table.DrawsTrial(m_now, kService, m_random);
+    for (const VersionRule& rule :
+         m_table.RulesFor(m_now, kService, isCanary)) {
       std::vector<std::size_t> allowed;
       for (std::size_t i = 0; i < m_workers.size(); ++i) {
         const Worker& worker = m_workers[i];
-        const bool fits =
-          rule.Allows(worker.m_isNew ? "new" : "old") && m_now >= worker.m_from;
+        const bool fits = rule.Allows(worker.m_isNew ? "new" : "old") &&
+                          m_now >= worker.m_startsAt;
         if (fits) {
           allowed.push_back(i);
         }
@@ -261,35 +267,37 @@
     constexpr double kSpread = 0.6;
     std::lognormal_distribution<> work{ std::log(route.m_mean) - 0.18,
                                         kSpread };
-    double took = work(m_random) * worker.m_speed;
-    const bool isCold = worker.m_isNew && m_now < worker.m_from + kCold;
-    took *= isCold ? 2.0 : 1.0;
-    took *= IsDisturbed(Disturbance::SlowWorkers) && worker.m_isHit ? 4.0 : 1.0;
-    Ending ending;
-    ending.m_worker = aWorker;
-    ending.m_route = route.m_id;
-    ending.m_isHarmed = worker.m_isNew && IsHarmed(worker, route);
+    double runMs = work(m_random) * worker.m_speed;
+    const bool isCold =
+      worker.m_isNew && m_now < worker.m_startsAt + kColdStart;
+    runMs *= isCold ? 2.0 : 1.0;
+    runMs *=
+      IsDisturbed(Disturbance::SlowWorkers) && worker.m_isDisturbed ? 4.0 : 1.0;
+    RunEnd runEnd;
+    runEnd.m_worker = aWorker;
+    runEnd.m_route = route.m_id;
+    runEnd.m_isBad = worker.m_isNew && IsBadRun(worker, route);
     const bool slow =
-      ending.m_isHarmed && m_scenario.m_fault == VersionFault::Slow;
-    took *= slow ? m_scenario.m_times : 1.0;
-    ending.m_result = ResultOf(worker, ending.m_isHarmed && !slow);
+      runEnd.m_isBad && m_scenario.m_fault == VersionFault::Slow;
+    runMs *= slow ? m_scenario.m_times : 1.0;
+    runEnd.m_result = ResultOf(worker, runEnd.m_isBad && !slow);
     const auto whole = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double, std::milli>{ took });
+      std::chrono::duration<double, std::milli>{ runMs });
     const Duration span = std::min<Duration>(whole, kDeadline);
     if (whole > kDeadline) {
-      ending.m_result = RunTally::Result::Expired;
+      runEnd.m_result = RunTally::Result::Expired;
     }
     const auto slot = std::ranges::min_element(worker.m_freeAt);
     const TimePoint start = std::max(*slot, m_now);
     *slot = start + span;
-    ending.m_took = span;
-    ending.m_at = *slot;
+    runEnd.m_took = span;
+    runEnd.m_at = *slot;
     ++worker.m_atWork;
     worker.m_tally.Arrived();
-    m_endings.push(ending);
+    m_runEnds.push(runEnd);
   }
 
-  [[nodiscard]] bool IsHarmed(const Worker& aWorker, const Route& aRoute)
+  [[nodiscard]] bool IsBadRun(const Worker& aWorker, const Route& aRoute)
   {
     switch (m_scenario.m_fault) {
       case VersionFault::None:
@@ -300,7 +308,7 @@
       case VersionFault::OneRoute:
         return aRoute.m_id == kRoutes[1].m_id && Chance(m_scenario.m_share);
       case VersionFault::Late:
-        return Age() > kLateFrom && Chance(m_scenario.m_share);
+        return SinceOrder() > kLateFrom && Chance(m_scenario.m_share);
       default:
         return Chance(m_scenario.m_share);
     }
@@ -308,11 +316,13 @@
 
   [[nodiscard]] RunTally::Result ResultOf(const Worker& aWorker, bool aFails)
   {
-    constexpr double kUsual = 0.004;
-    const bool grey = IsDisturbed(Disturbance::GreyWorkers) && aWorker.m_isHit;
+    constexpr double kBaseFailureShare = 0.004;
+    const bool grey =
+      IsDisturbed(Disturbance::GreyWorkers) && aWorker.m_isDisturbed;
     const bool callee = IsDisturbed(Disturbance::FailingCallee);
-    const bool lost = IsDisturbed(Disturbance::LostAnswers) && aWorker.m_isHit;
-    if (aFails || Chance(grey || callee ? 0.4 : kUsual)) {
+    const bool lost =
+      IsDisturbed(Disturbance::LostAnswers) && aWorker.m_isDisturbed;
+    if (aFails || Chance(grey || callee ? 0.4 : kBaseFailureShare)) {
       return RunTally::Result::Failed;
     }
     return lost && Chance(0.3) ? RunTally::Result::Lost
@@ -322,37 +332,37 @@
   void Lead()
   {
     const auto lost = m_scenario.m_leaderLost;
-    if (lost.count() > 0 && Age() >= lost && !m_wasLost) {
+    if (lost.count() > 0 && SinceOrder() >= lost && !m_wasLost) {
       m_wasLost = true;
-      m_holder.reset();
+      m_leader.reset();
     }
-    const bool takesOver = m_wasLost && !m_holder &&
+    const bool takesOver = m_wasLost && !m_leader &&
                            m_scenario.m_hasSuccessor &&
-                           Age() >= lost + kTakeOver;
+                           SinceOrder() >= lost + kTakeOver;
     if (takesOver) {
-      m_holder.emplace(m_now, "new", RolloutLimits{});
+      m_leader.emplace(m_now, "new", RolloutLimits{});
     }
     const auto record = m_table.Find(m_now, kService);
-    if (!m_holder || IsFinal(record->m_state)) {
+    if (!m_leader || IsFinal(record->m_state)) {
       return;
     }
-    if (m_now >= m_nextTell) {
-      m_nextTell = m_now + kTellEvery;
-      TellCounts();
+    if (m_now >= m_nextReport) {
+      m_nextReport = m_now + kReportInterval;
+      ReportCounts();
     }
-    const auto lead = m_holder->OnTick(
+    const auto decision = m_leader->OnTick(
       m_now, *record, { m_scenario.m_oldWorkers, StartedNew() });
-    if (lead) {
-      Take(lead->m_record);
+    if (decision) {
+      Take(decision->m_record);
     }
   }
 
   [[nodiscard]] std::uint32_t StartedNew() const
   {
-    return m_now >= kOrdered + kStart ? m_scenario.m_newWorkers : 0;
+    return m_now >= kOrdered + kNewWorkersDelay ? m_scenario.m_newWorkers : 0;
   }
 
-  void TellCounts()
+  void ReportCounts()
   {
     for (const Worker& each : m_workers) {
       WorkerCounts counts;
@@ -363,14 +373,14 @@
       counts.m_atWork = each.m_atWork;
       counts.m_arrived = each.m_tally.CountArrived();
       counts.m_routes = each.m_tally.Routes();
-      m_holder->OnCounts(counts);
+      m_leader->OnCounts(counts);
     }
   }
 
   void Take(RolloutRecord aRecord)
   {
     if (aRecord.m_state == RolloutState::Completing) {
-      // The store takes it at once.
+      // The simulated store confirms the write at once.
       aRecord.m_state = RolloutState::Completed;
       for (const Worker& each : m_workers) {
         m_result.m_cut += each.m_isNew ? 0 : each.m_atWork;
@@ -381,7 +391,7 @@
     m_result.m_state = aRecord.m_state;
     m_result.m_cause = aRecord.m_cause;
     if (IsFinal(aRecord.m_state)) {
-      m_result.m_decidedAfter = Age();
+      m_result.m_decidedAfter = SinceOrder();
     }
   }
 
@@ -391,13 +401,13 @@
   Random m_random;
   TimePoint m_now{ kOrdered };
   RolloutTable m_table;
-  std::optional<RolloutHolder> m_holder;
+  std::optional<RolloutHolder> m_leader;
   std::vector<Worker> m_workers;
-  std::priority_queue<Ending, std::vector<Ending>, std::greater<>> m_endings;
-  double m_due{ 0.0 };
-  std::uint64_t m_harmed{ 0 };
-  std::optional<TimePoint> m_harmedAt;
-  TimePoint m_nextTell{};
+  std::priority_queue<RunEnd, std::vector<RunEnd>, std::greater<>> m_runEnds;
+  double m_dueCalls{ 0.0 };
+  std::uint64_t m_badRuns{ 0 };
+  std::optional<TimePoint> m_badRunsAt;
+  TimePoint m_nextReport{};
   bool m_wasLost{ false };
   RolloutResult m_result;
 };
--- a/bench/routing_lab.cpp
+++ b/bench/routing_lab.cpp
@@ -3,8 +3,8 @@
 #include <fmt/format.h>
 
 /// \file
-/// \brief Routing policies and admission under load. Prints a table for each
-/// shape of service.
+/// \brief Simulates routing policies and admission under load and prints a
+/// table for each service.
 
 namespace {
 
@@ -12,24 +12,24 @@
 using namespace greengagehub::lab;
 
 double
-Millis(std::vector<Duration> aSample, double aShare)
+Millis(std::vector<Duration> aSample, double aProbability)
 {
   if (aSample.empty()) {
     return 0;
   }
-  const auto at = static_cast<std::ptrdiff_t>(
-    aShare * static_cast<double>(aSample.size() - 1));
-  std::nth_element(aSample.begin(), aSample.begin() + at, aSample.end());
+  const auto index = static_cast<std::ptrdiff_t>(
+    aProbability * static_cast<double>(aSample.size() - 1));
+  std::nth_element(aSample.begin(), aSample.begin() + index, aSample.end());
   return std::chrono::duration<double, std::milli>(
-           aSample[static_cast<std::size_t>(at)])
+           aSample[static_cast<std::size_t>(index)])
     .count();
 }
 
 template<RoutingPolicy Policy>
 void
-Show(const char* aPolicy, const Shape& aShape, Reports aReports)
+PrintRow(const char* aPolicy, const Shape& aShape, Reports aBehavior)
 {
-  const Result result = Lab<Policy>{ aShape, aReports, 7 }.Run();
+  const Result result = Lab<Policy>{ aShape, aBehavior, 7 }.Run();
   std::size_t useful = 0;
   std::size_t refused = 0;
   std::size_t failed = 0;
@@ -62,23 +62,23 @@
 }
 
 void
-ShowTable(const Shape& aShape, Reports aReports, const char* aReportName)
+PrintTable(const Shape& aShape, Reports aBehavior, const char* aBehaviorName)
 {
-  fmt::print("\n{}, reports: {}, load", aShape.m_name, aReportName);
+  fmt::print("\n{}, reports: {}, load", aShape.m_name, aBehaviorName);
   for (const double each : aShape.m_loads) {
     fmt::print(" {:.2f}", each);
   }
   fmt::print("\n\n| policy | useful/s | refused | failed | wrong | critical "
              "p50 / p99 / useful | lookup | export | recovery ms |\n"
              "|---|---|---|---|---|---|---|---|---|\n");
-  Show<RandomChoice>("random", aShape, aReports);
-  Show<TwoChoices>("two", aShape, aReports);
-  Show<ShortestQueue>("jsq", aShape, aReports);
-  Show<JoinWithTagging>("jsqt", aShape, aReports);
+  PrintRow<RandomChoice>("random", aShape, aBehavior);
+  PrintRow<TwoChoices>("two", aShape, aBehavior);
+  PrintRow<ShortestQueue>("jsq", aShape, aBehavior);
+  PrintRow<JoinWithTagging>("jsqt", aShape, aBehavior);
 }
 
 std::vector<WorkerShape>
-Alike(std::size_t aCount, std::uint32_t aSlots, Duration aService)
+IdenticalWorkers(std::size_t aCount, std::uint32_t aSlots, Duration aService)
 {
   return std::vector<WorkerShape>(aCount, { aSlots, aService });
 }
@@ -88,27 +88,27 @@
 int
 main()
 {
-  const std::vector<WorkerShape> lockers = Alike(5, 20, 10ms);
-  const std::vector<WorkerShape> bookings = Alike(6, 6, 10ms);
+  const std::vector<WorkerShape> lockers = IdenticalWorkers(5, 20, 10ms);
+  const std::vector<WorkerShape> bookings = IdenticalWorkers(6, 6, 10ms);
   const std::vector<WorkerShape> unequal{ { 1, 10ms }, { 10, 10ms } };
   for (const double load : { 0.5, 0.9, 1.2, 2.0 }) {
-    ShowTable({ "5 workers of 20 slots", lockers, 40, { load } },
-              Reports::Honest,
-              "honest");
+    PrintTable({ "5 workers of 20 slots", lockers, 40, { load } },
+               Reports::Honest,
+               "honest");
   }
   for (const double load : { 0.9, 1.2 }) {
-    ShowTable({ "6 workers of 6 slots", bookings, 12, { load } },
-              Reports::Honest,
-              "honest");
-    ShowTable({ "5 workers of 20 slots", lockers, 40, { load } },
-              Reports::OneClaimsIdle,
-              "one claims to be idle");
+    PrintTable({ "6 workers of 6 slots", bookings, 12, { load } },
+               Reports::Honest,
+               "honest");
+    PrintTable({ "5 workers of 20 slots", lockers, 40, { load } },
+               Reports::OneClaimsIdle,
+               "one claims to be idle");
   }
-  ShowTable({ "5 workers of 20 slots", lockers, 40, { 0.5 } },
-            Reports::OneFailsFast,
-            "one fails fast");
-  ShowTable({ "rates 1 and 10, bursts", unequal, 20, { 0.09, 1.8 }, 2500ms },
-            Reports::Honest,
-            "honest");
+  PrintTable({ "5 workers of 20 slots", lockers, 40, { 0.5 } },
+             Reports::OneFailsFast,
+             "one fails fast");
+  PrintTable({ "rates 1 and 10, bursts", unequal, 20, { 0.09, 1.8 }, 2500ms },
+             Reports::Honest,
+             "honest");
   return 0;
 }
--- a/bench/routing_lab.hpp
+++ b/bench/routing_lab.hpp
@@ -10,45 +10,52 @@
 #include <queue>
 
 /// \file
-/// \brief Arrivals driven through the product's own dispatchers and run tables
-/// in virtual time: the same seed gives the same result on any machine.
+/// \brief Simulation of calls through the real dispatchers and run tables in
+/// virtual time; the result depends on the seed only.
 
 namespace greengagehub::lab {
 
 using namespace std::chrono_literals;
 
+/// \brief Slots and mean service time of a simulated worker.
 struct WorkerShape
 {
   std::uint32_t m_slots{ 20 };
   Duration m_service{ 10ms };
 };
 
+/// \brief Workers of a simulated service, and its load.
 struct Shape
 {
   const char* m_name;
   std::vector<WorkerShape> m_workers;
   std::uint32_t m_queue{ 40 };
-  /// Load alternates between these shares of capacity, or stays at one.
+  /// Shares of capacity between which the load alternates.
   std::vector<double> m_loads;
+  /// Length of each load.
   Duration m_phase{ 10s };
 };
 
+/// \brief Fault in what workers report.
 enum class Reports
 {
   Honest,
-  /// The first worker reports no load at all, whatever it has.
+  /// The first worker always reports a load of zero.
   OneClaimsIdle,
-  /// The first worker answers every call at once with a failure.
+  /// The first worker fails every call within 100 us.
   OneFailsFast,
 };
 
 constexpr std::size_t kCallers = 8;
 constexpr auto kDeadline = 500ms;
 constexpr auto kLength = 40s;
-constexpr auto kNetwork = std::chrono::microseconds{ 500 };
+/// One-way delay between caller and worker.
+constexpr auto kNetworkDelay = std::chrono::microseconds{ 500 };
 
+/// \brief Outcomes of the calls of one class.
 struct ClassResult
 {
+  /// Of calls that succeeded before their deadline.
   std::vector<Duration> m_latencies;
   std::size_t m_refused{ 0 };
   std::size_t m_failed{ 0 };
@@ -57,10 +64,10 @@
 struct Result
 {
   std::array<ClassResult, 3> m_classes;
-  /// Refused although some worker had a free slot.
+  /// Calls rejected although a worker had a free slot.
   std::size_t m_wrongRefusals{ 0 };
   std::size_t m_calls{ 0 };
-  /// Mean of queued calls over the last second of each low phase.
+  /// Longest time from the end of a burst until all queues were empty.
   Duration m_recovery{ 0 };
 };
 
@@ -68,9 +75,9 @@
 class Lab
 {
 public:
-  Lab(const Shape& aShape, Reports aReports, std::uint64_t aSeed)
+  Lab(const Shape& aShape, Reports aBehavior, std::uint64_t aSeed)
     : m_shape(aShape)
-    , m_reports(aReports)
+    , m_behavior(aBehavior)
     , m_random(aSeed)
   {
     for (const WorkerShape& each : aShape.m_workers) {
@@ -94,8 +101,8 @@
 
   Result Run()
   {
-    At(m_start, [this] { Arrive(); });
-    At(m_start + 100ms, [this] { Tick(); });
+    Schedule(m_start, [this] { Arrive(); });
+    Schedule(m_start + 100ms, [this] { Tick(); });
     while (!m_events.empty()) {
       const Event event = m_events.top();
       m_events.pop();
@@ -123,9 +130,9 @@
     CallClass m_class;
   };
 
-  void At(TimePoint aWhen, std::function<void()> aAction)
+  void Schedule(TimePoint aTime, std::function<void()> aAction)
   {
-    m_events.push({ aWhen, ++m_order, std::move(aAction) });
+    m_events.push({ aTime, ++m_order, std::move(aAction) });
   }
 
   [[nodiscard]] Duration Exponential(Duration aMean)
@@ -147,8 +154,8 @@
       return;
     }
     const std::chrono::duration<double> gap{ 1.0 / (LoadNow() * m_capacity) };
-    At(m_now + Exponential(std::chrono::duration_cast<Duration>(gap)),
-       [this] { Arrive(); });
+    Schedule(m_now + Exponential(std::chrono::duration_cast<Duration>(gap)),
+             [this] { Arrive(); });
     const auto draw = Below(m_random, 10);
     const CallClass callClass = draw < 6   ? CallClass::Critical
                                 : draw < 9 ? CallClass::Lookup
@@ -168,8 +175,8 @@
   {
     for (const DispatchAction& each : aActions) {
       if (const auto* send = std::get_if<SendAttempt>(&each)) {
-        At(m_now + kNetwork,
-           [this, aCaller, attempt = *send] { Admit(aCaller, attempt); });
+        Schedule(m_now + kNetworkDelay,
+                 [this, aCaller, attempt = *send] { Admit(aCaller, attempt); });
       } else if (const auto* finish = std::get_if<FinishCall>(&each)) {
         Finish(*finish);
       }
@@ -189,8 +196,8 @@
       1,
       { .m_class = callClass,
         .m_priority = static_cast<std::uint32_t>(callClass),
-        .m_timeLeft = aAttempt.m_timeLeft - kNetwork,
-        .m_targetLeft = aAttempt.m_timeLeft - kNetwork },
+        .m_timeLeft = aAttempt.m_timeLeft - kNetworkDelay,
+        .m_targetLeft = aAttempt.m_timeLeft - kNetworkDelay },
       out);
     if (admission.m_kind == Admission::Kind::Start) {
       Start(worker, key);
@@ -212,11 +219,11 @@
 
   void Start(std::size_t aWorker, CallKey aKey)
   {
-    const bool fails = m_reports == Reports::OneFailsFast && aWorker == 0;
-    const Duration takes =
+    const bool fails = m_behavior == Reports::OneFailsFast && aWorker == 0;
+    const Duration runTime =
       fails ? Duration{ 100us }
             : Exponential(m_shape.m_workers[aWorker].m_service);
-    At(m_now + takes, [this, aWorker, aKey, fails] {
+    Schedule(m_now + runTime, [this, aWorker, aKey, fails] {
       const RunActions next = m_runs[aWorker]->Finish(m_now, aKey);
       CallAnswer answer;
       answer.m_outcome = CallOutcome::Answered;
@@ -238,14 +245,16 @@
 
   void Answer(std::size_t aWorker, CallKey aKey, CallAnswer aAnswer)
   {
-    const bool lies = m_reports == Reports::OneClaimsIdle && aWorker == 0;
+    const bool claimsIdle =
+      m_behavior == Reports::OneClaimsIdle && aWorker == 0;
     aAnswer.m_call = aKey.m_call;
-    aAnswer.m_load = lies ? 0 : m_runs[aWorker]->Load();
+    aAnswer.m_load = claimsIdle ? 0 : m_runs[aWorker]->Load();
     const std::size_t caller = m_owners.at(aKey);
     m_owners.erase(aKey);
-    At(m_now + kNetwork, [this, caller, answer = std::move(aAnswer)] {
-      Carry(caller, m_callers[caller]->OnAnswer(m_now, answer));
-    });
+    Schedule(m_now + kNetworkDelay,
+             [this, caller, answer = std::move(aAnswer)] {
+               Carry(caller, m_callers[caller]->OnAnswer(m_now, answer));
+             });
   }
 
   void Finish(const FinishCall& aFinish)
@@ -253,21 +262,21 @@
     const auto call = m_calls.find(aFinish.m_call);
     ClassResult& result =
       m_result.m_classes[static_cast<std::size_t>(call->second.m_class)];
-    const Duration took = m_now - call->second.m_since;
+    const Duration latency = m_now - call->second.m_since;
     m_calls.erase(call);
     if (aFinish.m_answer.m_outcome != CallOutcome::Answered) {
       ++result.m_refused;
-      const bool anyFree =
+      const bool hasFreeSlot =
         std::any_of(m_runs.begin(), m_runs.end(), [&](const auto& aRuns) {
           const auto index = static_cast<std::size_t>(&aRuns - m_runs.data());
           return aRuns->Running() < m_shape.m_workers[index].m_slots;
         });
-      m_result.m_wrongRefusals += anyFree ? 1 : 0;
+      m_result.m_wrongRefusals += hasFreeSlot ? 1 : 0;
     } else if (aFinish.m_answer.m_response.m_status != 200 ||
-               took > kDeadline) {
+               latency > kDeadline) {
       ++result.m_failed;
     } else {
-      result.m_latencies.push_back(took);
+      result.m_latencies.push_back(latency);
     }
   }
 
@@ -279,22 +288,23 @@
     for (std::size_t c = 0; c < m_callers.size(); ++c) {
       Carry(c, m_callers[c]->OnTick(m_now));
     }
-    NoteRecovery();
+    UpdateRecovery();
     if (m_now - m_start < kLength + 2s) {
-      At(m_now + 10ms, [this] { Tick(); });
+      Schedule(m_now + 10ms, [this] { Tick(); });
     }
   }
 
-  /// After a burst, the time until nothing waits any more.
-  void NoteRecovery()
+  /// Updates the longest time from the end of a burst until all queues are
+  /// empty.
+  void UpdateRecovery()
   {
-    const bool low =
+    const bool isLowPhase =
       m_shape.m_loads.size() > 1 && LoadNow() < m_shape.m_loads.back();
     std::uint32_t queued = 0;
     for (const auto& each : m_runs) {
       queued += each->Queued();
     }
-    if (!low) {
+    if (!isLowPhase) {
       m_burstEnd = m_now;
       m_recovered = false;
     } else if (!m_recovered && queued == 0) {
@@ -305,7 +315,7 @@
   }
 
   const Shape& m_shape;
-  Reports m_reports;
+  Reports m_behavior;
   Random m_random;
   TimePoint m_start{ 1h };
   TimePoint m_now{ 1h };
--- a/bench/target_size.hpp
+++ b/bench/target_size.hpp
@@ -6,13 +6,13 @@
 #include <fmt/format.h>
 
 /// \file
-/// \brief Records shaped like those of the fleet that CAPACITY.md plans for.
+/// \brief Member records of the size that docs/CAPACITY.md plans for.
 
 namespace greengagehub {
 
-/// \returns One of 38,000 members in 6,800 services, 7 domains, 3 regions.
+/// \returns A member of a fleet with 6,800 services, 7 domains and 3 regions.
 [[nodiscard]] inline MemberRecord
-Record(std::int64_t aNumber)
+MakeMemberRecord(std::int64_t aNumber)
 {
   MemberRecord record;
   record.m_slot = fmt::format("stockholm-solna-{:05}", aNumber);
