--- a/standins/backend_server.cpp
+++ b/standins/backend_server.cpp
@@ -13,12 +13,12 @@
 #include <nlohmann/json.hpp>
 
 /// \file
-/// \brief Stand-in for a backend server: slots, service time, cold start,
-/// faults switched over HTTP, and a count of how often each request id ran.
+/// \brief Stand-in for a backend server, with slots, a service time, a cold
+/// start, and faults that are set over HTTP.
 ///
-/// A request's id is its X-Request-Id header; the answer carries it back in
-/// header and body. Faults: PUT /faults with any of {"service_ms": N,
-/// "fail": true, "cut_after_run": N, "health": "..."}. Counts: GET /runs.
+/// The X-Request-Id header is a request's id; the answer returns it in header
+/// and body. Faults: PUT /faults with any of {"service_ms": N, "fail": true,
+/// "cut_after_run": N, "health": "..."}. Number of runs of each id: GET /runs.
 
 namespace {
 
@@ -30,7 +30,7 @@
   HttpServerSettings m_http;
   std::uint32_t m_slots{ 20 };
   std::uint32_t m_serviceMs{ 2 };
-  std::uint32_t m_coldMs{ 0 };
+  std::uint32_t m_coldStartMs{ 0 };
 };
 
 class BackendServer
@@ -70,17 +70,17 @@
         JsonResponse(200, Json{ { "health", m_health } }.dump()));
     } else {
       m_queue.push_back({ std::move(aRequest), std::move(aResponder) });
-      StartWaiting();
+      StartQueued();
     }
   }
 
-  void StartWaiting()
+  void StartQueued()
   {
     while (!m_queue.empty() && m_running < m_options.m_slots) {
       Run run = std::move(m_queue.front());
       m_queue.pop_front();
       ++m_running;
-      m_mostRunning = std::max(m_mostRunning, m_running);
+      m_maxRunning = std::max(m_maxRunning, m_running);
       Start(std::move(run));
     }
   }
@@ -89,7 +89,7 @@
   {
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
       Clock::now() - m_started);
-    const bool cold = age.count() < m_options.m_coldMs;
+    const bool cold = age.count() < m_options.m_coldStartMs;
     constexpr int kColdFactor = 5;
     return std::chrono::milliseconds{ m_options.m_serviceMs } *
            (cold ? kColdFactor : 1);
@@ -101,21 +101,22 @@
                                       "x-request-id") };
     ++m_runs[id];
     m_lastStart = std::chrono::system_clock::now();
-    if (m_cutAfterRun > 0) {
-      // Ran, and the connection dies before a byte of the answer.
-      --m_cutAfterRun;
+    if (m_cutsLeft > 0) {
+      // The call counts as run, but its connection closes without an answer.
+      --m_cutsLeft;
       ++m_cuts;
       --m_running;
       Cut(std::move(aRun));
       return;
     }
-    const auto time = m_fail ? std::chrono::milliseconds{ 0 } : ServiceTime();
-    if (time.count() == 0) {
+    const auto serviceTime =
+      m_fail ? std::chrono::milliseconds{ 0 } : ServiceTime();
+    if (serviceTime.count() == 0) {
       Finish(std::move(aRun), id);
       return;
     }
     auto timer = std::make_shared<asio::steady_timer>(m_loop);
-    timer->expires_after(time);
+    timer->expires_after(serviceTime);
     timer->async_wait(
       [this, timer, id, run = std::move(aRun)](
         const asio::error_code&) mutable { Finish(std::move(run), id); });
@@ -133,33 +134,35 @@
                    body.dump(-1, ' ', false, Json::error_handler_t::replace));
     response.m_headers.push_back(HttpHeader{ "X-Request-Id", aId });
     aRun.m_responder.Answer(std::move(response));
-    StartWaiting();
+    StartQueued();
   }
 
-  /// Answers nothing; the server's time limit then closes the connection.
+  /// Drops a run without an answer; the HTTP server's timeout then closes the
+  /// connection.
   static void Cut(Run aRun) { static_cast<void>(aRun); }
 
   void SetFaults(const std::string& aBody)
   {
-    const Json wanted = Json::parse(aBody, nullptr, false);
-    if (!wanted.is_object()) {
+    const Json faults = Json::parse(aBody, nullptr, false);
+    if (!faults.is_object()) {
       return;
     }
-    m_options.m_serviceMs = wanted.value("service_ms", m_options.m_serviceMs);
-    m_fail = wanted.value("fail", m_fail);
-    m_cutAfterRun = wanted.value("cut_after_run", 0U);
-    m_health = wanted.value("health", m_health);
+    m_options.m_serviceMs = faults.value("service_ms", m_options.m_serviceMs);
+    m_fail = faults.value("fail", m_fail);
+    m_cutsLeft = faults.value("cut_after_run", 0U);
+    m_health = faults.value("health", m_health);
   }
 
   [[nodiscard]] std::string Runs() const
   {
-    const auto last = std::chrono::duration_cast<std::chrono::milliseconds>(
-      m_lastStart.time_since_epoch());
+    const auto lastStart =
+      std::chrono::duration_cast<std::chrono::milliseconds>(
+        m_lastStart.time_since_epoch());
     return Json{
       { "runs", m_runs },
-      { "most_running", m_mostRunning },
+      { "most_running", m_maxRunning },
       { "cuts", m_cuts },
-      { "last_start_ms", last.count() }
+      { "last_start_ms", lastStart.count() }
     }.dump(-1, ' ', false, Json::error_handler_t::replace);
   }
 
@@ -170,8 +173,8 @@
   std::deque<Run> m_queue;
   std::map<std::string, std::uint32_t> m_runs;
   std::uint32_t m_running{ 0 };
-  std::uint32_t m_mostRunning{ 0 };
-  std::uint32_t m_cutAfterRun{ 0 };
+  std::uint32_t m_maxRunning{ 0 };
+  std::uint32_t m_cutsLeft{ 0 };
   std::uint32_t m_cuts{ 0 };
   bool m_fail{ false };
   std::string m_health{ "good" };
@@ -192,7 +195,7 @@
     "slots", po::value(&given.m_slots)->default_value(20), "")(
     "service-ms", po::value(&given.m_serviceMs)->default_value(2), "")(
     "cut-ms", po::value<std::uint32_t>()->default_value(0), "")(
-    "cold-ms", po::value(&given.m_coldMs)->default_value(0), "");
+    "cold-ms", po::value(&given.m_coldStartMs)->default_value(0), "");
   po::variables_map values;
   po::store(po::parse_command_line(aCount, aArguments, options), values);
   po::notify(values);
--- a/standins/platform_store.cpp
+++ b/standins/platform_store.cpp
@@ -16,13 +16,13 @@
 #include <nlohmann/json.hpp>
 
 /// \file
-/// \brief Stand-in for the platform's key-value store: compare-and-swap,
-/// leases, watches, counts of calls, and faults switched over HTTP.
+/// \brief Stand-in for the platform's key-value store, with transactions,
+/// leases, watches, and faults that are set over HTTP.
 ///
 /// Faults: PUT /faults with any of {"outage": "none|refuse|silent",
 /// "delay_ms": N, "lose_answers": N, "lapse_leases": true, "drop_all": true}.
-/// Counts: GET /stats. Copies for "restored from a backup": POST /backup, then
-/// POST /restore.
+/// Counters: GET /stats. POST /backup copies the contents, POST /restore
+/// returns to the copy.
 
 namespace {
 
@@ -31,7 +31,7 @@
 using Json = nlohmann::json;
 
 std::uint64_t
-Number(std::string_view aText)
+ParseNumber(std::string_view aText)
 {
   std::uint64_t number = 0;
   std::from_chars(aText.data(), aText.data() + aText.size(), number);
@@ -76,24 +76,24 @@
         m_backup = m_keys;
         m_backupRevision = m_revision;
       } else {
-        // Revisions go back too, and will be given out a second time.
+        // Revisions go back as well, so that later writes reuse them.
         m_keys = m_backup;
         m_revision = m_backupRevision;
         m_history.clear();
-        m_forgotten = m_revision;
+        m_compactedRevision = m_revision;
         ++m_era;
       }
       aResponder.Answer(JsonResponse(200, "{}"));
       return;
     }
     if (m_faults.m_outage == "refuse") {
-      ++m_counts.m_turnedAway;
+      ++m_counts.m_rejected;
       aResponder.Answer({ 503 });
       return;
     }
     if (m_faults.m_outage == "silent") {
-      ++m_counts.m_turnedAway;
-      m_silenced.push_back(std::move(aResponder));
+      ++m_counts.m_rejected;
+      m_unanswered.push_back(std::move(aResponder));
       return;
     }
     if (m_faults.m_delay.count() > 0) {
@@ -119,7 +119,7 @@
   void Serve(HttpRequest aRequest, HttpResponder aResponder)
   {
     const std::string_view path = PathOf(aRequest.m_target);
-    constexpr std::string_view kKeep = "/kv-keep/";
+    constexpr std::string_view kRenewPath = "/kv-keep/";
     if (path == "/kv-key") {
       ++m_counts.m_reads;
       Send(std::move(aResponder),
@@ -138,22 +138,23 @@
       Send(std::move(aResponder), Transact(aRequest.m_body), true);
     } else if (path == "/kv-lease") {
       ++m_counts.m_leaseCalls;
-      Send(std::move(aResponder), Grant(aRequest.m_body), true);
-    } else if (path.starts_with(kKeep)) {
+      Send(std::move(aResponder), GrantLease(aRequest.m_body), true);
+    } else if (path.starts_with(kRenewPath)) {
       ++m_counts.m_leaseCalls;
-      Send(
-        std::move(aResponder), Keep(Number(path.substr(kKeep.size()))), true);
+      Send(std::move(aResponder),
+           RenewLease(ParseNumber(path.substr(kRenewPath.size()))),
+           true);
     } else {
       aResponder.Answer({ 400 });
     }
   }
 
-  void Send(HttpResponder aResponder, HttpResponse aResponse, bool aWrite)
+  void Send(HttpResponder aResponder, HttpResponse aResponse, bool aIsWrite)
   {
-    if (aWrite && m_faults.m_loseAnswers > 0) {
-      // The write took effect and its answer is lost: never answered.
-      --m_faults.m_loseAnswers;
-      m_silenced.push_back(std::move(aResponder));
+    if (aIsWrite && m_faults.m_lostAnswersLeft > 0) {
+      // The write took effect, but its request is never answered.
+      --m_faults.m_lostAnswersLeft;
+      m_unanswered.push_back(std::move(aResponder));
       return;
     }
     m_counts.m_bytesOut += aResponse.m_body.size();
@@ -162,12 +163,13 @@
     aResponder.Answer(std::move(aResponse));
   }
 
-  [[nodiscard]] Json ItemOf(const std::string& aKey, const Key& aItem) const
+  [[nodiscard]] Json ItemOf(const std::string& aKey,
+                            const StoredKey& aItem) const
   {
     return { { "key", aKey },
              { "value", platform::ToBase64(aItem.m_value) },
              { "revision", aItem.m_revision },
-             { "created_rev", aItem.m_created },
+             { "created_rev", aItem.m_createdRevision },
              { "lease_id", aItem.m_lease } };
   }
 
@@ -183,13 +185,13 @@
   [[nodiscard]] HttpResponse List(const std::string& aPrefix,
                                   const std::string& aAfter) const
   {
-    constexpr std::size_t kPage = 500;
+    constexpr std::size_t kPageSize = 500;
     Json items = Json::array();
     bool more = false;
     auto it =
       aAfter.empty() ? m_keys.lower_bound(aPrefix) : m_keys.upper_bound(aAfter);
     for (; it != m_keys.end() && it->first.starts_with(aPrefix); ++it) {
-      if (items.size() == kPage) {
+      if (items.size() == kPageSize) {
         more = true;
         break;
       }
@@ -205,25 +207,26 @@
   void OnWatch(const HttpRequest& aRequest, HttpResponder aResponder)
   {
     ++m_counts.m_watches;
-    const std::chrono::milliseconds wait{ Number(
+    const std::chrono::milliseconds wait{ ParseNumber(
       QueryValue(aRequest.m_target, "wait_ms")) };
     Watch watch{ QueryValue(aRequest.m_target, "prefix"),
-                 Number(QueryValue(aRequest.m_target, "after")),
+                 ParseNumber(QueryValue(aRequest.m_target, "after")),
                  Clock::now() + wait,
                  std::move(aResponder) };
-    if (watch.m_after < m_forgotten || watch.m_after > m_revision) {
+    if (watch.m_after < m_compactedRevision || watch.m_after > m_revision) {
       Send(std::move(watch.m_responder), JsonResponse(410, "{}"), false);
       return;
     }
     if (!AnswerWatch(watch, false)) {
       m_watches.push_back(std::move(watch));
-      m_counts.m_mostWatches =
-        std::max<std::uint64_t>(m_counts.m_mostWatches, m_watches.size());
+      m_counts.m_maxWatches =
+        std::max<std::uint64_t>(m_counts.m_maxWatches, m_watches.size());
     }
   }
 
+  /// Answers a watch if there are changes, or if its time is over.
   /// \returns Whether it was answered.
-  bool AnswerWatch(Watch& aWatch, bool aDue)
+  bool AnswerWatch(Watch& aWatch, bool aIsExpired)
   {
     Json events = Json::array();
     for (const Event& each : m_history) {
@@ -233,7 +236,7 @@
         events.push_back(each.m_body);
       }
     }
-    if (events.empty() && !aDue) {
+    if (events.empty() && !aIsExpired) {
       return false;
     }
     Send(
@@ -245,12 +248,12 @@
     return true;
   }
 
-  void Remember(const std::string& aKey, Json aBody)
+  void AppendToHistory(const std::string& aKey, Json aBody)
   {
-    constexpr std::size_t kHistory = 1000;
+    constexpr std::size_t kMaxHistory = 1000;
     m_history.push_back({ m_revision, aKey, std::move(aBody) });
-    if (m_history.size() > kHistory) {
-      m_forgotten = m_history.front().m_revision;
+    if (m_history.size() > kMaxHistory) {
+      m_compactedRevision = m_history.front().m_revision;
       m_history.pop_front();
     }
   }
@@ -258,7 +261,7 @@
   void Remove(const std::string& aKey)
   {
     if (m_keys.erase(aKey) > 0) {
-      Remember(
+      AppendToHistory(
         aKey,
         { { "key", aKey }, { "revision", m_revision }, { "tombstone", true } });
     }
@@ -266,7 +269,7 @@
 
   HttpResponse Transact(const std::string& aBody)
   {
-    constexpr std::size_t kMaxValue = 1024UL * 1024;
+    constexpr std::size_t kMaxValueBytes = 1024UL * 1024;
     const Json body = Json::parse(aBody, nullptr, false);
     if (!body.is_object()) {
       return { 400 };
@@ -276,10 +279,10 @@
     for (const Json& each : body.value("expected", Json::array())) {
       const std::string key = each.value("key", "");
       const auto found = m_keys.find(key);
-      const bool there = found != m_keys.end();
-      const std::uint64_t now = there ? found->second.m_revision : 0;
+      const bool exists = found != m_keys.end();
+      const std::uint64_t now = exists ? found->second.m_revision : 0;
       conflict = conflict || now != each.value("revision", 0ULL);
-      if (there) {
+      if (exists) {
         current.push_back(ItemOf(key, found->second));
       }
     }
@@ -294,7 +297,7 @@
       if (lease != 0 && !m_leases.contains(lease)) {
         return JsonResponse(404, "{}");
       }
-      if (!value || value->size() > kMaxValue) {
+      if (!value || value->size() > kMaxValueBytes) {
         return { 400 };
       }
     }
@@ -305,7 +308,7 @@
     for (const Json& each : body.value("deletes", Json::array())) {
       Remove(each.get<std::string>());
     }
-    Wake();
+    AnswerWatches();
     return JsonResponse(200, Json{ { "revision", m_revision } }.dump());
   }
 
@@ -314,16 +317,16 @@
     const std::string key = aPut.value("key", "");
     const auto found = m_keys.find(key);
     const std::uint64_t created =
-      found == m_keys.end() ? m_revision : found->second.m_created;
-    Key item{ platform::FromBase64(aPut.value("value", "")).value(),
-              m_revision,
-              created,
-              aPut.value("lease_id", 0ULL) };
-    Remember(key, ItemOf(key, item));
+      found == m_keys.end() ? m_revision : found->second.m_createdRevision;
+    StoredKey item{ platform::FromBase64(aPut.value("value", "")).value(),
+                    m_revision,
+                    created,
+                    aPut.value("lease_id", 0ULL) };
+    AppendToHistory(key, ItemOf(key, item));
     m_keys[key] = std::move(item);
   }
 
-  void Wake()
+  void AnswerWatches()
   {
     std::vector<Watch> waiting;
     waiting.swap(m_watches);
@@ -334,27 +337,28 @@
     }
   }
 
-  HttpResponse Grant(const std::string& aBody)
+  HttpResponse GrantLease(const std::string& aBody)
   {
     const Json body = Json::parse(aBody, nullptr, false);
-    const std::chrono::milliseconds time{ body.is_object()
-                                            ? body.value("ttl_ms", 0LL)
-                                            : 0LL };
-    m_leases[++m_lastLease] = { time, Clock::now() + time };
+    const std::chrono::milliseconds timeToLive{ body.is_object()
+                                                  ? body.value("ttl_ms", 0LL)
+                                                  : 0LL };
+    m_leases[++m_lastLease] = { timeToLive, Clock::now() + timeToLive };
     return JsonResponse(
       200,
-      Json{ { "lease_id", m_lastLease }, { "ttl_ms", time.count() } }.dump());
+      Json{ { "lease_id", m_lastLease }, { "ttl_ms", timeToLive.count() } }
+        .dump());
   }
 
-  HttpResponse Keep(std::uint64_t aLease)
+  HttpResponse RenewLease(std::uint64_t aLease)
   {
     const auto lease = m_leases.find(aLease);
     if (lease == m_leases.end()) {
       return JsonResponse(404, "{}");
     }
-    lease->second.m_expires = Clock::now() + lease->second.m_time;
+    lease->second.m_expires = Clock::now() + lease->second.m_timeToLive;
     return JsonResponse(
-      200, Json{ { "ttl_ms", lease->second.m_time.count() } }.dump());
+      200, Json{ { "ttl_ms", lease->second.m_timeToLive.count() } }.dump());
   }
 
   void ExpireLeases(TimePoint aNow)
@@ -364,14 +368,14 @@
         ++lease;
         continue;
       }
-      std::vector<std::string> gone;
+      std::vector<std::string> expiredKeys;
       for (const auto& [key, item] : m_keys) {
         if (item.m_lease == lease->first) {
-          gone.push_back(key);
+          expiredKeys.push_back(key);
         }
       }
-      m_revision += gone.empty() ? 0 : 1;
-      for (const std::string& each : gone) {
+      m_revision += expiredKeys.empty() ? 0 : 1;
+      for (const std::string& each : expiredKeys) {
         Remove(each);
       }
       lease = m_leases.erase(lease);
@@ -405,7 +409,7 @@
     }
     m_faults.m_outage = wanted.value("outage", m_faults.m_outage);
     m_faults.m_delay = std::chrono::milliseconds{ wanted.value("delay_ms", 0) };
-    m_faults.m_loseAnswers = wanted.value("lose_answers", 0ULL);
+    m_faults.m_lostAnswersLeft = wanted.value("lose_answers", 0ULL);
     if (wanted.value("lapse_leases", false)) {
       for (auto& [id, lease] : m_leases) {
         lease.m_expires = Clock::now();
@@ -415,7 +419,7 @@
       m_keys.clear();
     }
     if (m_faults.m_outage != "none") {
-      // Waiting watches are cut as well.
+      // An outage ends pending watches as well.
       for (Watch& each : m_watches) {
         each.m_responder.Answer({ 503 });
       }
@@ -436,9 +440,9 @@
       { "lists", m_counts.m_lists },
       { "lease_calls", m_counts.m_leaseCalls },
       { "conflicts", m_counts.m_conflicts },
-      { "turned_away", m_counts.m_turnedAway },
+      { "turned_away", m_counts.m_rejected },
       { "watching", m_watches.size() },
-      { "most_watching", m_counts.m_mostWatches },
+      { "most_watching", m_counts.m_maxWatches },
       { "bytes_out", m_counts.m_bytesOut },
       { "keys", m_keys.size() },
       { "bytes_held", bytes }
@@ -448,18 +452,19 @@
   asio::io_context& m_loop;
   asio::steady_timer m_tick;
   HttpServer m_http;
-  std::map<std::string, Key> m_keys;
-  std::map<std::string, Key> m_backup;
+  std::map<std::string, StoredKey> m_keys;
+  std::map<std::string, StoredKey> m_backup;
   std::map<std::uint64_t, Lease> m_leases;
   std::deque<Event> m_history;
-  /// Changes at or below this revision are not told any more.
-  std::uint64_t m_forgotten{ 0 };
+  /// Changes at or below this revision are no longer in the history.
+  std::uint64_t m_compactedRevision{ 0 };
   std::vector<Watch> m_watches;
-  std::vector<HttpResponder> m_silenced;
+  /// Kept open and never answered.
+  std::vector<HttpResponder> m_unanswered;
   Faults m_faults;
   Counts m_counts;
   std::uint64_t m_revision{ 0 };
-  /// How often it has come back from a copy.
+  /// Starts at 1 and grows with each restore.
   std::uint64_t m_era{ 1 };
   std::uint64_t m_backupRevision{ 0 };
   std::uint64_t m_lastLease{ 0 };
--- a/standins/platform_store_state.hpp
+++ b/standins/platform_store_state.hpp
@@ -7,21 +7,23 @@
 #include <string>
 
 /// \file
-/// \brief What the stand-in for the platform's store holds.
+/// \brief State of the stand-in for the platform's store.
 
 namespace greengagehub::standin {
 
 using Json = nlohmann::json;
 
-struct Key
+/// \brief Value of a key, with the revisions of its last write and creation.
+struct StoredKey
 {
   std::string m_value;
   std::uint64_t m_revision{ 0 };
-  std::uint64_t m_created{ 0 };
+  std::uint64_t m_createdRevision{ 0 };
+  /// Id of its lease; 0 if it has none.
   std::uint64_t m_lease{ 0 };
 };
 
-/// A change, as watches are told of it.
+/// \brief A change of a key, with the JSON body that watches receive.
 struct Event
 {
   std::uint64_t m_revision{ 0 };
@@ -31,11 +33,11 @@
 
 struct Lease
 {
-  std::chrono::milliseconds m_time{};
+  std::chrono::milliseconds m_timeToLive{};
   TimePoint m_expires{};
 };
 
-/// A watch that waits for a change after a revision.
+/// \brief A long-polling request for changes after a revision.
 struct Watch
 {
   std::string m_prefix;
@@ -44,13 +46,16 @@
   HttpResponder m_responder;
 };
 
+/// \brief Faults that are set over HTTP.
 struct Faults
 {
   std::string m_outage{ "none" };
   std::chrono::milliseconds m_delay{ 0 };
-  std::uint64_t m_loseAnswers{ 0 };
+  /// Number of writes to come whose answers are lost.
+  std::uint64_t m_lostAnswersLeft{ 0 };
 };
 
+/// \brief Counters that GET /stats reports.
 struct Counts
 {
   std::uint64_t m_reads{ 0 };
@@ -59,8 +64,8 @@
   std::uint64_t m_lists{ 0 };
   std::uint64_t m_leaseCalls{ 0 };
   std::uint64_t m_conflicts{ 0 };
-  std::uint64_t m_turnedAway{ 0 };
-  std::uint64_t m_mostWatches{ 0 };
+  std::uint64_t m_rejected{ 0 };
+  std::uint64_t m_maxWatches{ 0 };
   std::uint64_t m_bytesOut{ 0 };
 };
 
--- a/standins/platform_worker.cpp
+++ b/standins/platform_worker.cpp
@@ -16,21 +16,20 @@
 #include <optional>
 
 /// \file
-/// \brief Stand-in for a backend server on the platform: incarnations and
-/// heartbeats, slots, a queue that sheds, deadlines, a drain, and faults
-/// switched over HTTP.
+/// \brief Stand-in for a backend server on the platform, with heartbeats,
+/// slots, a bounded queue, deadlines, drains, and faults that are set over
+/// HTTP.
 ///
 /// Control: PUT /control with any of {"heartbeats": "http://IP:PORT",
 /// "service_ms": N, "draining": true, "restart": true, "restart_same_id": MS,
 /// "report": {...}, "shed": true, "fail": true, "unsigned": true,
 /// "foreign": N, "ends_on": "/TARGET", "ends_after_ms": N, "back_after_ms": N}.
-/// "ends_on" is a request under which the process ends: its connections close
-/// and nobody listens until the next start, with another id. "restart_same_id"
-/// is a crash that closes no connection, with another start under the same id
-/// MS milliseconds of the day later (or, below zero, earlier); "report" sends
-/// one more report with these fields changed, as one that comes late or is
-/// another writer's. Counts: GET /counts, with the runs of each request id and
-/// of each target, ends, requests that were broken off, and acknowledgements.
+/// "ends_on" is the target of requests that crash the process: its connections
+/// close, and it listens again after "back_after_ms", under another id.
+/// "restart_same_id" simulates a crash that leaves connections open and a
+/// restart under the same id, with a start time that differs by MS
+/// milliseconds. "report" sends one more report with the given fields changed,
+/// such as a late or malformed one. Counters: GET /counts.
 
 namespace {
 
@@ -70,15 +69,15 @@
     : m_loop(aLoop)
     , m_options(std::move(aOptions))
     , m_client(aLoop, 1)
-    , m_beat(aLoop)
-    , m_end(aLoop)
+    , m_heartbeatTimer(aLoop)
+    , m_crashTimer(aLoop)
   {
   }
 
   [[nodiscard]] Outcome<std::uint16_t> Open()
   {
     auto port = Listen();
-    Beat();
+    RunHeartbeat();
     return port;
   }
 
@@ -135,16 +134,16 @@
         { 421, { { std::string{ platform::kInstanceId }, Id() } } });
       return;
     }
-    if (m_shed || m_waiting.size() >= m_options.m_queue) {
-      ++m_turnedAway;
-      Refuse(aRun);
+    if (m_rejectsAll || m_queued.size() >= m_options.m_queue) {
+      ++m_rejected;
+      Reject(aRun);
       return;
     }
-    m_waiting.push_back(std::move(aRun));
-    StartWaiting();
+    m_queued.push_back(std::move(aRun));
+    StartQueued();
   }
 
-  void Refuse(Run& aRun)
+  void Reject(Run& aRun)
   {
     aRun.m_responder.Answer(
       { 503,
@@ -153,11 +152,11 @@
             Header(aRun.m_request, platform::kRequestId) } } });
   }
 
-  void StartWaiting()
+  void StartQueued()
   {
-    while (!m_waiting.empty() && m_running.size() < m_options.m_slots) {
-      Run run = std::move(m_waiting.front());
-      m_waiting.pop_front();
+    while (!m_queued.empty() && m_running.size() < m_options.m_slots) {
+      Run run = std::move(m_queued.front());
+      m_queued.pop_front();
       Start(std::move(run));
     }
   }
@@ -166,22 +165,22 @@
   {
     ++m_runs[Header(aRun.m_request, platform::kRequestId)];
     ++m_targets[aRun.m_request.m_target];
-    const bool ends = aRun.m_request.m_target == m_endsOn;
-    if (ends) {
-      EndSoon();
+    const bool crashes = aRun.m_request.m_target == m_crashTarget;
+    if (crashes) {
+      ScheduleCrash();
     }
     m_callers[Header(aRun.m_request, platform::kCallerService)] += 1;
     m_tenants[Header(aRun.m_request, platform::kTenant)] += 1;
     m_keysSeen += Header(aRun.m_request, platform::kApiKey).empty() ? 0 : 1;
-    std::uint64_t left = 0;
+    std::uint64_t timeLeft = 0;
     const std::string text = Header(aRun.m_request, platform::kDeadline);
-    std::from_chars(text.data(), text.data() + text.size(), left);
-    const bool inTime = left >= m_options.m_serviceMs;
-    const std::uint64_t takes = inTime ? m_options.m_serviceMs : left;
+    std::from_chars(text.data(), text.data() + text.size(), timeLeft);
+    const bool inTime = timeLeft >= m_options.m_serviceMs;
+    const std::uint64_t duration = inTime ? m_options.m_serviceMs : timeLeft;
     auto timer = std::make_shared<asio::steady_timer>(m_loop);
-    timer->expires_after(std::chrono::milliseconds{ takes });
+    timer->expires_after(std::chrono::milliseconds{ duration });
     const std::uint64_t connection = aRun.m_request.m_connection;
-    if (!ends) {
+    if (!crashes) {
       timer->async_wait(
         [this, connection, inTime](const asio::error_code& aError) {
           if (!aError) {
@@ -203,113 +202,116 @@
     m_running.erase(found);
     const std::string id = Header(run.m_request, platform::kRequestId);
     HttpResponse response = JsonResponse(
-      !aInTime ? 504 : (m_fail ? 500 : 200),
+      !aInTime ? 504 : (m_fails ? 500 : 200),
       Json{ { "id", id }, { "target", run.m_request.m_target } }.dump());
-    response.m_headers.push_back({ std::string{ platform::kRequestId },
-                                   m_foreign > 0 ? "another-request" : id });
-    m_foreign -= m_foreign > 0 ? 1 : 0;
-    if (!m_unsigned) {
+    response.m_headers.push_back(
+      { std::string{ platform::kRequestId },
+        m_foreignAnswers > 0 ? "another-request" : id });
+    m_foreignAnswers -= m_foreignAnswers > 0 ? 1 : 0;
+    if (!m_omitsSignature) {
       response.m_headers.push_back(
         { std::string{ platform::kSeal }, "seal-" + id });
     }
     run.m_responder.Answer(std::move(response));
-    StartWaiting();
+    StartQueued();
   }
 
-  /// The caller's connection closed: what runs for it is dropped.
+  /// Cancels the run of a closed connection.
   void OnClosed(std::uint64_t aConnection)
   {
     const auto found = m_running.find(aConnection);
     if (found != m_running.end()) {
       found->second.m_timer->cancel();
       m_running.erase(found);
-      ++m_brokenOff;
-      StartWaiting();
+      ++m_cancelled;
+      StartQueued();
     }
   }
 
   // -------------------------------------------------------------------------
-  // Ends
+  // Crashes
 
-  void EndSoon()
+  void ScheduleCrash()
   {
-    if (std::exchange(m_isEnding, true)) {
+    if (std::exchange(m_isCrashing, true)) {
       return;
     }
-    m_end.expires_after(m_endsAfter);
-    m_end.async_wait([this](const asio::error_code& aError) {
+    m_crashTimer.expires_after(m_crashDelay);
+    m_crashTimer.async_wait([this](const asio::error_code& aError) {
       if (!aError) {
-        End();
+        Crash();
       }
     });
   }
 
-  void End()
+  void Crash()
   {
-    ++m_ends;
+    ++m_crashes;
     m_http.reset();
     for (auto& [connection, run] : m_running) {
       run.m_timer->cancel();
     }
     m_running.clear();
-    m_waiting.clear();
-    m_end.expires_after(m_backAfter);
-    m_end.async_wait([this](const asio::error_code& aError) {
+    m_queued.clear();
+    m_crashTimer.expires_after(m_restartDelay);
+    m_crashTimer.async_wait([this](const asio::error_code& aError) {
       if (!aError) {
-        StartAgain();
+        Restart();
       }
     });
   }
 
-  void StartAgain()
+  void Restart()
   {
-    m_isEnding = false;
+    m_isCrashing = false;
     ++m_incarnation;
     m_born = NowMs();
     m_sequence = 0;
     m_draining = false;
     if (!Listen()) {
-      // Its port is taken for a moment: as if it took longer to start.
-      m_isEnding = true;
-      End();
+      // The port is still in use: retries after the restart delay.
+      m_isCrashing = true;
+      Crash();
     }
   }
 
   // -------------------------------------------------------------------------
   // Heartbeats
 
-  void Beat()
+  void RunHeartbeat()
   {
-    if (!m_heartbeats.empty() && m_http) {
-      SendBeat();
+    if (!m_heartbeatUrl.empty() && m_http) {
+      SendHeartbeat();
     }
-    m_beat.expires_after(std::chrono::milliseconds{ m_options.m_heartbeatMs });
-    m_beat.async_wait([this](const asio::error_code& aError) {
+    m_heartbeatTimer.expires_after(
+      std::chrono::milliseconds{ m_options.m_heartbeatMs });
+    m_heartbeatTimer.async_wait([this](const asio::error_code& aError) {
       if (!aError) {
-        Beat();
+        RunHeartbeat();
       }
     });
   }
 
-  void SendBeat()
+  void SendHeartbeat()
   {
     HttpClientRequest request;
     request.m_method = "PUT";
     request.m_url =
-      m_heartbeats + std::string{ platform::kInstancesPath } + Id();
+      m_heartbeatUrl + std::string{ platform::kInstancesPath } + Id();
     request.m_timeout = std::chrono::seconds{ 1 };
-    request.m_body = ReportNow().dump();
+    request.m_body = MakeReport().dump();
     m_client.Send(
       std::move(request),
       [this, draining = m_draining](const HttpClientResult& aResult) {
-        const bool taken = aResult.m_kind == HttpClientResult::Kind::Answered &&
-                           aResult.m_response.m_status == 200;
-        m_acknowledged += taken ? 1 : 0;
-        m_drainAcknowledged = m_drainAcknowledged || (taken && draining);
+        const bool accepted =
+          aResult.m_kind == HttpClientResult::Kind::Answered &&
+          aResult.m_response.m_status == 200;
+        m_acknowledged += accepted ? 1 : 0;
+        m_drainAcknowledged = m_drainAcknowledged || (accepted && draining);
       });
   }
 
-  [[nodiscard]] Json ReportNow()
+  [[nodiscard]] Json MakeReport()
   {
     return { { "service", m_options.m_service },
              { "address",
@@ -325,40 +327,40 @@
              { "born", m_born } };
   }
 
-  /// One report that is not the present start's own word.
-  void SendOther(const Json& aChanges)
+  /// Sends an additional report with some fields changed.
+  void SendChangedReport(const Json& aChanges)
   {
-    Json report = ReportNow();
+    Json report = MakeReport();
     --m_sequence;
     report.update(aChanges);
     HttpClientRequest request;
     request.m_method = "PUT";
     request.m_url =
-      m_heartbeats + std::string{ platform::kInstancesPath } + Id();
+      m_heartbeatUrl + std::string{ platform::kInstancesPath } + Id();
     request.m_timeout = std::chrono::seconds{ 1 };
     request.m_body = report.dump();
     m_client.Send(std::move(request), [this](const HttpClientResult& aResult) {
       const bool answered = aResult.m_kind == HttpClientResult::Kind::Answered;
-      const bool refused = answered && aResult.m_response.m_status == 400;
-      m_othersAnswered += answered ? 1 : 0;
-      m_othersRefused += refused ? 1 : 0;
+      const bool rejected = answered && aResult.m_response.m_status == 400;
+      m_extraReportsAnswered += answered ? 1 : 0;
+      m_extraReportsRejected += rejected ? 1 : 0;
     });
   }
 
-  /// A crash without a word: what ran is never answered, and its connections
-  /// stay open.
-  void RestartUnderSameId(std::int64_t aLaterMs)
+  /// Simulates a crash after which requests stay unanswered on open
+  /// connections.
+  void RestartUnderSameId(std::int64_t aOffsetMs)
   {
     for (auto& [connection, run] : m_running) {
       run.m_timer->cancel();
-      m_crashed.push_back(std::move(run));
+      m_abandonedRuns.push_back(std::move(run));
     }
     m_running.clear();
-    for (Run& each : m_waiting) {
-      m_crashed.push_back(std::move(each));
+    for (Run& each : m_queued) {
+      m_abandonedRuns.push_back(std::move(each));
     }
-    m_waiting.clear();
-    m_born += aLaterMs;
+    m_queued.clear();
+    m_born += aOffsetMs;
     m_sequence = 0;
     m_draining = false;
   }
@@ -369,20 +371,20 @@
     if (!wanted.is_object()) {
       return;
     }
-    m_heartbeats = wanted.value("heartbeats", m_heartbeats);
+    m_heartbeatUrl = wanted.value("heartbeats", m_heartbeatUrl);
     m_options.m_serviceMs = wanted.value("service_ms", m_options.m_serviceMs);
     m_draining = wanted.value("draining", m_draining);
-    m_shed = wanted.value("shed", m_shed);
-    m_fail = wanted.value("fail", m_fail);
-    m_unsigned = wanted.value("unsigned", m_unsigned);
-    m_foreign = wanted.value("foreign", m_foreign);
-    m_endsOn = wanted.value("ends_on", m_endsOn);
-    m_endsAfter = std::chrono::milliseconds{ wanted.value(
-      "ends_after_ms", m_endsAfter.count()) };
-    m_backAfter = std::chrono::milliseconds{ wanted.value(
-      "back_after_ms", m_backAfter.count()) };
+    m_rejectsAll = wanted.value("shed", m_rejectsAll);
+    m_fails = wanted.value("fail", m_fails);
+    m_omitsSignature = wanted.value("unsigned", m_omitsSignature);
+    m_foreignAnswers = wanted.value("foreign", m_foreignAnswers);
+    m_crashTarget = wanted.value("ends_on", m_crashTarget);
+    m_crashDelay = std::chrono::milliseconds{ wanted.value(
+      "ends_after_ms", m_crashDelay.count()) };
+    m_restartDelay = std::chrono::milliseconds{ wanted.value(
+      "back_after_ms", m_restartDelay.count()) };
     if (wanted.contains("report")) {
-      SendOther(wanted["report"]);
+      SendChangedReport(wanted["report"]);
     }
     if (wanted.contains("restart_same_id")) {
       RestartUnderSameId(wanted["restart_same_id"].get<std::int64_t>());
@@ -401,19 +403,19 @@
       { "instance", Id() },
       { "runs", m_runs },
       { "targets", m_targets },
-      { "ends", m_ends },
+      { "ends", m_crashes },
       { "callers", m_callers },
       { "tenants", m_tenants },
       { "keys_seen", m_keysSeen },
       { "running", m_running.size() },
       { "arrivals", m_arrivals },
-      { "turned_away", m_turnedAway },
+      { "turned_away", m_rejected },
       { "misdirected", m_misdirected },
-      { "broken_off", m_brokenOff },
+      { "broken_off", m_cancelled },
       { "born", m_born },
       { "sequence", m_sequence },
-      { "others_answered", m_othersAnswered },
-      { "others_refused", m_othersRefused },
+      { "others_answered", m_extraReportsAnswered },
+      { "others_refused", m_extraReportsRejected },
       { "acknowledged", m_acknowledged },
       { "drain_acknowledged", m_drainAcknowledged }
     }.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -422,44 +424,44 @@
   asio::io_context& m_loop;
   Options m_options;
   HttpClient m_client;
-  asio::steady_timer m_beat;
-  asio::steady_timer m_end;
-  /// Nothing while the process is down.
+  asio::steady_timer m_heartbeatTimer;
+  asio::steady_timer m_crashTimer;
+  /// Empty while the simulated process is down.
   std::optional<HttpServer> m_http;
-  std::deque<Run> m_waiting;
+  std::deque<Run> m_queued;
   std::map<std::uint64_t, Run> m_running;
-  /// Of starts that have crashed; never answered.
-  std::vector<Run> m_crashed;
+  /// Runs of crashed incarnations; never answered.
+  std::vector<Run> m_abandonedRuns;
   std::map<std::string, std::uint32_t> m_runs;
   std::map<std::string, std::uint32_t> m_targets;
   std::map<std::string, std::uint32_t> m_callers;
   std::map<std::string, std::uint32_t> m_tenants;
-  /// Requests that still carried a caller's key.
+  /// Requests that carried a caller's API key.
   std::uint64_t m_keysSeen{ 0 };
-  std::string m_heartbeats;
+  std::string m_heartbeatUrl;
   std::uint64_t m_sequence{ 0 };
   std::uint64_t m_incarnation{ 1 };
-  /// Unix milliseconds of the present start.
+  /// Start of this incarnation, in Unix milliseconds.
   std::int64_t m_born{ NowMs() };
-  std::uint64_t m_othersAnswered{ 0 };
-  std::uint64_t m_othersRefused{ 0 };
+  std::uint64_t m_extraReportsAnswered{ 0 };
+  std::uint64_t m_extraReportsRejected{ 0 };
   std::uint64_t m_arrivals{ 0 };
-  std::uint64_t m_turnedAway{ 0 };
+  std::uint64_t m_rejected{ 0 };
   std::uint64_t m_misdirected{ 0 };
-  std::uint64_t m_brokenOff{ 0 };
+  std::uint64_t m_cancelled{ 0 };
   std::uint64_t m_acknowledged{ 0 };
-  std::uint32_t m_foreign{ 0 };
-  /// Target of the requests under which it ends.
-  std::string m_endsOn;
-  std::chrono::milliseconds m_endsAfter{ 20 };
-  std::chrono::milliseconds m_backAfter{ 500 };
-  std::uint64_t m_ends{ 0 };
-  bool m_isEnding{ false };
+  std::uint32_t m_foreignAnswers{ 0 };
+  /// Target of the requests that crash the process.
+  std::string m_crashTarget;
+  std::chrono::milliseconds m_crashDelay{ 20 };
+  std::chrono::milliseconds m_restartDelay{ 500 };
+  std::uint64_t m_crashes{ 0 };
+  bool m_isCrashing{ false };
   bool m_draining{ false };
   bool m_drainAcknowledged{ false };
-  bool m_shed{ false };
-  bool m_fail{ false };
-  bool m_unsigned{ false };
+  bool m_rejectsAll{ false };
+  bool m_fails{ false };
+  bool m_omitsSignature{ false };
 };
 
 }
--- a/standins/serve.hpp
+++ b/standins/serve.hpp
@@ -8,9 +8,9 @@
 
 namespace greengagehub::standin {
 
-/// \brief Opens a stand-in, tells its port in a line of JSON as daemons do, and
+/// \brief Opens a stand-in, logs its port as a "listening" event in JSON, and
 /// serves until the process ends.
-/// \returns The process's exit code.
+/// \returns The exit code of the process.
 template<class Server>
 int
 Serve(Server& aServer, asio::io_context& aLoop)
