--- a/tests/end_to_end/config_under_failure.cpp
+++ b/tests/end_to_end/config_under_failure.cpp
@@ -4,19 +4,19 @@
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
-// What proxies run while watchers, daemons and the store fail.
+// Configuration versions in force while watchers, daemons and the store fail.
 
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 
 namespace {
 
-/// Short times, so that takeovers happen within a test.
-constexpr const char* kQuick = "lease_ms = 900\nwatch_retry_ms = 200\n"
-                               "watch_max_retry_ms = 1000\n"
-                               "watch_ms = 2000\nmax_backoff_ms = 500\n"
-                               "[membership]\nperiod_ms = 200\n"
-                               "ack_timeout_ms = 80\n";
+/// Short timeouts, so that takeovers happen within a test.
+constexpr const char* kShortTimeouts = "lease_ms = 900\nwatch_retry_ms = 200\n"
+                                       "watch_max_retry_ms = 1000\n"
+                                       "watch_ms = 2000\nmax_backoff_ms = 500\n"
+                                       "[membership]\nperiod_ms = 200\n"
+                                       "ack_timeout_ms = 80\n";
 
 std::string
 Patch(std::uint64_t aNumber)
@@ -31,7 +31,7 @@
     aFleet.Add({ .m_slot = fmt::format("d{:02}", i),
                  .m_service = "locker-app",
                  .m_domain = i % 2 == 0 ? "solna" : "kista",
-                 .m_settings = kQuick,
+                 .m_settings = kShortTimeouts,
                  .m_withBackend = false });
   }
   REQUIRE(aFleet.WaitForMembers());
@@ -53,15 +53,14 @@
 
 }
 
-TEST_CASE("a daemon restarted while the store is away comes back no older")
+TEST_CASE("a daemon restarted during a store outage serves no older version")
 {
-  // A daemon runs version 3, dies and comes back with nothing while the store
-  // is away. It must not open for calls below 3; its peers know both the
-  // versions and what its slot ran.
+  // A daemon restarts without state while the store is unreachable: it must
+  // take version 3 from its peers before it accepts calls.
   Fleet fleet;
   StartDaemons(fleet, 4);
   for (std::uint64_t i = 0; i < 3; ++i) {
-    REQUIRE(fleet.Accept("d00", fmt::format("p{}", i), i, Patch(i)));
+    REQUIRE(fleet.SubmitPatch("d00", fmt::format("p{}", i), i, Patch(i)));
   }
   REQUIRE(fleet.WaitForVersion(3));
   fleet.SetStoreFaults({ { "outage", "refuse" } });
@@ -80,35 +79,34 @@
   CHECK(lowestReady == 3);
 }
 
-TEST_CASE("an answer lost after the write took effect costs a read")
+TEST_CASE("a lost answer of a successful write gives no false result")
 {
-  // The store accepts the decision and its answer is lost. The operator must
-  // not be told a guess, and asking again must give the one decision.
+  // The store accepts a write, but its answer is lost: the operator must not
+  // get a guess, and a retry must return the same decision.
   Fleet fleet;
   StartDaemons(fleet, 2);
   fleet.SetStoreFaults({ { "lose_answers", 1 } });
-  const CallResult told =
-    fleet.Operate("d00", "POST", "/v1/patches?id=lost&base=0", Patch(1));
+  const CallResult first = fleet.CallOperatorsApi(
+    "d00", "POST", "/v1/patches?id=lost&base=0", Patch(1));
   fleet.SetStoreFaults({ { "lose_answers", 0 } });
-  const CallResult again =
-    fleet.Operate("d01", "POST", "/v1/patches?id=lost&base=0", Patch(1));
-  CHECK(again.Status() == 200);
-  CHECK(again.Json()["version"] == 1);
-  const bool truthful = told.Status() == 200 || told.Status() == 503;
-  CHECK(truthful);
+  const CallResult retried = fleet.CallOperatorsApi(
+    "d01", "POST", "/v1/patches?id=lost&base=0", Patch(1));
+  CHECK(retried.Status() == 200);
+  CHECK(retried.Json()["version"] == 1);
+  const bool isExpected = first.Status() == 200 || first.Status() == 503;
+  CHECK(isExpected);
   REQUIRE(fleet.WaitForVersion(1));
   CHECK(fleet.VersionAt("d00") == 1);
 }
 
 TEST_CASE("all watchers and a third of the daemons are killed at once")
 {
-  // Every daemon that watches the store dies, with others. The places are
-  // taken over, and a version that is accepted afterwards by a process
-  // outside this fleet's daemons is in force on all that are left.
+  // All daemons that watch the store are killed: others must take the watches
+  // over, and a version accepted afterwards must reach every daemon.
   Fleet fleet;
   StartDaemons(fleet, 9);
   const auto slots = fleet.Slots();
-  REQUIRE(fleet.Accept("d00", "p0", 0, Patch(0)));
+  REQUIRE(fleet.SubmitPatch("d00", "p0", 0, Patch(0)));
   REQUIRE(fleet.WaitForVersion(1));
   REQUIRE(WaitUntil([&] { return Watchers(fleet, slots).size() == 4; }));
   std::vector<std::string> alive = slots;
@@ -117,7 +115,7 @@
     std::erase(alive, each);
   }
   CHECK(WaitUntil([&] { return Watchers(fleet, alive).size() >= 2; }));
-  REQUIRE(fleet.Accept(alive.front(), "p1", 1, Patch(1)));
+  REQUIRE(fleet.SubmitPatch(alive.front(), "p1", 1, Patch(1)));
   CHECK(fleet.WaitForVersion(2));
   for (const std::string& each : slots) {
     if (!fleet.Daemon(each).IsRunning()) {
@@ -127,46 +125,47 @@
   CHECK(fleet.WaitForVersion(2));
 }
 
-TEST_CASE("a frozen daemon wakes up and catches up")
+TEST_CASE("a paused daemon catches up after it resumes")
 {
   Fleet fleet;
   StartDaemons(fleet, 4);
-  REQUIRE(fleet.Accept("d00", "p0", 0, Patch(0)));
+  REQUIRE(fleet.SubmitPatch("d00", "p0", 0, Patch(0)));
   REQUIRE(fleet.WaitForVersion(1));
   fleet.Daemon("d01").Signal(SIGSTOP);
   for (std::uint64_t i = 1; i < 6; ++i) {
-    REQUIRE(fleet.Accept("d00", fmt::format("p{}", i), i, Patch(i)));
+    REQUIRE(fleet.SubmitPatch("d00", fmt::format("p{}", i), i, Patch(i)));
   }
-  // The others hold it for gone, and must take it back.
+  // Its peers have removed it from the membership and must add it again.
   REQUIRE(WaitUntil([&] {
-    return fleet.Operate("d00", "GET", "/v1/version").Json()["members"] == 3;
+    return fleet.CallOperatorsApi("d00", "GET", "/v1/version")
+             .Json()["members"] == 3;
   }));
   fleet.Daemon("d01").Signal(SIGCONT);
   CHECK(fleet.WaitForVersion(6));
   CHECK(fleet.WaitForMembers());
 }
 
-TEST_CASE("a store restored from a backup is not followed backwards")
+TEST_CASE("daemons keep their version after a restore of an older store")
 {
-  // The operators' store comes back as it was two versions ago. Proxies keep
-  // what they run, say so, and take no decision on it.
+  // The store returns two versions older: daemons must keep the newer version,
+  // log the fact, and reject patches.
   Fleet fleet;
   StartDaemons(fleet, 3);
-  REQUIRE(fleet.Accept("d00", "p0", 0, Patch(0)));
+  REQUIRE(fleet.SubmitPatch("d00", "p0", 0, Patch(0)));
   REQUIRE(fleet.WaitForVersion(1));
   fleet.StoreAction("/backup");
-  REQUIRE(fleet.Accept("d00", "p1", 1, Patch(1)));
-  REQUIRE(fleet.Accept("d00", "p2", 2, Patch(2)));
+  REQUIRE(fleet.SubmitPatch("d00", "p1", 1, Patch(1)));
+  REQUIRE(fleet.SubmitPatch("d00", "p2", 2, Patch(2)));
   REQUIRE(fleet.WaitForVersion(3));
   fleet.StoreAction("/restore");
-  const CallResult refused =
-    fleet.Operate("d01", "POST", "/v1/patches?id=p3&base=3", Patch(3));
-  CHECK(refused.Status() == 500);
-  CHECK(refused.Json()["error"] == "store-behind");
+  const CallResult rejected =
+    fleet.CallOperatorsApi("d01", "POST", "/v1/patches?id=p3&base=3", Patch(3));
+  CHECK(rejected.Status() == 500);
+  CHECK(rejected.Json()["error"] == "store-behind");
   CHECK(WaitUntil([&] {
     const auto slots = fleet.Slots();
     return std::any_of(slots.begin(), slots.end(), [&](const auto& aSlot) {
-      return fleet.Daemon(aSlot).Logged("store_behind");
+      return fleet.Daemon(aSlot).HasLogged("store_behind");
     });
   }));
   for (const std::string& each : fleet.Slots()) {
@@ -174,10 +173,10 @@
   }
 }
 
-TEST_CASE("the whole fleet restarts and starts again from the store")
+TEST_CASE("a fleet that restarts as a whole loads its state from the store")
 {
-  // Every daemon dies. Nothing is left but the store, whose log has been
-  // packed, so that a snapshot has to be read as well.
+  // All daemons are killed and the store's log has been compacted: a snapshot
+  // has to be read as well as the log.
   Fleet fleet;
   StartDaemons(fleet, 3);
   const std::string filler(480, 'x');
@@ -194,7 +193,7 @@
                            route,
                            filler);
     }
-    REQUIRE(fleet.Accept("d00", fmt::format("p{}", i), i, patch + "}}"));
+    REQUIRE(fleet.SubmitPatch("d00", fmt::format("p{}", i), i, patch + "}}"));
   }
   REQUIRE(fleet.WaitForVersion(14));
   REQUIRE(WaitUntil([&] { return fleet.StoreStats()["keys"] > 10; }));
@@ -205,29 +204,29 @@
     fleet.Restart(each);
   }
   CHECK(fleet.WaitForVersion(14));
-  const CallResult old = fleet.Operate("d02", "GET", "/v1/patches/p0");
-  CHECK(old.Status() == 200);
-  CHECK(old.Json()["version"] == 1);
+  const CallResult firstPatch =
+    fleet.CallOperatorsApi("d02", "GET", "/v1/patches/p0");
+  CHECK(firstPatch.Status() == 200);
+  CHECK(firstPatch.Json()["version"] == 1);
 }
 
-TEST_CASE("store calls do not grow with the fleet")
+TEST_CASE("the number of store calls does not grow with the fleet")
 {
-  // Each daemon that watched, read or wrote the store by itself would take
-  // the whole fleet's rates with it. Watches are held by a fixed few for each
-  // failure domain, whatever the number of daemons.
+  // Guards against daemons that each read, write or watch the store: watches
+  // are limited to a fixed number per failure domain.
   for (const int count : { 4, 16 }) {
     Fleet fleet;
     StartDaemons(fleet, count);
     REQUIRE(
       WaitUntil([&] { return Watchers(fleet, fleet.Slots()).size() == 4; }));
     for (std::uint64_t i = 0; i < 3; ++i) {
-      REQUIRE(fleet.Accept("d00", fmt::format("p{}", i), i, Patch(i)));
+      REQUIRE(fleet.SubmitPatch("d00", fmt::format("p{}", i), i, Patch(i)));
     }
     REQUIRE(fleet.WaitForVersion(3));
     const auto stats = fleet.StoreStats();
     MESSAGE(count, " daemons: ", stats.dump());
     CHECK(stats["most_watching"] <= 5);
-    // Three decisions, four places taken and kept; a few takers that raced.
+    // Three decisions, four watch leases with renewals, a few lost races.
     CHECK(stats["writes"] <= 20);
   }
 }
--- a/tests/end_to_end/crashing_requests.cpp
+++ b/tests/end_to_end/crashing_requests.cpp
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-// A request under which each backend server ends that runs it.
+// Quarantine of a request that crashes every backend server that runs it.
 
 using namespace greengagehub;
 using namespace greengagehub::testkit;
@@ -10,29 +10,29 @@
 
 namespace {
 
-constexpr const char* kCrashing = "/status/crashing";
-/// Workers that a request may end before the fleet keeps it from the others.
-constexpr int kWitnesses = 3;
-/// Copies that are on their way as the last of these becomes known.
-constexpr int kOnTheirWay = 2;
+constexpr const char* kCrashingTarget = "/status/crashing";
+/// Crashes after which a request is quarantined.
+constexpr int kCrashLimit = 3;
+/// Copies in flight when the last of these crashes becomes known.
+constexpr int kInFlight = 2;
 constexpr int kWorkers = 8;
 
-/// All workers of the fleet end under kCrashing.
+/// Makes all workers of the fleet crash when they run kCrashingTarget.
 void
-EndOnCrashing(const Fleet& aFleet)
+CrashOnRequest(const Fleet& aFleet)
 {
   for (const std::string& each : aFleet.Slots()) {
     aFleet.ControlWorker(each,
-                         { { "ends_on", kCrashing },
+                         { { "ends_on", kCrashingTarget },
                            { "ends_after_ms", 30 },
                            { "back_after_ms", 400 } });
   }
 }
 
-/// \returns A count of the workers, summed over them; each is waited for until
-/// it is back.
+/// Waits until each worker answers.
+/// \returns The sum of a count over all workers.
 int
-Sum(const Fleet& aFleet, const std::function<int(const Json&)>& aOf)
+Sum(const Fleet& aFleet, const std::function<int(const Json&)>& aSelect)
 {
   int sum = 0;
   for (const std::string& each : aFleet.Slots()) {
@@ -41,69 +41,62 @@
       counts = aFleet.WorkerCounts(each);
       return counts.is_object();
     }));
-    sum += aOf(counts);
+    sum += aSelect(counts);
   }
   return sum;
 }
 
 int
-Ends(const Fleet& aFleet)
+CrashCount(const Fleet& aFleet)
 {
   return Sum(aFleet,
              [](const Json& aCounts) { return aCounts.value("ends", 0); });
 }
 
 int
-RunsOfCrashing(const Fleet& aFleet)
+CrashingRuns(const Fleet& aFleet)
 {
   return Sum(aFleet, [](const Json& aCounts) {
-    return aCounts["targets"].value(kCrashing, 0);
+    return aCounts["targets"].value(kCrashingTarget, 0);
   });
 }
 
 }
 
-TEST_CASE("a request that ends its workers is kept from those that are left")
+TEST_CASE("a request that crashes its workers is quarantined")
 {
-  // One status read ended each worker that ran it, some 60 to 120 ms into the
-  // run. Its caller sent it again, at any daemon and with a new id, and each
-  // daemon took it for a new request: all five workers of the service ended
-  // within 1.7 s, were back after three seconds, and ended again, sixteen ends
-  // in a row. The daemons' own lines showed the same content each time:
-  //   worker_ended instance=i-1574830c63 runs=13
-  //   worker_ended instance=i-248af8be62 runs=18
-  // 106 and 54 ms after the same read had begun there, and nobody counted.
+  // A caller retries a crashing request at any daemon and under new ids:
+  // without a fleet-wide crash count it takes down every worker of the service.
   Fleet fleet;
   StartLockers(fleet, kWorkers);
-  EndOnCrashing(fleet);
+  CrashOnRequest(fleet);
   for (int i = 0; i < 24; ++i) {
     const std::string slot = "lockers-" + std::to_string(i % kWorkers + 1);
     const auto status =
-      Ask(fleet, slot, "GET", kCrashing, "c" + std::to_string(i)).Status();
+      SendRequest(fleet, slot, "GET", kCrashingTarget, "c" + std::to_string(i))
+        .Status();
     CHECK(status >= 500);
-    // Others of the same caller go on being served.
+    // Other requests of the same caller are still served.
     const auto other =
-      Ask(fleet, slot, "GET", "/status/1", "o" + std::to_string(i));
+      SendRequest(fleet, slot, "GET", "/status/1", "o" + std::to_string(i));
     CHECK(other.Status() == 200);
   }
-  CHECK(Ends(fleet) <= kWitnesses + kOnTheirWay);
-  CHECK(RunsOfCrashing(fleet) <= kWitnesses + kOnTheirWay);
+  CHECK(CrashCount(fleet) <= kCrashLimit + kInFlight);
+  CHECK(CrashingRuns(fleet) <= kCrashLimit + kInFlight);
 }
 
-TEST_CASE("a request that ended its workers is still known after a restart of "
-          "all daemons")
+TEST_CASE("a quarantine outlasts a restart of all daemons")
 {
-  // Every daemon is killed after a request has ended three workers; the workers
-  // live on. A fleet that begins to count anew loses as many again, and the
-  // same at each restart.
+  // All daemons restart while the workers keep running: a crash count that
+  // started at zero again would cost as many workers at each restart.
   Fleet fleet;
   StartLockers(fleet, kWorkers);
-  EndOnCrashing(fleet);
+  CrashOnRequest(fleet);
   const auto ask = [&](int aNumber) {
     const std::string slot =
       "lockers-" + std::to_string(aNumber % kWorkers + 1);
     const std::string id = "c" + std::to_string(aNumber);
-    return Ask(fleet, slot, "GET", kCrashing, id).Status();
+    return SendRequest(fleet, slot, "GET", kCrashingTarget, id).Status();
   };
   for (int i = 0; i < 12; ++i) {
     CHECK(ask(i) >= 500);
@@ -114,76 +107,80 @@
   for (const std::string& each : fleet.Slots()) {
     fleet.Restart(each);
   }
-  AwaitLockers(fleet);
-  const int before = Ends(fleet);
+  WaitForLockers(fleet);
+  const int before = CrashCount(fleet);
   for (int i = 12; i < 24; ++i) {
     CHECK(ask(i) >= 500);
   }
-  CHECK(Ends(fleet) == before);
+  CHECK(CrashCount(fleet) == before);
 }
 
-TEST_CASE("a daemon that starts while the store is away hears of what is held")
+TEST_CASE("a daemon started during a store outage learns what is quarantined")
 {
-  // The store answers nobody. The daemon takes the configuration from its
-  // peers, and must not take the request for a new one.
+  // The store is unreachable: the daemon must take the quarantine, as the
+  // configuration, from its peers.
   Fleet fleet;
   StartLockers(fleet, kWorkers);
-  EndOnCrashing(fleet);
+  CrashOnRequest(fleet);
   for (int i = 0; i < 8; ++i) {
     const std::string slot = "lockers-" + std::to_string(i + 1);
     CHECK(
-      Ask(fleet, slot, "GET", kCrashing, "c" + std::to_string(i)).Status() >=
-      500);
+      SendRequest(fleet, slot, "GET", kCrashingTarget, "c" + std::to_string(i))
+        .Status() >= 500);
   }
   fleet.SetStoreFaults({ { "outage", "refuse" } });
   fleet.Restart("lockers-1");
-  AwaitLockers(fleet);
-  const int before = Ends(fleet);
+  WaitForLockers(fleet);
+  const int before = CrashCount(fleet);
   for (int i = 0; i < 6; ++i) {
-    const auto answer =
-      Ask(fleet, "lockers-1", "GET", kCrashing, "d" + std::to_string(i));
+    const auto answer = SendRequest(
+      fleet, "lockers-1", "GET", kCrashingTarget, "d" + std::to_string(i));
     CHECK(answer.Status() == 503);
   }
-  CHECK(Ends(fleet) == before);
+  CHECK(CrashCount(fleet) == before);
 }
 
-TEST_CASE("what is held is shown with its witnesses, and let go on command")
+TEST_CASE(
+  "quarantined requests are listed with their crashes and can be lifted")
 {
-  // The engineer on call has a request's id. The trace leads to its content,
-  // the list to the workers that ended under it; a repaired worker gets it
-  // again.
+  // The trace of a request id must show its fingerprint, and the list its
+  // crashes; once lifted, the request must run again.
   Fleet fleet;
   StartLockers(fleet, kWorkers);
-  EndOnCrashing(fleet);
+  CrashOnRequest(fleet);
   for (int i = 0; i < 8; ++i) {
     const std::string id = "c" + std::to_string(i);
-    CHECK(Ask(fleet, "lockers-1", "GET", kCrashing, id).Status() >= 500);
+    CHECK(
+      SendRequest(fleet, "lockers-1", "GET", kCrashingTarget, id).Status() >=
+      500);
   }
-  CommandResult held;
+  CommandResult listed;
   REQUIRE(WaitUntil([&] {
-    held = fleet.Command("lockers-2", { "held" });
-    return held.m_output.find("1 held") != std::string::npos;
+    listed = fleet.Command("lockers-2", { "held" });
+    return listed.m_output.find("1 held") != std::string::npos;
   }));
-  CHECK(held.m_output.find("3 ends under it at lockers") != std::string::npos);
-  CHECK(held.m_output.find("s ago, after") != std::string::npos);
-  const std::string content = held.m_output.substr(0, 32);
+  CHECK(listed.m_output.find("3 ends under it at lockers") !=
+        std::string::npos);
+  CHECK(listed.m_output.find("s ago, after") != std::string::npos);
+  const std::string fingerprint = listed.m_output.substr(0, 32);
 
   CommandResult trace;
   REQUIRE(WaitUntil([&] {
     trace = fleet.Trace("c7");
     return trace.m_output.find("request_held") != std::string::npos;
   }));
-  CHECK(trace.m_output.find(content) != std::string::npos);
+  CHECK(trace.m_output.find(fingerprint) != std::string::npos);
 
   for (const std::string& each : fleet.Slots()) {
     REQUIRE(WaitUntil([&] { return fleet.WorkerCounts(each).is_object(); }));
     fleet.ControlWorker(each, { { "ends_on", "" } });
   }
   CHECK(fleet.Command("lockers-3", { "lift", "00" }).m_exitCode == 2);
-  CHECK(fleet.Command("lockers-3", { "lift", content }).m_exitCode == 0);
+  CHECK(fleet.Command("lockers-3", { "lift", fingerprint }).m_exitCode == 0);
   for (const std::string& each : fleet.Slots()) {
     CHECK(WaitUntil([&] {
-      return Ask(fleet, each, "GET", kCrashing, "l" + each).Status() == 200;
+      return SendRequest(fleet, each, "GET", kCrashingTarget, "l" + each)
+               .Status() == 200;
     }));
   }
 }
--- a/tests/end_to_end/platform.cpp
+++ b/tests/end_to_end/platform.cpp
@@ -6,47 +6,53 @@
 #include <doctest/doctest.h>
 #include <thread>
 
-// The daemon on the platform: real processes beside workers that send
-// heartbeats, with the operators' configuration in the platform's store.
+// Daemons as real processes on the platform: workers send heartbeats, and the
+// operators' configuration is in the platform's store.
 
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 
-TEST_CASE("a configuration in the store is served, and so is its successor")
+TEST_CASE("routes follow the configuration in the store")
 {
-  // Before the first configuration nothing is known of any route: a 404 would
-  // make callers give up for good. Routes then come and go with the versions.
+  // Before the first configuration the answer must be 503: a 404 would make
+  // callers give up for good.
   Fleet fleet;
   fleet.Add(
     { .m_slot = "lockers-1", .m_service = "lockers", .m_onPlatform = true });
-  CHECK(Ask(fleet, "lockers-1", "GET", "/status/1", "early").Status() == 503);
+  CHECK(SendRequest(fleet, "lockers-1", "GET", "/status/1", "early").Status() ==
+        503);
   CHECK_FALSE(fleet.IsReady("lockers-1"));
 
   fleet.PutPlatformConfig(Document("0000000c", kRules));
   REQUIRE(WaitUntil([&] { return fleet.IsReady("lockers-1"); }));
   REQUIRE(WaitUntil([&] {
-    return Ask(fleet, "lockers-1", "GET", "/status/1", "first").Status() == 200;
+    return SendRequest(fleet, "lockers-1", "GET", "/status/1", "first")
+             .Status() == 200;
   }));
-  const CallResult answer = Ask(fleet, "lockers-1", "POST", "/release/1", "r1");
+  const CallResult answer =
+    SendRequest(fleet, "lockers-1", "POST", "/release/1", "r1");
   CHECK(answer.Status() == 200);
   const auto& headers = answer.m_result.m_response.m_headers;
   CHECK(HeaderValue(headers, "X-Greengagehub-Response-Seal") == "seal-r1");
   CHECK(HeaderValue(headers, "X-Greengagehub-Request-Id") == "r1");
   CHECK(fleet.WorkerCounts("lockers-1")["callers"].value("lockers", 0) >= 1);
-  CHECK(Ask(fleet, "lockers-1", "GET", "/other/1", "none").Status() == 404);
+  CHECK(SendRequest(fleet, "lockers-1", "GET", "/other/1", "none").Status() ==
+        404);
 
   fleet.PutPlatformConfig(
     Document("0000000f", Json::array({ Rule("other", "safe", "/other/") })));
   CHECK(WaitUntil([&] {
-    return Ask(fleet, "lockers-1", "GET", "/other/1", "o").Status() == 200;
+    return SendRequest(fleet, "lockers-1", "GET", "/other/1", "o").Status() ==
+           200;
   }));
-  CHECK(Ask(fleet, "lockers-1", "GET", "/status/1", "gone").Status() == 404);
+  CHECK(SendRequest(fleet, "lockers-1", "GET", "/status/1", "gone").Status() ==
+        404);
 }
 
-TEST_CASE("a worker that leaves gets nothing more, and others take over")
+TEST_CASE("a draining worker gets no more calls")
 {
-  // A worker reports that it leaves. From the acknowledgement on, what its
-  // daemon and all others get goes to the other worker.
+  // Once the drain is acknowledged, all daemons must send calls to the other
+  // worker.
   Fleet fleet;
   StartLockers(fleet, 2);
   fleet.ControlWorker("lockers-1", { { "draining", true } });
@@ -57,83 +63,84 @@
   for (int i = 0; i < 20; ++i) {
     const std::string id = "d" + std::to_string(i);
     const std::string slot = i % 2 == 0 ? "lockers-1" : "lockers-2";
-    CHECK(Ask(fleet, slot, "POST", "/release/1", id).Status() == 200);
+    CHECK(SendRequest(fleet, slot, "POST", "/release/1", id).Status() == 200);
     CHECK(Runs(fleet, id) == 1);
   }
   CHECK(fleet.WorkerCounts("lockers-1")["arrivals"] == before);
 }
 
-TEST_CASE("another start of the worker is never taken for the one before")
+TEST_CASE("a restarted worker is not treated as its previous incarnation")
 {
-  // The worker dies and starts again at the same address. Until its first
-  // report, requests are still addressed to the start that is gone: it turns
-  // them away, and none runs twice.
+  // Until the first report after a restart at the same address, requests name
+  // the previous incarnation: the worker rejects them, and none may run twice.
   Fleet fleet;
   StartLockers(fleet, 2);
   fleet.ControlWorker("lockers-1", { { "restart", true } });
   for (int i = 0; i < 10; ++i) {
     const std::string id = "s" + std::to_string(i);
-    CHECK(Ask(fleet, "lockers-1", "POST", "/release/1", id).Status() == 200);
+    CHECK(SendRequest(fleet, "lockers-1", "POST", "/release/1", id).Status() ==
+          200);
     CHECK(Runs(fleet, id) == 1);
   }
 }
 
-TEST_CASE("a worker that starts again under its id takes calls again")
+TEST_CASE("a worker restarted under the same id gets calls again")
 {
-  // The worker crashes without closing a connection and starts again under the
-  // same id, counting its reports anew. It was never taken up again: each of
-  // its reports looked late. What the former start was given would wait up to
-  // its deadline for an answer that cannot come.
+  // Sequence numbers start again at zero: reports must not be dropped as late,
+  // and calls of the previous incarnation must not wait until their deadline.
   Fleet fleet;
   StartLockers(fleet, 1, 700);
-  std::int64_t later = 5000;
+  std::int64_t startOffsetMs = 5000;
   SUBCASE("later by the time of day") {}
   SUBCASE("the time of day has stepped back")
   {
-    later = -3'600'000;
+    startOffsetMs = -3'600'000;
   }
   REQUIRE(WaitUntil(
     [&] { return fleet.WorkerCounts("lockers-1").value("sequence", 0) >= 5; }));
   std::thread caller{ [&] {
     const auto status =
-      Ask(fleet, "lockers-1", "POST", "/release/1", "lost", "20000").Status();
+      SendRequest(fleet, "lockers-1", "POST", "/release/1", "lost", "20000")
+        .Status();
     CHECK(status == 502);
   } };
-  const auto beats = [&] {
+  const auto acknowledged = [&] {
     return fleet.WorkerCounts("lockers-1").value("acknowledged", 0);
   };
   REQUIRE(WaitUntil([&] { return Runs(fleet, "lost") == 1; }));
-  // What was under way when the former start last reported is certainly its.
-  const auto atRun = beats();
-  REQUIRE(WaitUntil([&] { return beats() > atRun; }));
-  fleet.ControlWorker("lockers-1", { { "restart_same_id", later } });
-  const auto atRestart = beats();
+  // A report after the start of the run assigns it to this incarnation.
+  const auto beforeReport = acknowledged();
+  REQUIRE(WaitUntil([&] { return acknowledged() > beforeReport; }));
+  fleet.ControlWorker("lockers-1", { { "restart_same_id", startOffsetMs } });
+  const auto atRestart = acknowledged();
   CHECK(WaitUntil([&] {
-    return Ask(fleet, "lockers-1", "GET", "/status/1", "again").Status() == 200;
+    return SendRequest(fleet, "lockers-1", "GET", "/status/1", "again")
+             .Status() == 200;
   }));
   caller.join();
   CHECK(Runs(fleet, "lost") == 1);
-  REQUIRE(WaitUntil([&] { return beats() > atRestart + 2; }));
-  CHECK(Ask(fleet, "lockers-1", "POST", "/release/1", "r2").Status() == 200);
+  REQUIRE(WaitUntil([&] { return acknowledged() > atRestart + 2; }));
+  CHECK(SendRequest(fleet, "lockers-1", "POST", "/release/1", "r2").Status() ==
+        200);
 }
 
-TEST_CASE("reports of a former start and of other writers change nothing")
+TEST_CASE("late and malformed reports do not affect a worker")
 {
-  // Beside the worker's own reports come late ones of its former start and
-  // garbage. Each gets a prompt answer; none drains the worker that serves.
+  // Late reports of a previous incarnation and malformed ones must each get an
+  // answer, and none may drain the worker.
   Fleet fleet;
   StartLockers(fleet, 1);
   fleet.ControlWorker("lockers-1", { { "restart_same_id", 5000 } });
   REQUIRE(WaitUntil(
     [&] { return fleet.WorkerCounts("lockers-1").value("sequence", 0) >= 2; }));
-  const auto born =
+  const auto startedAt =
     fleet.WorkerCounts("lockers-1").value("born", std::int64_t{ 0 });
-  const Json late{ { "born", born - 5000 }, { "seq", 900 } };
-  Json lateLeave = late;
-  lateLeave["state"] = "draining";
-  const std::vector<Json> others{
+  const Json late{ { "born", startedAt - 5000 }, { "seq", 900 } };
+  Json lateDrain = late;
+  lateDrain["state"] = "draining";
+  const std::vector<Json> reports{
     late,
-    lateLeave,
+    lateDrain,
     { { "state", "resting" }, { "seq", 901 } },
     { { "slots", 6.5 }, { "seq", 902 } },
     { { "slots", -1 }, { "seq", 903 } },
@@ -142,25 +149,25 @@
     { { "born", "yesterday" }, { "seq", 905 } },
     { { "state", "draining" }, { "service", "ledger" }, { "seq", 906 } },
   };
-  for (const Json& each : others) {
+  for (const Json& each : reports) {
     fleet.ControlWorker("lockers-1", { { "report", each } });
   }
   REQUIRE(WaitUntil([&] {
     return fleet.WorkerCounts("lockers-1").value("others_answered", 0U) ==
-           others.size();
+           reports.size();
   }));
   CHECK(fleet.WorkerCounts("lockers-1").value("others_refused", 0) == 6);
   for (int i = 0; i < 5; ++i) {
     const std::string id = "w" + std::to_string(i);
-    CHECK(Ask(fleet, "lockers-1", "POST", "/release/1", id).Status() == 200);
+    CHECK(SendRequest(fleet, "lockers-1", "POST", "/release/1", id).Status() ==
+          200);
   }
 }
 
-TEST_CASE("what other writers left in the store keeps nobody from serving")
+TEST_CASE("malformed values in the store do not keep daemons from serving")
 {
-  // Somebody has written under every key that daemons read: bytes that are
-  // nothing, objects with fields of other types, an address that is none. The
-  // daemons start, find each other, and serve; good entries beside it count.
+  // Every key that daemons read holds invalid bytes, wrong types or bad
+  // addresses: daemons must still start, find each other, and serve.
   Fleet fleet;
   const std::vector<std::string> garbage{
     "\xff\xfe\x01",
@@ -173,7 +180,7 @@
   };
   std::size_t next = 0;
   const auto put = [&](const std::string& aKey) {
-    fleet.PutIntoStore(aKey, garbage[next++ % garbage.size()]);
+    fleet.WriteToStore(aKey, garbage[next++ % garbage.size()]);
   };
   for (int round = 0; round < 7; ++round) {
     for (const char* place : { "0", "1", "2", "17", "x", "" }) {
@@ -193,12 +200,13 @@
   StartLockers(fleet, 3);
   for (int i = 0; i < 10; ++i) {
     const std::string id = "g" + std::to_string(i);
-    CHECK(Ask(fleet, "lockers-1", "POST", "/release/1", id).Status() == 200);
+    CHECK(SendRequest(fleet, "lockers-1", "POST", "/release/1", id).Status() ==
+          200);
     CHECK(Runs(fleet, id) == 1);
   }
 }
 
-TEST_CASE("what workers hand out wrongly never reaches a caller")
+TEST_CASE("invalid answers of a worker never reach a caller")
 {
   Fleet fleet;
   StartLockers(fleet, 1);
@@ -206,50 +214,54 @@
   {
     fleet.ControlWorker("lockers-1", { { "unsigned", true } });
     const auto status =
-      Ask(fleet, "lockers-1", "POST", "/release/1", "u1").Status();
+      SendRequest(fleet, "lockers-1", "POST", "/release/1", "u1").Status();
     CHECK(status == 502);
   }
   SUBCASE("an answer to another request")
   {
-    // It is dropped, and the right one never comes.
+    // The answer is dropped, and no other one follows.
     fleet.ControlWorker("lockers-1", { { "foreign", 1 } });
     const auto status =
-      Ask(fleet, "lockers-1", "POST", "/release/1", "f1", "400").Status();
+      SendRequest(fleet, "lockers-1", "POST", "/release/1", "f1", "400")
+        .Status();
     CHECK(status == 504);
-    CHECK(Ask(fleet, "lockers-1", "POST", "/release/1", "f2").Status() == 200);
+    CHECK(
+      SendRequest(fleet, "lockers-1", "POST", "/release/1", "f2").Status() ==
+      200);
   }
-  SUBCASE("a refusal that is marked did not run")
+  SUBCASE("a rejection marked as not executed")
   {
     fleet.ControlWorker("lockers-1", { { "shed", true } });
-    const CallResult refused =
-      Ask(fleet, "lockers-1", "POST", "/release/1", "n1");
-    CHECK(refused.Status() == 503);
+    const CallResult rejected =
+      SendRequest(fleet, "lockers-1", "POST", "/release/1", "n1");
+    CHECK(rejected.Status() == 503);
     CHECK(Runs(fleet, "n1") == 0);
   }
 }
 
-TEST_CASE(
-  "a request that outlives its route's time may have run, and is told so")
+TEST_CASE("a request that exceeds its route's timeout is reported as timed out")
 {
-  // The worker takes longer than the route allows. An attempt has started, so
-  // "not run" would be false, even if a later attempt was turned away.
+  // An attempt has started, so that "not run" would be false, even if a later
+  // attempt was rejected.
   Fleet fleet;
   StartLockers(fleet, 2, 3000);
   const CallResult late =
-    Ask(fleet, "lockers-1", "GET", "/status/1", "late", "5000");
+    SendRequest(fleet, "lockers-1", "GET", "/status/1", "late", "5000");
   CHECK(late.Status() == 504);
   CHECK(Runs(fleet, "late") >= 1);
 }
 
-TEST_CASE("a refused request is explained from its id and the logs alone")
+TEST_CASE("the trace of a rejected request shows the cause")
 {
-  // A caller hears 503 and gives its request's id to the engineer on call, who
-  // has only the logs. The page in docs/OPERATIONS.md goes by these steps.
+  // Follows docs/OPERATIONS.md: a request's id and the daemons' logs must be
+  // enough to explain a 503.
   Fleet fleet;
   StartLockers(fleet, 2);
   fleet.ControlWorker("lockers-1", { { "shed", true } });
   fleet.ControlWorker("lockers-2", { { "shed", true } });
-  REQUIRE(Ask(fleet, "lockers-1", "POST", "/release/1", "x1").Status() == 503);
+  REQUIRE(
+    SendRequest(fleet, "lockers-1", "POST", "/release/1", "x1").Status() ==
+    503);
   CommandResult trace;
   REQUIRE(WaitUntil([&] {
     trace = fleet.Trace("x1");
@@ -262,10 +274,9 @@
   CHECK(trace.m_output.find("ended by: {") != std::string::npos);
 }
 
-TEST_CASE("a caller that leaves takes its run with it")
+TEST_CASE("a caller that disconnects cancels its run")
 {
-  // A tenant closes the app while a lookup runs. The worker would work on for
-  // nobody, in a slot that others wait for.
+  // Guards against runs that occupy a slot after their caller disconnected.
   Fleet fleet;
   StartLockers(fleet, 1, 800);
   HttpClientRequest request;
@@ -280,25 +291,26 @@
   }));
 }
 
-TEST_CASE("a daemon told to stop says so, and answers what comes until then")
+TEST_CASE("a stopping daemon reports that it is not ready and still answers")
 {
-  // The platform stops daemons in turn. Callers go on for two missed questions;
-  // nothing that they send is lost, and the process ends by itself.
+  // Callers keep sending until two readiness checks have failed: no call may be
+  // lost, and the process must then exit by itself.
   Fleet fleet;
   StartLockers(fleet, 2);
   fleet.Daemon("lockers-1").Signal(SIGTERM);
   REQUIRE(WaitUntil([&] { return !fleet.IsReady("lockers-1"); }));
   for (int i = 0; i < 20; ++i) {
     const std::string id = "t" + std::to_string(i);
-    CHECK(Ask(fleet, "lockers-1", "POST", "/release/1", id).Status() == 200);
+    CHECK(SendRequest(fleet, "lockers-1", "POST", "/release/1", id).Status() ==
+          200);
   }
   CHECK(fleet.Daemon("lockers-1").Wait() == 0);
 }
 
-TEST_CASE("addresses are back in a store that comes back from an older copy")
+TEST_CASE("seed addresses are published again after a restore of the store")
 {
-  // The copy is from before the fleet started: whoever starts now would find
-  // nobody.
+  // The copy is older than the fleet: without seeds, new daemons could not
+  // join.
   Fleet fleet;
   fleet.StoreAction("/backup");
   StartLockers(fleet, 3);
@@ -306,7 +318,7 @@
     const std::string prefix{ kSeedPrefix };
     int found = 0;
     for (const char* place : { "0", "1" }) {
-      found += fleet.FromStore(prefix + "solna/" + place).empty() ? 0 : 1;
+      found += fleet.ReadFromStore(prefix + "solna/" + place).empty() ? 0 : 1;
     }
     return found;
   };
--- a/tests/end_to_end/platform_fleet.hpp
+++ b/tests/end_to_end/platform_fleet.hpp
@@ -38,9 +38,9 @@
 inline const Json kRules = { Rule("release", "unsafe", "/release/"),
                              Rule("status", "safe", "/status/") };
 
-/// Waits until all daemons serve and have heard of their workers.
+/// Waits until all daemons are ready and have received a worker's report.
 inline void
-AwaitLockers(Fleet& aFleet)
+WaitForLockers(Fleet& aFleet)
 {
   const auto acknowledged = [&](const std::string& aSlot) {
     const Json counts = aFleet.WorkerCounts(aSlot);
@@ -54,7 +54,7 @@
   }
 }
 
-/// Workers of one service, each with its daemon, and a route to them.
+/// Starts workers of one service, each with its daemon, and routes to them.
 inline void
 StartLockers(Fleet& aFleet, int aCount, std::uint32_t aServiceMs = 2)
 {
@@ -65,16 +65,16 @@
                  .m_onPlatform = true });
   }
   aFleet.PutPlatformConfig(Document("0000000c", kRules));
-  AwaitLockers(aFleet);
+  WaitForLockers(aFleet);
 }
 
 inline CallResult
-Ask(const Fleet& aFleet,
-    const std::string& aSlot,
-    const char* aMethod,
-    const std::string& aTarget,
-    const std::string& aId,
-    const char* aDeadline = "1000")
+SendRequest(const Fleet& aFleet,
+            const std::string& aSlot,
+            const char* aMethod,
+            const std::string& aTarget,
+            const std::string& aId,
+            const char* aDeadline = "1000")
 {
   return aFleet.Call(aSlot,
                      aMethod,
--- a/tests/end_to_end/reload.cpp
+++ b/tests/end_to_end/reload.cpp
@@ -7,12 +7,11 @@
 using namespace greengagehub::testkit;
 
 TEST_CASE(
-  "a daemon told that its settings changed goes on, with a good file and "
-  "with a bad one")
+  "a daemon keeps running on SIGHUP, with a valid settings file and with an "
+  "invalid one")
 {
-  // The platform rewrites the settings file and sends SIGHUP. The default
-  // action of the signal ends the process with all calls on it, and a file
-  // that is half written must not do so either.
+  // Guards against a reload that ends the process: by the default action of
+  // SIGHUP, or by a half-written settings file.
   Fleet fleet;
   fleet.Add({ .m_slot = "locker-app-1", .m_service = "locker-app" });
   REQUIRE(fleet.WaitForMembers());
--- a/tests/end_to_end/rollouts.cpp
+++ b/tests/end_to_end/rollouts.cpp
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-// A version of a service's software is brought in beside the one in service.
+// Roll-outs of a new version of a service beside the current one.
 
 using namespace greengagehub;
 using namespace greengagehub::testkit;
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr const char* kTarget = "/status/all";
-constexpr int kOld = 4;
-constexpr int kNew = 3;
-/// What a bad version may get of all calls: a share, and some.
+constexpr int kOldWorkers = 4;
+constexpr int kNewWorkers = 3;
+/// Upper bound on the calls to a bad version: a share of all calls plus slack.
 constexpr double kMaxShare = 0.1;
 constexpr int kSlack = 50;
 
@@ -26,7 +26,7 @@
 void
 AddNewWorkers(Fleet& aFleet, bool aFails)
 {
-  for (int i = 1; i <= kNew; ++i) {
+  for (int i = 1; i <= kNewWorkers; ++i) {
     aFleet.Add({ .m_slot = NewSlot(i),
                  .m_service = "lockers",
                  .m_serviceMs = 2,
@@ -34,13 +34,13 @@
                  .m_onPlatform = true });
     aFleet.ControlWorker(NewSlot(i), { { "fail", aFails } });
   }
-  AwaitLockers(aFleet);
+  WaitForLockers(aFleet);
 }
 
 void
-Order(const Fleet& aFleet, double aSeconds)
+OrderRollout(const Fleet& aFleet, double aSeconds)
 {
-  aFleet.PutIntoStore("op/rollout/lockers",
+  aFleet.WriteToStore("op/rollout/lockers",
                       Json{ { "service", "lockers" },
                             { "target_version", "v2" },
                             { "duration_s", aSeconds } }
@@ -50,7 +50,7 @@
 std::string
 StateOf(const Fleet& aFleet)
 {
-  const std::string text = aFleet.FromStore("status/rollout/lockers");
+  const std::string text = aFleet.ReadFromStore("status/rollout/lockers");
   const Json status = Json::parse(text, nullptr, false);
   return status.is_object() ? status.value("state", "") : "";
 }
@@ -59,7 +59,7 @@
 RunsAtNew(const Fleet& aFleet)
 {
   int runs = 0;
-  for (int i = 1; i <= kNew; ++i) {
+  for (int i = 1; i <= kNewWorkers; ++i) {
     runs += aFleet.WorkerCounts(NewSlot(i))["targets"].value(kTarget, 0);
   }
   return runs;
@@ -69,18 +69,18 @@
 RunsAtOld(const Fleet& aFleet)
 {
   int runs = 0;
-  for (int i = 1; i <= kOld; ++i) {
+  for (int i = 1; i <= kOldWorkers; ++i) {
     const std::string slot = "lockers-" + std::to_string(i);
     runs += aFleet.WorkerCounts(slot)["targets"].value(kTarget, 0);
   }
   return runs;
 }
 
-/// Calls through all daemons beside old workers, in turn.
-class Callers
+/// Sends calls through the daemons of the old workers, in turn.
+class CallGenerator
 {
 public:
-  explicit Callers(const Fleet& aFleet)
+  explicit CallGenerator(const Fleet& aFleet)
     : m_fleet(aFleet)
   {
   }
@@ -89,15 +89,16 @@
   {
     for (int i = 0; i < aCount; ++i) {
       ++m_calls;
-      const std::string slot = "lockers-" + std::to_string(m_calls % kOld + 1);
-      const CallResult result =
-        Ask(m_fleet, slot, "GET", kTarget, "call-" + std::to_string(m_calls));
+      const std::string slot =
+        "lockers-" + std::to_string(m_calls % kOldWorkers + 1);
+      const CallResult result = SendRequest(
+        m_fleet, slot, "GET", kTarget, "call-" + std::to_string(m_calls));
       m_failed += result.Status() == 200 ? 0 : 1;
     }
   }
 
-  /// \returns Whether the store says this before some minutes of calls are
-  /// over.
+  /// Sends calls until the roll-out reaches a state.
+  /// \returns False if it does not within a minute.
   [[nodiscard]] bool CallUntil(std::string_view aState)
   {
     const auto until = std::chrono::steady_clock::now() + 60s;
@@ -110,8 +111,8 @@
     return true;
   }
 
-  [[nodiscard]] int Calls() const noexcept { return m_calls; }
-  [[nodiscard]] int Failed() const noexcept { return m_failed; }
+  [[nodiscard]] int CallCount() const noexcept { return m_calls; }
+  [[nodiscard]] int FailureCount() const noexcept { return m_failed; }
 
 private:
   const Fleet& m_fleet;
@@ -121,104 +122,104 @@
 
 }
 
-TEST_CASE("a version that fails is tried on a few calls and rolled back")
+TEST_CASE("a failing version gets a few calls and is rolled back")
 {
-  // All runs of the new version fail. Its workers are there before the order,
-  // get nothing until it, few calls after it, and none once it is rolled back.
+  // Workers of a failing version must get no call before the order, few after
+  // it, and none after the rollback.
   Fleet fleet;
-  StartLockers(fleet, kOld);
+  StartLockers(fleet, kOldWorkers);
   AddNewWorkers(fleet, true);
-  Callers callers{ fleet };
-  callers.Call(100);
+  CallGenerator generator{ fleet };
+  generator.Call(100);
   CHECK(RunsAtNew(fleet) == 0);
 
-  Order(fleet, 20.0);
-  REQUIRE(callers.CallUntil("rolled_back"));
-  const int tried = RunsAtNew(fleet);
-  CHECK(tried > 0);
-  CHECK(tried <= kMaxShare * callers.Calls() + kSlack);
-  // Whoever failed there was served by the other version.
-  CHECK(callers.Failed() == 0);
+  OrderRollout(fleet, 20.0);
+  REQUIRE(generator.CallUntil("rolled_back"));
+  const int canaryRuns = RunsAtNew(fleet);
+  CHECK(canaryRuns > 0);
+  CHECK(canaryRuns <= kMaxShare * generator.CallCount() + kSlack);
+  // Calls that failed there were retried at the old version.
+  CHECK(generator.FailureCount() == 0);
 
-  callers.Call(200);
-  CHECK(RunsAtNew(fleet) == tried);
+  generator.Call(200);
+  CHECK(RunsAtNew(fleet) == canaryRuns);
   CHECK(StateOf(fleet) == "rolled_back");
 }
 
-TEST_CASE("an operator orders a roll-out, and is told why it was rolled back")
+TEST_CASE("the command line starts a roll-out and explains its rollback")
 {
   Fleet fleet;
-  StartLockers(fleet, kOld);
+  StartLockers(fleet, kOldWorkers);
   AddNewWorkers(fleet, true);
-  Callers callers{ fleet };
-  const auto command = [&](std::vector<std::string> aWords) {
-    return fleet.Command("lockers-1", std::move(aWords));
+  CallGenerator generator{ fleet };
+  const auto command = [&](std::vector<std::string> aArguments) {
+    return fleet.Command("lockers-1", std::move(aArguments));
   };
   const std::vector<std::string> start{ "rollout", "start",     "lockers",
                                         "v2",      "--timeout", "20" };
   REQUIRE(command(start).m_exitCode == 0);
-  REQUIRE(callers.CallUntil("rolled_back"));
-  const std::string told =
+  REQUIRE(generator.CallUntil("rolled_back"));
+  const std::string explanation =
     command({ "rollout", "explain", "lockers" }).m_output;
-  CAPTURE(told);
-  CHECK(told.find("v1 to v2, rolled_back") != std::string::npos);
-  CHECK(told.find("reason: failures") != std::string::npos);
+  CAPTURE(explanation);
+  CHECK(explanation.find("v1 to v2, rolled_back") != std::string::npos);
+  CHECK(explanation.find("reason: failures") != std::string::npos);
   // The same build is not tried again under the same name.
   CHECK(command(start).m_exitCode == 1);
   CHECK(command({ "rollout", "stop", "lockers" }).m_exitCode == 1);
   CHECK(command({ "rollout", "begin" }).m_exitCode == 2);
 }
 
-TEST_CASE("a version that does well gets all calls and is completed")
+TEST_CASE("a good version gets all calls and its roll-out completes")
 {
   Fleet fleet;
-  StartLockers(fleet, kOld);
+  StartLockers(fleet, kOldWorkers);
   AddNewWorkers(fleet, false);
-  Callers callers{ fleet };
-  Order(fleet, 10.0);
-  REQUIRE(callers.CallUntil("completed"));
+  CallGenerator generator{ fleet };
+  OrderRollout(fleet, 10.0);
+  REQUIRE(generator.CallUntil("completed"));
   const int old = RunsAtOld(fleet);
-  callers.Call(200);
-  // They may be stopped at any moment from now on.
+  generator.Call(200);
+  // The old workers may be stopped from now on.
   CHECK(RunsAtOld(fleet) == old);
-  CHECK(callers.Failed() == 0);
+  CHECK(generator.FailureCount() == 0);
 }
 
-TEST_CASE("a verdict outlives a store that comes back from an older copy")
+TEST_CASE("a rollback outlasts a restore of the store")
 {
-  // The copy is from before the order. Order and verdict are gone; the operator
-  // writes the order again, under another revision.
+  // A restore removes the order and its result; the same order under another
+  // revision must not start the bad version again.
   Fleet fleet;
-  StartLockers(fleet, kOld);
+  StartLockers(fleet, kOldWorkers);
   AddNewWorkers(fleet, true);
   fleet.StoreAction("/backup");
-  Callers callers{ fleet };
-  Order(fleet, 20.0);
-  REQUIRE(callers.CallUntil("rolled_back"));
-  const int tried = RunsAtNew(fleet);
+  CallGenerator generator{ fleet };
+  OrderRollout(fleet, 20.0);
+  REQUIRE(generator.CallUntil("rolled_back"));
+  const int canaryRuns = RunsAtNew(fleet);
 
   fleet.StoreAction("/restore");
   CHECK(StateOf(fleet).empty());
-  Order(fleet, 20.0);
-  REQUIRE(callers.CallUntil("rolled_back"));
-  callers.Call(200);
-  CHECK(RunsAtNew(fleet) == tried);
+  OrderRollout(fleet, 20.0);
+  REQUIRE(generator.CallUntil("rolled_back"));
+  generator.Call(200);
+  CHECK(RunsAtNew(fleet) == canaryRuns);
   CHECK(StateOf(fleet) == "rolled_back");
 }
 
-TEST_CASE("a roll-out outlives the daemons that lead it")
+TEST_CASE("a roll-out continues when its leaders are restarted")
 {
-  // One daemon after the other is killed while a version that fails is tried
-  // and written down; the store still gets the one word.
+  // Daemons are killed in turn during a canary of a failing version: it must
+  // still be rolled back within its exposure limit.
   Fleet fleet;
-  StartLockers(fleet, kOld);
+  StartLockers(fleet, kOldWorkers);
   AddNewWorkers(fleet, true);
-  Callers callers{ fleet };
-  Order(fleet, 20.0);
-  for (int i = 1; i <= kNew; ++i) {
-    callers.Call(60);
+  CallGenerator generator{ fleet };
+  OrderRollout(fleet, 20.0);
+  for (int i = 1; i <= kNewWorkers; ++i) {
+    generator.Call(60);
     fleet.Restart(NewSlot(i));
   }
-  REQUIRE(callers.CallUntil("rolled_back"));
-  CHECK(RunsAtNew(fleet) <= kMaxShare * callers.Calls() + kSlack);
+  REQUIRE(generator.CallUntil("rolled_back"));
+  CHECK(RunsAtNew(fleet) <= kMaxShare * generator.CallCount() + kSlack);
 }
--- a/tests/end_to_end/standing_still.cpp
+++ b/tests/end_to_end/standing_still.cpp
@@ -3,9 +3,8 @@
 #include <csignal>
 #include <thread>
 
-// A daemon stands still for some tenths of a second, as one that is out of
-// processor time does. What waits in its sockets meanwhile looks fresh when it
-// goes on, and callers may have left long ago.
+// A daemon is paused, as it is without processor time. Requests wait unread in
+// its sockets; their callers may have disconnected by the time it resumes.
 
 using namespace greengagehub;
 using namespace greengagehub::testkit;
@@ -13,9 +12,11 @@
 
 namespace {
 
-/// Sends a lookup and leaves before its answer.
+/// Sends a lookup and disconnects before the answer.
 void
-AskAndLeave(const Fleet& aFleet, const std::string& aSlot, const char* aId)
+CallAndDisconnect(const Fleet& aFleet,
+                  const std::string& aSlot,
+                  const char* aId)
 {
   HttpClientRequest request;
   request.m_url = aFleet.CallsUrl(aSlot) + "/status/1";
@@ -29,36 +30,40 @@
 
 }
 
-TEST_CASE("a request whose caller left while its daemon stood still is not run")
+TEST_CASE("a request whose caller disconnected during a pause does not run")
 {
-  // Eleven lookups reached a worker 2.4 s after their callers had closed their
-  // connections: the request was read first, and the close behind it.
+  // The socket delivers the request before the close of its connection: the
+  // daemon must not forward the request without reading on.
   Fleet fleet;
   StartLockers(fleet, 2);
   fleet.ControlWorker("lockers-1", { { "draining", true } });
   REQUIRE(WaitUntil([&] {
     return fleet.WorkerCounts("lockers-1").value("drain_acknowledged", false);
   }));
-  CHECK(Ask(fleet, "lockers-1", "GET", "/status/1", "before").Status() == 200);
-  std::string still;
+  CHECK(
+    SendRequest(fleet, "lockers-1", "GET", "/status/1", "before").Status() ==
+    200);
+  std::string paused;
   SUBCASE("the caller's own daemon")
   {
-    still = "lockers-1";
+    paused = "lockers-1";
   }
   SUBCASE("the worker's daemon")
   {
-    still = "lockers-2";
+    paused = "lockers-2";
   }
-  fleet.Daemon(still).Signal(SIGSTOP);
+  fleet.Daemon(paused).Signal(SIGSTOP);
   std::vector<std::thread> callers;
   for (const char* id : { "left-1", "left-2", "left-3", "left-4" }) {
-    callers.emplace_back([&, id] { AskAndLeave(fleet, "lockers-1", id); });
+    callers.emplace_back(
+      [&, id] { CallAndDisconnect(fleet, "lockers-1", id); });
   }
   for (std::thread& each : callers) {
     each.join();
   }
-  fleet.Daemon(still).Signal(SIGCONT);
-  CHECK(Ask(fleet, "lockers-1", "GET", "/status/1", "after").Status() == 200);
+  fleet.Daemon(paused).Signal(SIGCONT);
+  CHECK(SendRequest(fleet, "lockers-1", "GET", "/status/1", "after").Status() ==
+        200);
   for (const char* id : { "left-1", "left-2", "left-3", "left-4" }) {
     CHECK(Runs(fleet, id) == 0);
   }
--- a/tests/end_to_end/whole_path.cpp
+++ b/tests/end_to_end/whole_path.cpp
@@ -22,13 +22,11 @@
 
 }
 
-TEST_CASE("a patch from a file comes into force and calls follow its routes, "
-          "while a daemon and the store are killed in the middle")
+TEST_CASE("calls follow the routes of an accepted patch through the loss of a "
+          "daemon and of the store")
 {
-  // An operator's patch is accepted; then one daemon dies and the store goes
-  // away. Calls go on by the accepted routes, an operator hears "not known"
-  // and not a guess, and when both are back every daemon has the right
-  // version.
+  // During the outage calls must still be routed and patches answered with 503;
+  // after it every daemon must reach the newest version.
   Fleet fleet;
   for (const char* slot : { "locker-app-1", "locker-app-2", "locker-app-3" }) {
     fleet.Add({ .m_slot = slot, .m_service = "locker-app" });
@@ -46,11 +44,11 @@
   CHECK(fleet.Call("locker-app-1", "GET", "/compartments").Status() == 200);
 
   const CallResult stale =
-    fleet.Operate("locker-app-1", "POST", SubmitPath("late", 0), "{}");
+    fleet.CallOperatorsApi("locker-app-1", "POST", SubmitPath("late", 0), "{}");
   CHECK(stale.Status() == 409);
   CHECK(stale.Json()["reasons"][0]["code"] == "stale-base");
 
-  // The same patch again under a new id, after a look at what came between.
+  // The same patch under a new id, rebased onto the current version.
   const CommandResult rebased = fleet.Command(
     "ledger-1",
     { "submit", file, "--base", "0", "--rebase", "--id", "rebased" });
@@ -60,8 +58,9 @@
 
   fleet.Daemon("locker-app-3").Kill();
   fleet.SetStoreFaults({ { "outage", "refuse" } });
-  CHECK(fleet.Operate("locker-app-1", "POST", SubmitPath("away", 2), "{}")
-          .Status() == 503);
+  CHECK(
+    fleet.CallOperatorsApi("locker-app-1", "POST", SubmitPath("away", 2), "{}")
+      .Status() == 503);
   for (int i = 0; i < 20; ++i) {
     const CallResult call = fleet.Call("ledger-1", "GET", "/release");
     CHECK(call.Status() == 200);
@@ -69,14 +68,15 @@
 
   fleet.SetStoreFaults({ { "outage", "none" } });
   CHECK(fleet
-          .Operate("locker-app-1",
-                   "POST",
-                   SubmitPath("second", 2),
-                   R"({"routes":{"more":{"path":"/more","service":"ledger"}}})")
+          .CallOperatorsApi(
+            "locker-app-1",
+            "POST",
+            SubmitPath("second", 2),
+            R"({"routes":{"more":{"path":"/more","service":"ledger"}}})")
           .Status() == 200);
   fleet.Restart("locker-app-3");
   CHECK(fleet.WaitForVersion(3));
   CHECK(fleet.Call("locker-app-3", "GET", "/more").Status() == 200);
-  CHECK(fleet.Operate("locker-app-3", "GET", "/v1/patches/late")
+  CHECK(fleet.CallOperatorsApi("locker-app-3", "GET", "/v1/patches/late")
           .Json()["reasons"][0]["code"] == "stale-base");
 }
--- a/tools/experiment.cpp
+++ b/tools/experiment.cpp
@@ -9,11 +9,12 @@
 #include <unistd.h>
 
 /// \file
-/// \brief Measures real processes on this machine and writes JSON.
+/// \brief Measures real processes on this machine and writes the results as
+/// JSON.
 ///
-///   experiment latency      what two daemons add to a call
-///   experiment convergence  acceptance to in force everywhere, and its bytes
-///   experiment rest         processor, memory and bytes of a quiet daemon
+///   experiment latency      latency that two daemons add to a call
+///   experiment convergence  time and bytes until all daemons run a version
+///   experiment rest         CPU time, memory and bytes of an idle daemon
 
 namespace {
 
@@ -34,31 +35,31 @@
   int m_seconds{ 20 };
   int m_fanout{ 4 };
   std::size_t m_calls{ 5000 };
-  std::string m_extra;
+  std::string m_extraSettings;
 };
 
 // ---------------------------------------------------------------------------
 // Latency
 
 Json
-Compare(const std::vector<std::chrono::nanoseconds>& aDirect,
-        const std::vector<std::chrono::nanoseconds>& aThrough,
-        const std::string& aName)
+ReportLatencies(const std::vector<std::chrono::nanoseconds>& aDirect,
+                const std::vector<std::chrono::nanoseconds>& aThrough,
+                const std::string& aName)
 {
   const Distribution direct{ aDirect };
   const Distribution through{ aThrough };
   const auto added = [&](double aShare) {
-    return Micros(through.Quantile(aShare) - direct.Quantile(aShare));
+    return ToMicroseconds(through.Quantile(aShare) - direct.Quantile(aShare));
   };
   fmt::print(
     "{:32} direct p50 {:7.0f} p99 {:7.0f} us | through p50 {:7.0f} "
     "p99 {:7.0f} p99.9 {:7.0f} us | added p50 {:6.0f} p99 {:6.0f} us\n",
     aName,
-    Micros(direct.Quantile(0.5)),
-    Micros(direct.Quantile(0.99)),
-    Micros(through.Quantile(0.5)),
-    Micros(through.Quantile(0.99)),
-    Micros(through.Quantile(0.999)),
+    ToMicroseconds(direct.Quantile(0.5)),
+    ToMicroseconds(direct.Quantile(0.99)),
+    ToMicroseconds(through.Quantile(0.5)),
+    ToMicroseconds(through.Quantile(0.99)),
+    ToMicroseconds(through.Quantile(0.999)),
     added(0.5),
     added(0.99));
   std::fflush(stdout);
@@ -87,13 +88,14 @@
   fleet.Add({ .m_slot = "locker-app-1",
               .m_service = "locker-app",
               .m_serviceMs = 0,
-              .m_settings = aOptions.m_extra });
+              .m_settings = aOptions.m_extraSettings });
   fleet.Add({ .m_slot = "ledger-1",
               .m_service = "ledger",
-              .m_settings = aOptions.m_extra });
-  if (!fleet.WaitForMembers() || !fleet.Accept("ledger-1", "r", 0, kRoute) ||
+              .m_settings = aOptions.m_extraSettings });
+  if (!fleet.WaitForMembers() ||
+      !fleet.SubmitPatch("ledger-1", "r", 0, kRoute) ||
       !fleet.WaitForVersion(1)) {
-    throw std::runtime_error{ "the fleet did not start" };
+    throw std::runtime_error{ "the fleet did not become ready" };
   }
   const std::string direct = fleet.BackendUrl("locker-app-1") + "/status";
   const std::string through = fleet.CallsUrl("ledger-1") + "/status";
@@ -109,9 +111,9 @@
       plan.m_url = through;
       const auto second = RunClosedLoop(plan);
       results.push_back(
-        Compare(first.m_latencies,
-                second.m_latencies,
-                fmt::format("closed loop, {} callers", callers)));
+        ReportLatencies(first.m_latencies,
+                        second.m_latencies,
+                        fmt::format("closed loop, {} callers", callers)));
       const auto rate = [&](const ClosedLoopResult& aResult) {
         return static_cast<double>(aOptions.m_calls) /
                std::chrono::duration<double>(aResult.m_elapsed).count();
@@ -134,18 +136,19 @@
       const auto first = RunLoad(plan);
       plan.m_urls = { fleet.CallsUrl("ledger-1") };
       const auto second = RunLoad(plan);
-      results.push_back(Compare(Latencies(first),
-                                Latencies(second),
-                                fmt::format("open loop, {:.0f}/s", rate)));
+      results.push_back(
+        ReportLatencies(Latencies(first),
+                        Latencies(second),
+                        fmt::format("open loop, {:.0f}/s", rate)));
     }
   }
   return results;
 }
 
 // ---------------------------------------------------------------------------
-// Convergence and cost of control
+// Convergence and control traffic
 
-/// What one daemon has used up, from its metrics and the system's accounts.
+/// Resources used by a daemon, from its metrics and from /proc.
 struct Usage
 {
   double m_cpuSeconds{ 0 };
@@ -159,13 +162,13 @@
 {
   Usage usage;
   std::istringstream metrics{
-    aFleet.Operate(aSlot, "GET", "/metrics").m_result.m_response.m_body
+    aFleet.CallOperatorsApi(aSlot, "GET", "/metrics").m_result.m_response.m_body
   };
   for (std::string line; std::getline(metrics, line);) {
     if (line.starts_with("greengagehub_control_bytes{")) {
-      const std::size_t blank = line.rfind(' ');
-      const double value = std::stod(line.substr(blank + 1));
-      usage.m_byPurpose[line.substr(27, blank - 28)] += value;
+      const std::size_t separator = line.rfind(' ');
+      const double value = std::stod(line.substr(separator + 1));
+      usage.m_byPurpose[line.substr(27, separator - 28)] += value;
       usage.m_bytes += value;
     }
   }
@@ -193,7 +196,7 @@
 }
 
 void
-StartMany(Fleet& aFleet, const Options& aOptions)
+StartDaemons(Fleet& aFleet, const Options& aOptions)
 {
   for (int i = 0; i < aOptions.m_daemons; ++i) {
     aFleet.Add({ .m_slot = fmt::format("d{:03}", i),
@@ -201,15 +204,15 @@
                  .m_domain = fmt::format("domain-{}", i % 7),
                  .m_settings = fmt::format("[dissemination]\nfanout = {}\n{}",
                                            aOptions.m_fanout,
-                                           aOptions.m_extra),
+                                           aOptions.m_extraSettings),
                  .m_withBackend = false });
   }
   if (!aFleet.WaitForMembers()) {
-    throw std::runtime_error{ "the daemons did not find each other" };
+    throw std::runtime_error{ "the daemons did not discover each other" };
   }
 }
 
-/// Averages of what all daemons used between two moments.
+/// Average usage per daemon since an earlier sample.
 Json
 UsageBetween(Fleet& aFleet,
              const std::map<std::string, Usage>& aBefore,
@@ -217,14 +220,14 @@
 {
   double cpu = 0;
   double bytes = 0;
-  double most = 0;
+  double maxBytes = 0;
   double resident = 0;
   std::map<std::string, double> purposes;
   for (const auto& [slot, before] : aBefore) {
     const Usage now = UsageOf(aFleet, slot);
     cpu += now.m_cpuSeconds - before.m_cpuSeconds;
     bytes += now.m_bytes - before.m_bytes;
-    most = std::max(most, now.m_bytes - before.m_bytes);
+    maxBytes = std::max(maxBytes, now.m_bytes - before.m_bytes);
     resident = std::max(resident, now.m_residentMb);
     for (const auto& [purpose, value] : now.m_byPurpose) {
       const auto old = before.m_byPurpose.find(purpose);
@@ -240,7 +243,7 @@
   return { { "seconds", aSeconds },
            { "cpu_percent_of_core", 100 * cpu / count / aSeconds },
            { "control_bytes_per_second", bytes / count / aSeconds },
-           { "control_bytes_per_second_most", most / aSeconds },
+           { "control_bytes_per_second_most", maxBytes / aSeconds },
            { "bytes_by_purpose", byPurpose },
            { "resident_mb_most", resident } };
 }
@@ -261,9 +264,9 @@
   return std::chrono::duration<double>(ClockType::now() - aSince).count();
 }
 
-/// Waits for a quiet time and measures it.
+/// Measures the usage of an idle fleet.
 Json
-Rest(Fleet& aFleet, int aSeconds)
+MeasureIdleFleet(Fleet& aFleet, int aSeconds)
 {
   const auto before = UsageOfAll(aFleet);
   const auto since = ClockType::now();
@@ -272,8 +275,8 @@
   return UsageBetween(aFleet, before, Seconds(since));
 }
 
-/// When each daemon logged that a version came into force, against when the
-/// decision was confirmed, from the daemons' own logs.
+/// \returns For each daemon, the time from the acceptance of a version until
+/// the daemon logged that it is in force.
 std::vector<std::chrono::nanoseconds>
 TimesInForce(Fleet& aFleet,
              std::uint64_t aVersion,
@@ -284,11 +287,11 @@
     std::istringstream lines{ aFleet.Daemon(slot).Log() };
     for (std::string line; std::getline(lines, line);) {
       const Json entry = Json::parse(line, nullptr, false);
-      const bool hit = entry.is_object() &&
-                       entry.value("event", "") == "version_in_force" &&
-                       entry.value("before", std::uint64_t{ 0 }) < aVersion &&
-                       entry.value("version", std::uint64_t{ 0 }) >= aVersion;
-      if (hit) {
+      const bool isInForce =
+        entry.is_object() && entry.value("event", "") == "version_in_force" &&
+        entry.value("before", std::uint64_t{ 0 }) < aVersion &&
+        entry.value("version", std::uint64_t{ 0 }) >= aVersion;
+      if (isInForce) {
         const std::chrono::milliseconds at{ entry.value("time_ms",
                                                         std::int64_t{ 0 }) };
         times.emplace_back(at - aAccepted.time_since_epoch());
@@ -303,15 +306,15 @@
 MeasureConvergence(const Options& aOptions)
 {
   Fleet fleet;
-  StartMany(fleet, aOptions);
-  const Json quiet = Rest(fleet, aOptions.m_seconds);
+  StartDaemons(fleet, aOptions);
+  const Json idle = MeasureIdleFleet(fleet, aOptions.m_seconds);
   const auto before = UsageOfAll(fleet);
   const Json storeBefore = fleet.StoreStats();
   const auto since = ClockType::now();
   std::vector<std::chrono::sys_time<std::chrono::milliseconds>> accepted;
   for (int i = 0; i < aOptions.m_changes; ++i) {
     const auto version = static_cast<std::uint64_t>(i);
-    // About the size of a usual patch.
+    // About the size of a typical patch.
     const std::string patch = fmt::format(
       R"({{"services":{{"s{}":{{"slots":20,"queue":40}}}},"routes":{{"r{}":)"
       R"({{"path":"/r{}/{}","service":"s{}","class":"lookup"}}}}}})",
@@ -322,13 +325,15 @@
       i);
     const auto slots = fleet.Slots();
     const std::string& slot = slots[static_cast<std::size_t>(i) % slots.size()];
-    if (!fleet.Accept(slot, fmt::format("p{}", i), version, patch)) {
-      throw std::runtime_error{ "a patch was not accepted" };
+    if (!fleet.SubmitPatch(slot, fmt::format("p{}", i), version, patch)) {
+      throw std::runtime_error{ fmt::format(
+        "patch p{} was not accepted by {}", i, slot) };
     }
     accepted.push_back(std::chrono::floor<std::chrono::milliseconds>(
       std::chrono::system_clock::now()));
     if (!fleet.WaitForVersion(version + 1)) {
-      throw std::runtime_error{ "a version did not come into force" };
+      throw std::runtime_error{ fmt::format(
+        "version {} did not come into force", version + 1) };
     }
   }
   const double elapsed = Seconds(since);
@@ -346,27 +351,27 @@
   const Distribution each{ all };
   const Distribution everywhere{ last };
   const double perChange = (usage["control_bytes_per_second"].get<double>() -
-                            quiet["control_bytes_per_second"].get<double>()) *
+                            idle["control_bytes_per_second"].get<double>()) *
                            elapsed / aOptions.m_changes;
   fmt::print("{} daemons, fanout {}: each p50 {:.0f} p99 {:.0f} ms; "
              "everywhere p50 {:.0f} max {:.0f} ms; {:.0f} B per change and "
              "daemon; quiet {:.0f} B/s, {:.2f}% core, {:.1f} MB\n",
              aOptions.m_daemons,
              aOptions.m_fanout,
-             Micros(each.Quantile(0.5)) / 1000,
-             Micros(each.Quantile(0.99)) / 1000,
-             Micros(everywhere.Quantile(0.5)) / 1000,
-             Micros(everywhere.Quantile(1.0)) / 1000,
+             ToMicroseconds(each.Quantile(0.5)) / 1000,
+             ToMicroseconds(each.Quantile(0.99)) / 1000,
+             ToMicroseconds(everywhere.Quantile(0.5)) / 1000,
+             ToMicroseconds(everywhere.Quantile(1.0)) / 1000,
              perChange,
-             quiet["control_bytes_per_second"].get<double>(),
-             quiet["cpu_percent_of_core"].get<double>(),
-             quiet["resident_mb_most"].get<double>());
+             idle["control_bytes_per_second"].get<double>(),
+             idle["cpu_percent_of_core"].get<double>(),
+             idle["resident_mb_most"].get<double>());
   return { { "daemons", aOptions.m_daemons },
            { "fanout", aOptions.m_fanout },
            { "each", each.ToJson() },
            { "everywhere", everywhere.ToJson() },
            { "bytes_per_change_and_daemon", perChange },
-           { "quiet", quiet },
+           { "quiet", idle },
            { "changing", usage },
            { "store_before", storeBefore },
            { "store_after", storeAfter } };
@@ -376,9 +381,9 @@
 MeasureRest(const Options& aOptions)
 {
   Fleet fleet;
-  StartMany(fleet, aOptions);
+  StartDaemons(fleet, aOptions);
   const Json before = fleet.StoreStats();
-  Json rest = Rest(fleet, aOptions.m_seconds);
+  Json rest = MeasureIdleFleet(fleet, aOptions.m_seconds);
   rest["daemons"] = aOptions.m_daemons;
   rest["store_before"] = before;
   rest["store_after"] = fleet.StoreStats();
@@ -398,7 +403,9 @@
   if (aOptions.m_command == "rest") {
     return MeasureRest(aOptions);
   }
-  throw std::runtime_error{ "commands: latency, convergence, rest" };
+  throw std::runtime_error{ fmt::format(
+    "unknown command \"{}\"; expected latency, convergence or rest",
+    aOptions.m_command) };
 }
 
 }
@@ -417,7 +424,7 @@
     "seconds", po::value(&options.m_seconds), "length of the quiet time")(
     "fanout", po::value(&options.m_fanout), "peers a version is pushed to")(
     "calls", po::value(&options.m_calls), "calls of a closed loop")(
-    "settings", po::value(&options.m_extra), "more lines of settings")(
+    "settings", po::value(&options.m_extraSettings), "more lines of settings")(
     "out", po::value(&out), "file for the results as JSON");
   po::positional_options_description position;
   position.add("command", 1);
--- a/tools/local_fleet.cpp
+++ b/tools/local_fleet.cpp
@@ -5,8 +5,8 @@
 #include <fmt/format.h>
 
 /// \file
-/// \brief The main job end to end on this machine: two services, a patch
-/// accepted, one refused and explained, calls, a drain. Prints what happened.
+/// \brief Example of a whole fleet on this machine: two services, an accepted
+/// and a rejected patch, calls, and a drain. Prints each step.
 
 namespace {
 
@@ -24,7 +24,7 @@
   "routes": { "export": { "path": "/export", "service": "audit" } } })";
 
 void
-Say(const std::string& aText)
+Print(const std::string& aText)
 {
   fmt::print("{}\n", aText);
 }
@@ -38,7 +38,7 @@
   for (const std::string& each : aArguments) {
     line += " " + each;
   }
-  Say(line);
+  Print(line);
   const CommandResult result = aFleet.Command(aSlot, aArguments);
   fmt::print("{}(exit code {})\n\n", result.m_output, result.m_exitCode);
 }
@@ -74,14 +74,14 @@
 RunExample()
 {
   Fleet fleet;
-  Say("Starting a store, three workers of locker-app and two of ledger, each "
-      "with its daemon.");
+  Print("Starting a store, three workers of locker-app and two of ledger, each "
+        "with its daemon.");
   StartWorkers(fleet);
   if (!fleet.WaitForMembers()) {
-    Say("The daemons did not find each other.");
+    Print("The daemons did not find each other.");
     return 1;
   }
-  Say("All daemons know each other.\n");
+  Print("All daemons know each other.\n");
   const std::string first = fleet.WriteFile("first.json", kFirstPatch);
   const std::string bad = fleet.WriteFile("bad.json", kBadPatch);
   ShowCommand(fleet,
@@ -96,11 +96,11 @@
               { "submit", bad, "--base", "1", "--id", "export-route" });
   ShowCommand(fleet, "ledger-2", { "explain", "export-route" });
   ShowCommand(fleet, "ledger-2", { "explain", "first-routes" });
-  Say("Draining locker-app-3.");
+  Print("Draining locker-app-3.");
   fleet.Daemon("locker-app-3").Signal(SIGTERM);
-  const auto code = fleet.Daemon("locker-app-3").Wait();
-  fmt::print("locker-app-3 ended with exit code {}\n", code.value_or(-1));
-  return code == 0 ? 0 : 1;
+  const auto exitCode = fleet.Daemon("locker-app-3").Wait();
+  fmt::print("locker-app-3 ended with exit code {}\n", exitCode.value_or(-1));
+  return exitCode == 0 ? 0 : 1;
 }
 
 }
--- a/tools/results.cpp
+++ b/tools/results.cpp
@@ -9,9 +9,9 @@
 #include <vector>
 
 /// \file
-/// \brief Makes a page of results and a plot out of the journal of measured
-/// runs: for each deployment the worth of each standard day at the first and at
-/// the last score, and what binds it now.
+/// \brief Writes a page of results and a plot from the journal of measured
+/// runs: for each deployment, the worth of each standard day at the first and
+/// the last score, and the largest loss at the last one.
 
 namespace {
 
@@ -22,18 +22,19 @@
   std::string m_name;
   double m_worth{ 0.0 };
   double m_served{ 0.0 };
-  std::string m_binds;
-  std::size_t m_broken{ 0 };
+  std::string m_largestLoss;
+  std::size_t m_brokenRules{ 0 };
 };
 
 struct Score
 {
   std::string m_at;
-  std::string m_why;
+  std::string m_reason;
   std::vector<Day> m_days;
 
-  /// \returns Mean worth of the days with trouble.
-  [[nodiscard]] double Mean() const
+  /// \returns Mean worth of the days with faults; their names do not start with
+  /// "quiet".
+  [[nodiscard]] double MeanWorth() const
   {
     double sum = 0.0;
     int count = 0;
@@ -49,27 +50,28 @@
 
 using Sites = std::map<std::string, std::vector<Score>>;
 
-/// \returns The largest loss of a day: of a part of the credit, or a price.
+/// \returns Name and size of the largest loss of a day, either from a part of
+/// the credit or from a price.
 std::string
-Binding(const Json& aDay)
+LargestLoss(const Json& aDay)
 {
   std::string name = "nothing";
-  double most = 0.0;
+  double largest = 0.0;
   for (const Json& part : aDay.at("parts")) {
     const double lost =
       part.at(1).get<double>() * (1.0 - part.at(2).get<double>());
-    if (lost > most) {
-      most = lost;
+    if (lost > largest) {
+      largest = lost;
       name = part.at(0).get<std::string>();
     }
   }
   for (const Json& price : aDay.at("prices")) {
-    if (price.at(2).get<double>() > most) {
-      most = price.at(2).get<double>();
+    if (price.at(2).get<double>() > largest) {
+      largest = price.at(2).get<double>();
       name = price.at(0).get<std::string>();
     }
   }
-  return fmt::format("{} ({:.3f})", name, most);
+  return fmt::format("{} ({:.3f})", name, largest);
 }
 
 std::optional<Score>
@@ -80,7 +82,7 @@
   }
   Score score;
   score.m_at = aEntry.at("at").at(0).get<std::string>();
-  score.m_why = aEntry.value("why", "");
+  score.m_reason = aEntry.value("why", "");
   for (const Json& day : aEntry.at("days")) {
     const std::string name = day.at("name").get<std::string>();
     if (name.starts_with("fresh")) {
@@ -89,7 +91,7 @@
     score.m_days.push_back({ name,
                              day.at("G").get<double>(),
                              day.at("served").get<double>(),
-                             Binding(day),
+                             LargestLoss(day),
                              day.at("rules").size() });
   }
   return score;
@@ -110,7 +112,7 @@
     std::ifstream file{ each };
     const Json entry = Json::parse(file, nullptr, false);
     if (!entry.is_object()) {
-      fmt::print(stderr, "{}: not an entry, left out\n", each.string());
+      fmt::print(stderr, "{}: not a JSON object, skipped\n", each.string());
       continue;
     }
     // A score whose build failed has no days.
@@ -136,9 +138,9 @@
             aSite,
             aScores.size(),
             first.m_at,
-            first.m_why,
+            first.m_reason,
             last.m_at,
-            last.m_why)
+            last.m_reason)
        << "| day | worth, first | rules broken | worth, last | rules broken | "
           "credit earned | largest loss now |\n|---|---|---|---|---|---|---|\n";
   for (const Day& day : last.m_days) {
@@ -146,20 +148,20 @@
       std::find_if(first.m_days.begin(),
                    first.m_days.end(),
                    [&](const Day& aDay) { return aDay.m_name == day.m_name; });
-    const bool known = before != first.m_days.end();
+    const bool hasFirst = before != first.m_days.end();
     aOut << fmt::format("| {} | {} | {} | {:.3f} | {} | {:.3f} | {} |\n",
                         day.m_name,
-                        known ? fmt::format("{:.3f}", before->m_worth) : "",
-                        known ? std::to_string(before->m_broken) : "",
+                        hasFirst ? fmt::format("{:.3f}", before->m_worth) : "",
+                        hasFirst ? std::to_string(before->m_brokenRules) : "",
                         day.m_worth,
-                        day.m_broken,
+                        day.m_brokenRules,
                         day.m_served,
-                        day.m_binds);
+                        day.m_largestLoss);
   }
   aOut << fmt::format("| mean of the days with trouble | {:.3f} | | {:.3f} | | "
                       "| |\n",
-                      first.Mean(),
-                      last.Mean());
+                      first.MeanWorth(),
+                      last.MeanWorth());
 }
 
 void
@@ -219,7 +221,7 @@
     for (std::size_t i = 0; i < scores.size(); ++i) {
       points += fmt::format("{:.1f},{:.1f} ",
                             kMargin + step * static_cast<double>(i),
-                            yOf(scores[i].Mean()));
+                            yOf(scores[i].MeanWorth()));
     }
     out << fmt::format(
       R"(<polyline points="{}" fill="none" stroke="{}" stroke-width="2"/>)"
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -13,9 +13,9 @@
 #include <thread>
 
 /// \file
-/// \brief Randomized fault soak of the real programs. One seed makes one plan
-/// of faults that come in series and overlap, while callers go on; what callers
-/// were told is then held against what workers ran, and the fleet must recover.
+/// \brief Soak test of the real programs under load and overlapping random
+/// faults, planned from a seed. Afterwards the fleet must recover, and the
+/// outcomes that callers received must agree with the runs at the workers.
 
 namespace {
 
@@ -25,7 +25,7 @@
 
 using Options = SoakOptions;
 using Step = SoakStep;
-using Verdict = SoakVerdict;
+using Result = SoakResult;
 
 class Soak
 {
@@ -48,36 +48,36 @@
     }
     PutConfig();
     if (m_options.m_rollout) {
-      m_failing.emplace(m_fleet, m_options.m_daemons / 2);
+      m_badVersion.emplace(m_fleet, m_options.m_daemons / 2);
     }
   }
 
-  Verdict Run()
+  Result Run()
   {
-    Verdict verdict;
-    verdict.m_seed = m_seed;
-    if (!WaitUntil([this] { return AllServe(); })) {
-      verdict.m_broken.emplace_back("the fleet did not come up");
-      return verdict;
+    Result result;
+    result.m_seed = m_seed;
+    if (!WaitUntil([this] { return AreAllReady(); })) {
+      result.m_violations.emplace_back("the fleet did not become ready");
+      return result;
     }
     MakePlan();
-    std::thread faults{ [this] { PlayPlan(); } };
+    std::thread faults{ [this] { ExecutePlan(); } };
     std::vector<CallRecord> lookups;
     std::thread readers{ [&] { lookups = RunLoad(PlanFor("GET", "read-")); } };
     const auto releases = RunLoad(PlanFor("POST", "release-"));
     readers.join();
     faults.join();
-    EndFaults();
-    if (!WaitUntil([this] { return AllServe(); }, kRecovery)) {
-      verdict.m_broken.push_back("not every daemon serves again: " +
-                                 StateOfAll());
+    ClearFaults();
+    if (!WaitUntil([this] { return AreAllReady(); }, kRecovery)) {
+      result.m_violations.push_back("not every daemon is ready again: " +
+                                    DescribeDaemons());
     }
-    Check(releases, lookups, verdict);
+    Check(releases, lookups, result);
     for (const Step& each : m_plan) {
-      verdict.m_plan.push_back(
-        fmt::format("{} ms {}", each.m_at.count(), each.m_what));
+      result.m_plan.push_back(
+        fmt::format("{} ms {}", each.m_at.count(), each.m_description));
     }
-    return verdict;
+    return result;
   }
 
 private:
@@ -85,12 +85,12 @@
 
   void PutConfig()
   {
-    // The newest route tells which version a daemon serves.
+    // Each version has a route of its own, which shows that a daemon serves it.
     m_route = fmt::format("/v{}/", ++m_version);
     m_fleet.PutPlatformConfig(ConfigDocument(m_version, m_route));
   }
 
-  [[nodiscard]] bool AllServe()
+  [[nodiscard]] bool AreAllReady()
   {
     return std::all_of(
       m_slots.begin(), m_slots.end(), [this](const std::string& aSlot) {
@@ -106,7 +106,7 @@
       });
   }
 
-  [[nodiscard]] std::string StateOfAll()
+  [[nodiscard]] std::string DescribeDaemons()
   {
     std::string text = "newest " + std::to_string(3 * m_version);
     for (const std::string& each : m_slots) {
@@ -141,21 +141,21 @@
   // -------------------------------------------------------------------------
   // Plan
 
-  std::chrono::milliseconds Between(std::uint32_t aLow, std::uint32_t aHigh)
+  std::chrono::milliseconds RandomTime(std::uint32_t aLow, std::uint32_t aHigh)
   {
     return std::chrono::milliseconds{ aLow + Below(m_random, aHigh - aLow) };
   }
 
-  const std::string& SomeSlot()
+  const std::string& RandomSlot()
   {
     return m_slots[Below(m_random, m_slots.size())];
   }
 
   void Add(std::chrono::milliseconds aAt,
-           std::string aWhat,
-           std::function<void()> aDo)
+           std::string aDescription,
+           std::function<void()> aAction)
   {
-    m_plan.push_back({ aAt, std::move(aWhat), std::move(aDo) });
+    m_plan.push_back({ aAt, std::move(aDescription), std::move(aAction) });
   }
 
   void MakePlan()
@@ -163,8 +163,8 @@
     const std::uint32_t length = m_options.m_seconds * 1000;
     const std::uint64_t faults = 3 + Below(m_random, 2 + length / 2500);
     for (std::uint64_t i = 0; i < faults; ++i) {
-      const auto at = Between(300, length * 2 / 3);
-      const auto until = at + Between(300, 4000);
+      const auto at = RandomTime(300, length * 2 / 3);
+      const auto until = at + RandomTime(300, 4000);
       switch (Below(m_random, 4)) {
         case 0:
           AddSignal(at, until);
@@ -176,7 +176,7 @@
           AddWorkerFault(at, until);
           break;
         default:
-          Add(at, "change of configuration", [this] { PutConfig(); });
+          Add(at, "configuration change", [this] { PutConfig(); });
       }
     }
     if (m_options.m_restarts) {
@@ -194,12 +194,11 @@
       });
   }
 
-  /// Starts under the same id, each with reports around it that are not its
-  /// own.
+  /// Restarts workers under the same id, and sends late or malformed reports.
   void AddRestarts(std::uint32_t aLength)
   {
-    static const std::vector<std::int64_t> kLater{ 1, 5'000, -3'600'000 };
-    static const std::vector<Json> kOthers{
+    static const std::vector<std::int64_t> kOffsetsMs{ 1, 5'000, -3'600'000 };
+    static const std::vector<Json> kReports{
       { { "seq", 100'000 }, { "state", "draining" }, { "born", 1 } },
       { { "seq", 100'001 }, { "state", "resting" } },
       { { "seq", 100'002 }, { "slots", -1 } },
@@ -208,18 +207,19 @@
       { { "seq", 100'004 }, { "born", "soon" }, { "state", "draining" } },
     };
     for (std::uint32_t i = 0; i < 2 + aLength / 2000; ++i) {
-      const auto at = Between(300, aLength * 2 / 3);
-      const std::string slot = SomeSlot();
+      const auto at = RandomTime(300, aLength * 2 / 3);
+      const std::string slot = RandomSlot();
       const auto control = [&](std::chrono::milliseconds aAt, Json aWanted) {
         Add(aAt, slot + "'s worker: " + aWanted.dump(), [this, slot, aWanted] {
           m_fleet.ControlWorker(slot, aWanted);
         });
       };
-      control(
-        at, { { "restart_same_id", kLater[Below(m_random, kLater.size())] } });
+      control(at,
+              { { "restart_same_id",
+                  kOffsetsMs[Below(m_random, kOffsetsMs.size())] } });
       for (std::uint64_t reports = Below(m_random, 4); reports > 0; --reports) {
-        control(at + Between(0, 1500),
-                { { "report", kOthers[Below(m_random, kOthers.size())] } });
+        control(at + RandomTime(0, 1500),
+                { { "report", kReports[Below(m_random, kReports.size())] } });
       }
     }
   }
@@ -228,41 +228,41 @@
   {
     m_crashing.emplace(m_fleet, m_slots);
     for (std::uint32_t i = 0; i < aLength / 300; ++i) {
-      const std::string slot = SomeSlot();
-      Add(Between(300, aLength * 2 / 3),
-          "the request that ends workers, by " + slot,
+      const std::string slot = RandomSlot();
+      Add(RandomTime(300, aLength * 2 / 3),
+          "crashing request at " + slot,
           [this, slot] { m_crashing->Send(slot); });
     }
   }
 
-  /// The order, and a store that goes back to before and behind it.
+  /// Orders a failing version, and restores the store to an older copy.
   void AddRollout(std::uint32_t aLength)
   {
-    Add(Between(300, aLength / 3), "order of a version that fails", [this] {
-      m_failing->Order();
+    Add(RandomTime(300, aLength / 3), "order of a failing version", [this] {
+      m_badVersion->Order();
     });
-    const auto copied = Between(100, aLength / 3);
-    const auto store = [this](const char* aAction) {
-      return [this, aAction] { m_fleet.StoreAction(aAction); };
+    const auto copied = RandomTime(100, aLength / 3);
+    const auto store = [this](const char* aPath) {
+      return [this, aPath] { m_fleet.StoreAction(aPath); };
     };
-    Add(copied, "store copied", store("/backup"));
-    Add(copied + Between(500, aLength / 3),
-        "store back from the copy",
+    Add(copied, "store backed up", store("/backup"));
+    Add(copied + RandomTime(500, aLength / 3),
+        "store restored",
         store("/restore"));
   }
 
   void AddSignal(std::chrono::milliseconds aAt,
                  std::chrono::milliseconds aUntil)
   {
-    const std::string slot = SomeSlot();
-    ++m_lost;
+    const std::string slot = RandomSlot();
+    ++m_daemonFaults;
     const auto signal = [this, slot](int aSignal) {
       return [this, slot, aSignal] { m_fleet.Daemon(slot).Signal(aSignal); };
     };
     switch (Below(m_random, 4)) {
       case 0:
         Add(aAt, slot + " paused", signal(SIGSTOP));
-        Add(aUntil, slot + " goes on", signal(SIGCONT));
+        Add(aUntil, slot + " resumed", signal(SIGCONT));
         break;
       case 1:
         Add(
@@ -270,13 +270,13 @@
         Add(aUntil, slot + " started", [this, slot] { m_fleet.Restart(slot); });
         break;
       case 2:
-        Add(aAt, slot + " told to stop", signal(SIGTERM));
+        Add(aAt, slot + " sent SIGTERM", signal(SIGTERM));
         Add(aAt + std::chrono::milliseconds{ 4500 },
             slot + " started",
             [this, slot] { m_fleet.Restart(slot); });
         break;
       default:
-        Add(aAt, slot + " told to reload", signal(SIGHUP));
+        Add(aAt, slot + " sent SIGHUP", signal(SIGHUP));
     }
   }
 
@@ -289,24 +289,24 @@
       Add(aAt, "store: " + fault.dump(), [this, fault] {
         m_fleet.SetStoreFaults(fault);
       });
-      Add(aUntil, "store well", [this] {
+      Add(aUntil, "store fault cleared", [this] {
         m_fleet.SetStoreFaults({ { "outage", "none" } });
       });
       return;
     }
-    static const std::vector<std::pair<ProxyFault, const char*>> kCuts{
+    static const std::vector<std::pair<ProxyFault, const char*>> kFaults{
       { ProxyFault::Delay, "delayed" },
-      { ProxyFault::Silent, "silenced" },
-      { ProxyFault::OneWay, "cut one way" },
+      { ProxyFault::Drop, "dropped" },
+      { ProxyFault::DropAnswers, "dropped from the store" },
       { ProxyFault::Reset, "reset" },
     };
-    const auto& cut = kCuts[Below(m_random, kCuts.size())];
-    const ProxyFault fault = cut.first;
-    const char* name = cut.second;
+    const auto& entry = kFaults[Below(m_random, kFaults.size())];
+    const ProxyFault fault = entry.first;
+    const char* name = entry.second;
     Add(aAt, fmt::format("connections to the store {}", name), [this, fault] {
       m_proxy.SetFault(fault);
     });
-    Add(aUntil, "connections to the store well", [this] {
+    Add(aUntil, "connections to the store restored", [this] {
       m_proxy.SetFault(ProxyFault::None);
     });
   }
@@ -318,7 +318,7 @@
     const auto& pair = faults[Below(m_random, faults.size())];
     const Json& begin = pair.first;
     const Json& end = pair.second;
-    const std::string slot = SomeSlot();
+    const std::string slot = RandomSlot();
     Add(aAt, slot + "'s worker: " + begin.dump(), [this, slot, begin] {
       m_fleet.ControlWorker(slot, begin);
     });
@@ -327,28 +327,28 @@
     });
   }
 
-  void PlayPlan()
+  void ExecutePlan()
   {
     const auto start = std::chrono::steady_clock::now();
     for (const Step& each : m_plan) {
       std::this_thread::sleep_until(start + each.m_at);
-      each.m_do();
+      each.m_action();
     }
   }
 
-  /// Whatever the plan left broken is made well.
-  void EndFaults()
+  /// Clears all faults and restarts the daemons that do not run.
+  void ClearFaults()
   {
-    if (m_crashing && !m_crashing->Settle()) {
-      throw std::runtime_error{ "a worker is not back" };
+    if (m_crashing && !m_crashing->WaitForWorkers()) {
+      throw std::runtime_error{ "a crashed worker did not restart" };
     }
     m_proxy.SetFault(ProxyFault::None);
     m_fleet.SetStoreFaults({ { "outage", "none" } });
-    // The store may have been away when the last one was written, or its answer
-    // lost: only what it takes now is known to be the newest.
+    // An earlier write may have failed or its answer been lost; this one is
+    // known to hold the newest version.
     PutConfig();
-    if (m_failing) {
-      m_failing->Order();
+    if (m_badVersion) {
+      m_badVersion->Order();
     }
     for (const std::string& each : m_slots) {
       m_fleet.ControlWorker(each,
@@ -371,7 +371,7 @@
 
   void Check(const std::vector<CallRecord>& aReleases,
              const std::vector<CallRecord>& aLookups,
-             Verdict& aOut)
+             Result& aOut)
   {
     RunCounts runs;
     for (const std::string& slot : m_slots) {
@@ -380,30 +380,32 @@
         runs[each.key()] += each.value().get<std::uint32_t>();
       }
     }
-    const std::uint64_t inService = SumOf(runs);
-    if (m_failing) {
-      m_failing->AddRunsTo(runs);
+    const std::uint64_t goodRuns = TotalRuns(runs);
+    if (m_badVersion) {
+      m_badVersion->AddRunsTo(runs);
     }
     aOut.m_releases = CheckCalls(aReleases, runs);
     aOut.m_lookups = CheckCalls(aLookups, runs);
-    // Lookups may run again; only releases must not.
-    aOut.m_lookups.m_doubled = 0;
+    // Lookups are idempotent and may run twice.
+    aOut.m_lookups.m_duplicateRuns = 0;
     for (const CallReport* each : { &aOut.m_releases, &aOut.m_lookups }) {
       if (!each->IsClean()) {
-        aOut.m_broken.push_back(Describe(*each));
+        aOut.m_violations.push_back(Describe(*each));
       }
     }
-    const auto ends = m_crashing ? m_crashing->Check(m_lost) : std::nullopt;
-    if (ends) {
-      aOut.m_broken.push_back(*ends);
+    const auto crashes =
+      m_crashing ? m_crashing->Check(m_daemonFaults) : std::nullopt;
+    if (crashes) {
+      aOut.m_violations.push_back(*crashes);
     }
-    const auto failing = m_failing ? m_failing->Check(inService) : std::nullopt;
-    if (failing) {
-      aOut.m_broken.push_back(*failing);
+    const auto exposure =
+      m_badVersion ? m_badVersion->Check(goodRuns) : std::nullopt;
+    if (exposure) {
+      aOut.m_violations.push_back(*exposure);
     }
     for (const std::string& slot : m_slots) {
-      if (m_fleet.Daemon(slot).Logged("lines_dropped")) {
-        aOut.m_broken.push_back(slot + " dropped log lines");
+      if (m_fleet.Daemon(slot).HasLogged("lines_dropped")) {
+        aOut.m_violations.push_back(slot + " dropped log lines");
       }
     }
   }
@@ -416,9 +418,9 @@
   std::vector<std::string> m_slots;
   std::vector<Step> m_plan;
   std::optional<CrashingRequests> m_crashing;
-  std::optional<FailingVersion> m_failing;
-  /// Daemons that the plan kills, stops or pauses.
-  int m_lost{ 0 };
+  std::optional<FailingVersion> m_badVersion;
+  /// Number of faults that kill, stop or pause a daemon.
+  int m_daemonFaults{ 0 };
   std::uint64_t m_version{ 0 };
   std::string m_route;
 };
@@ -426,27 +428,27 @@
 int
 RunAll(const Options& aOptions)
 {
-  int broken = 0;
+  int failed = 0;
   for (std::uint64_t i = 0; i < aOptions.m_seeds; ++i) {
-    const Verdict verdict = Soak{ aOptions, aOptions.m_seed + i }.Run();
-    const bool clean = verdict.m_broken.empty();
-    broken += clean ? 0 : 1;
+    const Result result = Soak{ aOptions, aOptions.m_seed + i }.Run();
+    const bool isClean = result.m_violations.empty();
+    failed += isClean ? 0 : 1;
     fmt::print("seed {} {}: releases {}; lookups {}\n",
-               verdict.m_seed,
-               clean ? "clean" : "BROKEN",
-               Describe(verdict.m_releases),
-               Describe(verdict.m_lookups));
-    if (!clean) {
+               result.m_seed,
+               isClean ? "clean" : "BROKEN",
+               Describe(result.m_releases),
+               Describe(result.m_lookups));
+    if (!isClean) {
       fmt::print("{}\n",
-                 Json{ { "seed", verdict.m_seed },
-                       { "broken", verdict.m_broken },
-                       { "plan", verdict.m_plan } }
+                 Json{ { "seed", result.m_seed },
+                       { "broken", result.m_violations },
+                       { "plan", result.m_plan } }
                    .dump());
     }
     std::fflush(stdout);
   }
-  fmt::print("{} passed, {} failed\n", aOptions.m_seeds - broken, broken);
-  return broken == 0 ? 0 : 1;
+  fmt::print("{} passed, {} failed\n", aOptions.m_seeds - failed, failed);
+  return failed == 0 ? 0 : 1;
 }
 
 }
@@ -456,11 +458,11 @@
 {
   namespace po = boost::program_options;
   Options given;
-  po::options_description options{ "soak: faults at random against the real "
-                                   "programs; the same seed, the same plan" };
+  po::options_description options{ "soak: runs the real programs under random "
+                                   "faults; a seed gives a fixed plan" };
   options.add_options()("help", "show this")(
     "seed", po::value(&given.m_seed)->default_value(1), "first seed")(
-    "seeds", po::value(&given.m_seeds)->default_value(1), "seeds to play")(
+    "seeds", po::value(&given.m_seeds)->default_value(1), "number of seeds")(
     "seconds",
     po::value(&given.m_seconds)->default_value(15),
     "length of each plan")("daemons",
@@ -468,16 +470,16 @@
                            "daemons, each with its worker")(
     "rate",
     po::value(&given.m_rate)->default_value(100.0),
-    "releases a second, and as many lookups")(
+    "releases per second, and as many lookups")(
     "rollout",
     po::bool_switch(&given.m_rollout),
-    "a version that fails is brought in, the store comes back from copies")(
+    "also orders a failing version and restores the store from copies")(
     "restarts",
     po::bool_switch(&given.m_restarts),
-    "backend servers also start again under their ids")(
+    "also restarts backend servers under the same ids")(
     "crashing",
     po::bool_switch(&given.m_crashing),
-    "a request comes under which backend servers end");
+    "also sends a request that crashes backend servers");
   try {
     po::variables_map values;
     po::store(po::parse_command_line(aCount, aArguments, options), values);
--- a/tools/soak_config.hpp
+++ b/tools/soak_config.hpp
@@ -5,8 +5,8 @@
 
 namespace greengagehub::testkit {
 
-/// \returns The operators' configuration of the soak: releases, lookups, and a
-/// newest route by which a version is told from the others.
+/// \returns The operators' configuration of the soak: routes for releases and
+/// lookups, and a route that only this version has.
 inline nlohmann::json
 ConfigDocument(std::uint64_t aVersion, const std::string& aNewestPrefix)
 {
--- a/tools/soak_crashing.hpp
+++ b/tools/soak_crashing.hpp
@@ -8,8 +8,8 @@
 
 namespace greengagehub::testkit {
 
-/// \brief A request of the soak under which each backend server ends that runs
-/// it, sent again and again by any daemon.
+/// \brief A request that crashes every backend server that runs it, sent
+/// repeatedly through different daemons.
 class CrashingRequests
 {
 public:
@@ -25,7 +25,7 @@
     }
   }
 
-  /// Does not wait for the answer.
+  /// Sends the request without waiting for the answer.
   void Send(const std::string& aSlot)
   {
     m_sent.push_back(std::async(std::launch::async, [this, aSlot] {
@@ -39,8 +39,9 @@
     }));
   }
 
-  /// Waits until all backend servers are back.
-  [[nodiscard]] bool Settle()
+  /// Waits for all answers, then until all backend servers are running.
+  /// \returns Whether they are.
+  [[nodiscard]] bool WaitForWorkers()
   {
     m_sent.clear();
     return std::all_of(
@@ -50,27 +51,30 @@
       });
   }
 
-  /// \param aLost daemons whose count may be lost or late: killed, stopped or
-  /// paused by the plan.
-  /// \returns What is wrong, if anything.
-  [[nodiscard]] std::optional<std::string> Check(int aLost) const
+  /// \param aDaemonFaults Number of daemons killed, stopped or paused; each may
+  /// lose or delay a crash report.
+  ///
+  /// \returns A description of the violation, if any.
+  [[nodiscard]] std::optional<std::string> Check(int aDaemonFaults) const
   {
-    int ends = 0;
+    int crashes = 0;
     for (const std::string& each : m_slots) {
-      ends += m_fleet.WorkerCounts(each).value("ends", 0);
+      crashes += m_fleet.WorkerCounts(each).value("ends", 0);
     }
-    const int most = kHeldAt + kUnderWay + aLost;
-    if (ends <= most) {
+    const int limit = kQuarantineAt + kInFlight + aDaemonFaults;
+    if (crashes <= limit) {
       return std::nullopt;
     }
-    return fmt::format("{} workers ended, {} at most were to", ends, most);
+    return fmt::format(
+      "{} workers crashed, expected at most {}", crashes, limit);
   }
 
 private:
   static constexpr const char* kTarget = "/read/crashing";
-  /// Ends after which it is held, and copies that may be under way then.
-  static constexpr int kHeldAt = 3;
-  static constexpr int kUnderWay = 3;
+  /// Crashes after which the request is quarantined, and copies that may be in
+  /// flight at that time.
+  static constexpr int kQuarantineAt = 3;
+  static constexpr int kInFlight = 3;
 
   Fleet& m_fleet;
   std::vector<std::string> m_slots;
--- a/tools/soak_plan.hpp
+++ b/tools/soak_plan.hpp
@@ -8,46 +8,50 @@
 #include <string>
 #include <vector>
 
-// What a run of the soak is made of.
+// Options, plan and result of a soak test.
 
 namespace greengagehub::testkit {
 
 struct SoakOptions
 {
   std::uint64_t m_seed{ 1 };
+  /// Number of consecutive seeds from m_seed on.
   std::uint32_t m_seeds{ 1 };
+  /// Length of each plan.
   std::uint32_t m_seconds{ 15 };
   std::uint32_t m_daemons{ 5 };
+  /// Releases per second, and as many lookups.
   double m_rate{ 100.0 };
-  /// Backend servers also start again under their ids, and reports come that
-  /// are late or another writer's. Apart, as the plans of seeds that ever
-  /// failed stay as they were.
+  /// Adds restarts of backend servers under the same id, and late or malformed
+  /// reports. Off by default, as the other options below, so that the plans of
+  /// known seeds stay the same.
   bool m_restarts{ false };
-  /// A request comes under which backend servers end; apart likewise.
+  /// Adds a request that crashes backend servers.
   bool m_crashing{ false };
-  /// A version that fails is brought in, and the store comes back from older
-  /// copies; apart likewise.
+  /// Adds the roll-out of a failing version, and restores of the store from
+  /// older copies.
   bool m_rollout{ false };
 };
 
-/// Something that happens at a time of the plan.
+/// \brief An action at a time since the start of the plan.
 struct SoakStep
 {
   std::chrono::milliseconds m_at{ 0 };
-  std::string m_what;
-  std::function<void()> m_do;
+  std::string m_description;
+  std::function<void()> m_action;
 };
 
-struct SoakVerdict
+/// \brief Result of one seed; it passes if there are no violations.
+struct SoakResult
 {
   std::uint64_t m_seed{ 0 };
   CallReport m_releases;
   CallReport m_lookups;
   std::vector<std::string> m_plan;
-  std::vector<std::string> m_broken;
+  std::vector<std::string> m_violations;
 };
 
-/// \returns What may happen to the store.
+/// \returns Faults of the store.
 inline const std::vector<nlohmann::json>&
 StoreFaults()
 {
@@ -61,7 +65,7 @@
   return kFaults;
 }
 
-/// \returns What may happen to a worker, and what ends it.
+/// \returns Pairs of a worker's fault and the control request that ends it.
 inline const std::vector<std::pair<nlohmann::json, nlohmann::json>>&
 WorkerFaults()
 {
--- a/tools/soak_rollout.hpp
+++ b/tools/soak_rollout.hpp
@@ -8,9 +8,9 @@
 
 namespace greengagehub::testkit {
 
-/// \returns How many runs there were.
+/// \returns The number of runs of all requests.
 inline std::uint64_t
-SumOf(const RunCounts& aRuns)
+TotalRuns(const RunCounts& aRuns)
 {
   std::uint64_t sum = 0;
   for (const auto& each : aRuns) {
@@ -19,8 +19,8 @@
   return sum;
 }
 
-/// \brief A version of the soak's service whose runs all fail, brought in by an
-/// order while everything else goes on.
+/// \brief A version of the soak's service whose runs all fail, and the roll-out
+/// that tries it.
 class FailingVersion
 {
 public:
@@ -40,16 +40,17 @@
     }
   }
 
+  /// \brief Writes the order of its roll-out into the store.
   void Order() const
   {
-    m_fleet.PutIntoStore("op/rollout/lockers",
+    m_fleet.WriteToStore("op/rollout/lockers",
                          nlohmann::json{ { "service", "lockers" },
                                          { "target_version", "v2" },
-                                         { "duration_s", kSeconds } }
+                                         { "duration_s", kDurationSeconds } }
                            .dump());
   }
 
-  /// \brief Adds what its workers ran, by request.
+  /// \brief Adds the runs at its workers, by request id.
   void AddRunsTo(RunCounts& aRuns) const
   {
     for (const std::string& each : m_slots) {
@@ -60,32 +61,34 @@
     }
   }
 
-  /// \param aRunsOfOthers of the version in service.
-  /// \returns What is wrong, if anything.
+  /// \param aRunsInService Runs of the current version.
+  /// \returns A description of the violation, if any.
   [[nodiscard]] std::optional<std::string> Check(
-    std::uint64_t aRunsOfOthers) const
+    std::uint64_t aRunsInService) const
   {
-    RunCounts own;
-    AddRunsTo(own);
-    const std::uint64_t runs = SumOf(own);
-    if (!IsExposureBounded(runs, runs + aRunsOfOthers)) {
-      return fmt::format(
-        "a bad version got {} runs beside {}", runs, aRunsOfOthers);
+    RunCounts runsById;
+    AddRunsTo(runsById);
+    const std::uint64_t runs = TotalRuns(runsById);
+    if (!IsExposureBounded(runs, runs + aRunsInService)) {
+      return fmt::format("the failing version got {} runs, the current one {}",
+                         runs,
+                         aRunsInService);
     }
     if (!WaitUntil([this] { return IsRolledBack(); })) {
-      return "a bad version was not rolled back: " + m_fleet.FromStore(kStatus);
+      return "the failing version was not rolled back; its status: " +
+             m_fleet.ReadFromStore(kStatusKey);
     }
     return std::nullopt;
   }
 
 private:
-  static constexpr double kSeconds = 10.0;
-  static constexpr const char* kStatus = "status/rollout/lockers";
+  static constexpr double kDurationSeconds = 10.0;
+  static constexpr const char* kStatusKey = "status/rollout/lockers";
 
   [[nodiscard]] bool IsRolledBack() const
   {
     const auto status =
-      nlohmann::json::parse(m_fleet.FromStore(kStatus), nullptr, false);
+      nlohmann::json::parse(m_fleet.ReadFromStore(kStatusKey), nullptr, false);
     return status.is_object() && status.value("state", "") == "rolled_back";
   }
 
--- a/tools/testkit/closed_loop.cpp
+++ b/tools/testkit/closed_loop.cpp
@@ -22,7 +22,7 @@
   {
     const auto start = ClockType::now();
     for (std::size_t i = 0; i < m_plan.m_callers; ++i) {
-      Next();
+      SendNext();
     }
     while (m_done < m_plan.m_count) {
       m_loop.run_one();
@@ -32,7 +32,7 @@
   }
 
 private:
-  void Next()
+  void SendNext()
   {
     if (m_sent >= m_plan.m_count) {
       return;
@@ -46,11 +46,11 @@
     const auto sent = ClockType::now();
     m_client.Send(std::move(request), [this, sent](HttpClientResult aResult) {
       m_result.m_latencies.emplace_back(ClockType::now() - sent);
-      const bool good = aResult.m_kind == HttpClientResult::Kind::Answered &&
+      const bool isOk = aResult.m_kind == HttpClientResult::Kind::Answered &&
                         aResult.m_response.m_status == 200;
-      m_result.m_failures += good ? 0 : 1;
+      m_result.m_failures += isOk ? 0 : 1;
       ++m_done;
-      Next();
+      SendNext();
     });
   }
 
--- a/tools/testkit/distribution.cpp
+++ b/tools/testkit/distribution.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 constexpr unsigned kBins = 60;
-constexpr double kLowestMicros = 10.0;
-constexpr double kHighestMicros = 10'000'000.0;
+constexpr double kMinMicroseconds = 10.0;
+constexpr double kMaxMicroseconds = 10'000'000.0;
 }
 
 double
-Micros(std::chrono::nanoseconds aSpan) noexcept
+ToMicroseconds(std::chrono::nanoseconds aSpan) noexcept
 {
   return std::chrono::duration<double, std::micro>(aSpan).count();
 }
@@ -25,13 +25,13 @@
 }
 
 std::chrono::nanoseconds
-Distribution::Quantile(double aShare) const
+Distribution::Quantile(double aProbability) const
 {
   if (m_sample.empty()) {
     return {};
   }
   const auto last = static_cast<double>(m_sample.size() - 1);
-  return m_sample[static_cast<std::size_t>(std::lround(aShare * last))];
+  return m_sample[static_cast<std::size_t>(std::lround(aProbability * last))];
 }
 
 nlohmann::json
@@ -40,9 +40,9 @@
   namespace bh = boost::histogram;
   auto histogram =
     bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(
-      kBins, kLowestMicros, kHighestMicros));
+      kBins, kMinMicroseconds, kMaxMicroseconds));
   for (const auto& each : m_sample) {
-    histogram(Micros(each));
+    histogram(ToMicroseconds(each));
   }
   nlohmann::json bins = nlohmann::json::array();
   for (const auto& bin : bh::indexed(histogram)) {
@@ -52,10 +52,10 @@
     }
   }
   return { { "count", Count() },
-           { "p50_us", Micros(Quantile(0.5)) },
-           { "p99_us", Micros(Quantile(0.99)) },
-           { "p999_us", Micros(Quantile(0.999)) },
-           { "max_us", Micros(Quantile(1.0)) },
+           { "p50_us", ToMicroseconds(Quantile(0.5)) },
+           { "p99_us", ToMicroseconds(Quantile(0.99)) },
+           { "p999_us", ToMicroseconds(Quantile(0.999)) },
+           { "max_us", ToMicroseconds(Quantile(1.0)) },
            { "histogram", std::move(bins) } };
 }
 
--- a/tools/testkit/fleet.cpp
+++ b/tools/testkit/fleet.cpp
@@ -15,31 +15,32 @@
 
 namespace {
 
-/// Waits for the line with the event "listening".
+/// Waits for the log line with the event "listening".
 Json
 ListeningLine(const Process& aProcess)
 {
-  Json found;
-  const bool listens = WaitUntil([&] {
+  Json listeningLine;
+  const bool isListening = WaitUntil([&] {
     std::istringstream lines{ aProcess.Log() };
     for (std::string line; std::getline(lines, line);) {
       Json parsed = Json::parse(line, nullptr, false);
       if (parsed.is_object() && parsed.value("event", "") == "listening") {
-        found = std::move(parsed);
+        listeningLine = std::move(parsed);
         return true;
       }
     }
     return false;
   });
-  if (!listens) {
-    throw std::runtime_error{ "a process does not listen: " + aProcess.Log() };
+  if (!isListening) {
+    throw std::runtime_error{ "process does not listen; its log: " +
+                              aProcess.Log() };
   }
-  return found;
+  return listeningLine;
 }
 
-const std::string kPlatform = "watch_ms = 5000\ntimeout_ms = 1500\n"
-                              "[platform]\nheartbeat_ms = 200\n";
-const std::string kFirstPlatformListen =
+const std::string kPlatformSettings = "watch_ms = 5000\ntimeout_ms = 1500\n"
+                                      "[platform]\nheartbeat_ms = 200\n";
+const std::string kEphemeralListenSection =
   "[listen]\nreadiness = \"127.0.0.1:0\"\nheartbeats = \"127.0.0.1:0\"\n";
 
 std::string
@@ -59,7 +60,7 @@
                                       m_directory.File("store.log"));
   const Json line = ListeningLine(*m_store);
   m_storePort = line["port"].get<std::uint16_t>();
-  m_daemonsStorePort = m_storePort;
+  m_storePortOfDaemons = m_storePort;
   m_storeUrl = fmt::format("http://127.0.0.1:{}", m_storePort);
 }
 
@@ -82,10 +83,10 @@
     aNode.m_backendPort,
     spec.m_slots,
     spec.m_queue,
-    aNode.m_listen.empty() && spec.m_onPlatform ? kFirstPlatformListen
-                                                : aNode.m_listen,
-    fmt::format("http://127.0.0.1:{}", m_daemonsStorePort),
-    spec.m_onPlatform ? kPlatform + spec.m_settings : spec.m_settings);
+    aNode.m_listenSection.empty() && spec.m_onPlatform ? kEphemeralListenSection
+                                                       : aNode.m_listenSection,
+    fmt::format("http://127.0.0.1:{}", m_storePortOfDaemons),
+    spec.m_onPlatform ? kPlatformSettings + spec.m_settings : spec.m_settings);
 }
 
 void
@@ -114,7 +115,7 @@
     node.m_backendPort =
       ListeningLine(*node.m_backend)["port"].get<std::uint16_t>();
   } else {
-    // A port where nobody listens.
+    // An unused port.
     node.m_backendPort = 1;
   }
   node.m_settingsFile = WriteFile(aSpec.m_slot + ".toml", SettingsFor(node));
@@ -125,8 +126,8 @@
 Fleet::StartDaemon(Node& aNode)
 {
   const std::string log = m_directory.File(
-    fmt::format("{}.{}.log", aNode.m_spec.m_slot, ++m_started));
-  aNode.m_log = log + ".out";
+    fmt::format("{}.{}.log", aNode.m_spec.m_slot, ++m_logFileCount));
+  aNode.m_outputFile = log + ".out";
   aNode.m_daemon = std::make_unique<Process>(
     std::vector<std::string>{
       DAEMON_PROGRAM, "--settings", aNode.m_settingsFile },
@@ -136,21 +137,21 @@
   aNode.m_operatorsPort = line["operators_port"].get<std::uint16_t>();
   aNode.m_readinessPort = line["readiness_port"].get<std::uint16_t>();
   aNode.m_heartbeatsPort = line["heartbeats_port"].get<std::uint16_t>();
-  if (aNode.m_listen.empty()) {
-    aNode.m_listen = "[listen]\n";
+  if (aNode.m_listenSection.empty()) {
+    aNode.m_listenSection = "[listen]\n";
     for (const char* key : { "calls_port",
                              "operators_port",
                              "gossip_port",
                              "bulk_port",
                              "link_port" }) {
-      aNode.m_listen +=
+      aNode.m_listenSection +=
         fmt::format("{} = {}\n", key, line[key].get<std::uint16_t>());
     }
     if (aNode.m_spec.m_onPlatform) {
-      aNode.m_listen += fmt::format("readiness = \"127.0.0.1:{}\"\n"
-                                    "heartbeats = \"127.0.0.1:{}\"\n",
-                                    aNode.m_readinessPort,
-                                    aNode.m_heartbeatsPort);
+      aNode.m_listenSection += fmt::format("readiness = \"127.0.0.1:{}\"\n"
+                                           "heartbeats = \"127.0.0.1:{}\"\n",
+                                           aNode.m_readinessPort,
+                                           aNode.m_heartbeatsPort);
     }
     WriteFile(aNode.m_spec.m_slot + ".toml", SettingsFor(aNode));
   }
@@ -171,7 +172,7 @@
 }
 
 const Fleet::Node&
-Fleet::At(const std::string& aSlot) const
+Fleet::NodeAt(const std::string& aSlot) const
 {
   return m_nodes.at(aSlot);
 }
@@ -201,26 +202,27 @@
 std::string
 Fleet::OperatorsUrl(const std::string& aSlot) const
 {
-  return fmt::format("http://127.0.0.1:{}", At(aSlot).m_operatorsPort);
+  return fmt::format("http://127.0.0.1:{}", NodeAt(aSlot).m_operatorsPort);
 }
 
 std::string
 Fleet::CallsUrl(const std::string& aSlot) const
 {
-  return fmt::format("http://127.0.0.1:{}", At(aSlot).m_callsPort);
+  return fmt::format("http://127.0.0.1:{}", NodeAt(aSlot).m_callsPort);
 }
 
 std::string
 Fleet::BackendUrl(const std::string& aSlot) const
 {
-  return fmt::format("http://127.0.0.1:{}", At(aSlot).m_backendPort);
+  return fmt::format("http://127.0.0.1:{}", NodeAt(aSlot).m_backendPort);
 }
 
 std::string
 Fleet::ReadinessUrl(const std::string& aSlot) const
 {
-  return fmt::format(
-    "http://127.0.0.1:{}{}", At(aSlot).m_readinessPort, platform::kReadyPath);
+  return fmt::format("http://127.0.0.1:{}{}",
+                     NodeAt(aSlot).m_readinessPort,
+                     platform::kReadyPath);
 }
 
 bool
@@ -232,12 +234,12 @@
 }
 
 void
-Fleet::ControlWorker(const std::string& aSlot, const Json& aWanted) const
+Fleet::ControlWorker(const std::string& aSlot, const Json& aControl) const
 {
   HttpClientRequest request;
   request.m_method = "PUT";
   request.m_url = BackendUrl(aSlot) + "/control";
-  request.m_body = aWanted.dump();
+  request.m_body = aControl.dump();
   static_cast<void>(SendAndWait(std::move(request)));
 }
 
@@ -253,11 +255,11 @@
 void
 Fleet::PutPlatformConfig(const Json& aDocument) const
 {
-  PutIntoStore(std::string{ platform::kConfigKey }, aDocument.dump());
+  WriteToStore(std::string{ platform::kConfigKey }, aDocument.dump());
 }
 
 void
-Fleet::PutIntoStore(const std::string& aKey, const std::string& aValue) const
+Fleet::WriteToStore(const std::string& aKey, const std::string& aValue) const
 {
   HttpClientRequest request;
   request.m_method = "POST";
@@ -274,14 +276,14 @@
 }
 
 std::string
-Fleet::FromStore(const std::string& aKey) const
+Fleet::ReadFromStore(const std::string& aKey) const
 {
   HttpClientRequest request;
   request.m_url = m_storeUrl + "/kv-key?key=" + aKey;
   const HttpClientResult result = SendAndWait(std::move(request));
   const Json item = Json::parse(result.m_response.m_body, nullptr, false);
-  const bool isThere = item.is_object() && item.contains("value");
-  const auto value = isThere
+  const bool hasValue = item.is_object() && item.contains("value");
+  const auto value = hasValue
                        ? platform::FromBase64(item["value"].get<std::string>())
                        : std::nullopt;
   return value.value_or("");
@@ -292,10 +294,10 @@
 {
   std::vector<std::string> arguments{ CLI_PROGRAM, "trace", aId };
   for (const auto& [slot, node] : m_nodes) {
-    arguments.push_back(node.m_log);
+    arguments.push_back(node.m_outputFile);
   }
   const std::string log =
-    m_directory.File(fmt::format("command.{}.log", ++m_started));
+    m_directory.File(fmt::format("command.{}.log", ++m_logFileCount));
   Process process{ std::move(arguments), log };
   CommandResult result;
   result.m_exitCode = process.Wait().value_or(-1);
@@ -320,10 +322,10 @@
 }
 
 CallResult
-Fleet::Operate(const std::string& aSlot,
-               const std::string& aMethod,
-               const std::string& aPath,
-               std::string aBody) const
+Fleet::CallOperatorsApi(const std::string& aSlot,
+                        const std::string& aMethod,
+                        const std::string& aPath,
+                        std::string aBody) const
 {
   HttpClientRequest request;
   request.m_method = aMethod;
@@ -342,7 +344,7 @@
   aArguments.insert(aArguments.end(),
                     { "--daemon", OperatorsUrl(aSlot), "--token", kToken });
   const std::string log =
-    m_directory.File(fmt::format("command.{}.log", ++m_started));
+    m_directory.File(fmt::format("command.{}.log", ++m_logFileCount));
   Process process{ std::move(aArguments), log };
   CommandResult result;
   result.m_exitCode = process.Wait().value_or(-1);
@@ -412,29 +414,29 @@
 }
 
 bool
-Fleet::Accept(const std::string& aSlot,
-              const std::string& aId,
-              std::uint64_t aBase,
-              const std::string& aPatch) const
+Fleet::SubmitPatch(const std::string& aSlot,
+                   const std::string& aId,
+                   std::uint64_t aBase,
+                   const std::string& aPatch) const
 {
   const CallResult result =
-    Operate(aSlot,
-            "POST",
-            fmt::format("/v1/patches?id={}&base={}", aId, aBase),
-            aPatch);
+    CallOperatorsApi(aSlot,
+                     "POST",
+                     fmt::format("/v1/patches?id={}&base={}", aId, aBase),
+                     aPatch);
   return result.Status() == 200;
 }
 
 Json
 Fleet::Status(const std::string& aSlot) const
 {
-  return Operate(aSlot, "GET", "/v1/status").Json();
+  return CallOperatorsApi(aSlot, "GET", "/v1/status").Json();
 }
 
 std::uint64_t
 Fleet::VersionAt(const std::string& aSlot) const
 {
-  const Json version = Operate(aSlot, "GET", "/v1/version").Json();
+  const Json version = CallOperatorsApi(aSlot, "GET", "/v1/version").Json();
   return version.is_object() ? version.value("version", std::uint64_t{ 0 }) : 0;
 }
 
@@ -468,7 +470,8 @@
       if (!aEach.second.m_daemon->IsRunning()) {
         return true;
       }
-      const Json version = Operate(aEach.first, "GET", "/v1/version").Json();
+      const Json version =
+        CallOperatorsApi(aEach.first, "GET", "/v1/version").Json();
       return version.is_object() &&
              version.value("members", std::size_t{ 0 }) == running;
     });
--- a/tools/testkit/fleet.hpp
+++ b/tools/testkit/fleet.hpp
@@ -12,7 +12,7 @@
 
 namespace greengagehub::testkit {
 
-/// \brief One worker with its daemon.
+/// \brief Settings of a worker and of its daemon.
 struct WorkerSpec
 {
   std::string m_slot{};
@@ -21,17 +21,19 @@
   std::string m_region{ "stockholm" };
   std::uint32_t m_slots{ 20 };
   std::uint32_t m_queue{ 40 };
+  /// Service time of a call, in milliseconds.
   std::uint32_t m_serviceMs{ 2 };
-  /// Extra lines of settings, whole sections.
+  /// Additional sections of the daemon's settings file, as TOML.
   std::string m_settings{};
-  /// Extra arguments of the backend server.
+  /// Additional command-line arguments of the backend server.
   std::vector<std::string> m_backendArguments{};
   bool m_withBackend{ true };
-  /// The backend server speaks the platform's protocol and sends heartbeats,
-  /// and the daemon takes its configuration from the platform's store.
+  /// Whether the backend server uses the platform's protocol and heartbeats,
+  /// and the daemon reads its configuration from the platform's store.
   bool m_onPlatform{ false };
 };
 
+/// \brief Result of an HTTP request to a process of the fleet.
 struct CallResult
 {
   HttpClientResult m_result;
@@ -46,15 +48,15 @@
   }
 };
 
-/// What the command line printed and how it ended.
+/// \brief Output and exit code of the command line; -1 when it did not exit.
 struct CommandResult
 {
   int m_exitCode{ -1 };
   std::string m_output;
 };
 
-/// \brief A store stand-in and workers with their daemons, as real processes
-/// on ephemeral loopback ports.
+/// \brief A stand-in for the store and workers with their daemons, as real
+/// processes on ephemeral loopback ports.
 class Fleet
 {
 public:
@@ -62,10 +64,10 @@
 
   Fleet();
 
-  /// \brief Starts a backend server and its daemon, and waits until the
-  /// daemon listens.
+  /// \brief Starts a backend server and its daemon, and waits until both
+  /// listen.
   void Add(const WorkerSpec& aSpec);
-  /// \brief Starts a daemon that was killed again, beside its backend.
+  /// \brief Kills a daemon if it runs, and starts it again at the same address.
   void Restart(const std::string& aSlot);
 
   [[nodiscard]] Process& Daemon(const std::string& aSlot);
@@ -76,20 +78,23 @@
   [[nodiscard]] std::string BackendUrl(const std::string& aSlot) const;
   [[nodiscard]] std::string StoreUrl() const { return m_storeUrl; }
   [[nodiscard]] std::uint16_t StorePort() const noexcept { return m_storePort; }
-  /// \brief Daemons started from now on reach the store by another port.
-  void UseStoreAt(std::uint16_t aPort) { m_daemonsStorePort = aPort; }
+  /// \brief Sets the port at which daemons that start later reach the store.
+  void UseStoreAt(std::uint16_t aPort) { m_storePortOfDaemons = aPort; }
   [[nodiscard]] std::string ReadinessUrl(const std::string& aSlot) const;
-  /// \brief Switches faults of a backend server on the platform.
+  /// \brief Sends a control request to a platform worker, such as a fault to
+  /// set.
   void ControlWorker(const std::string& aSlot,
-                     const nlohmann::json& aWanted) const;
+                     const nlohmann::json& aControl) const;
+  /// \returns A platform worker's counters; no object while it is down.
   [[nodiscard]] nlohmann::json WorkerCounts(const std::string& aSlot) const;
   /// \brief Writes the operators' configuration into the platform's store.
   void PutPlatformConfig(const nlohmann::json& aDocument) const;
-  /// \brief Writes any value under any key, as another writer might.
-  void PutIntoStore(const std::string& aKey, const std::string& aValue) const;
-  /// \returns What the store holds under a key; empty if it is not there.
-  [[nodiscard]] std::string FromStore(const std::string& aKey) const;
-  /// \brief Runs the command that traces a request through all daemons' logs.
+  /// \brief Writes a value into the platform's store.
+  void WriteToStore(const std::string& aKey, const std::string& aValue) const;
+  /// \returns The value of a key in the platform's store; empty if it is
+  /// missing.
+  [[nodiscard]] std::string ReadFromStore(const std::string& aKey) const;
+  /// \brief Runs the `trace` command over the logs of all daemons.
   [[nodiscard]] CommandResult Trace(const std::string& aId);
   [[nodiscard]] bool IsReady(const std::string& aSlot) const;
 
@@ -98,36 +103,41 @@
                                 const std::string& aTarget,
                                 std::vector<HttpHeader> aHeaders = {},
                                 std::string aBody = {}) const;
-  [[nodiscard]] CallResult Operate(const std::string& aSlot,
-                                   const std::string& aMethod,
-                                   const std::string& aPath,
-                                   std::string aBody = {}) const;
+  /// \brief Sends an authorized request to a daemon's operators API.
+  [[nodiscard]] CallResult CallOperatorsApi(const std::string& aSlot,
+                                            const std::string& aMethod,
+                                            const std::string& aPath,
+                                            std::string aBody = {}) const;
+  /// \brief Runs the command line against a daemon's operators API.
   [[nodiscard]] CommandResult Command(const std::string& aSlot,
                                       std::vector<std::string> aArguments);
   void SetStoreFaults(const nlohmann::json& aFaults) const;
+  /// \brief Sends a POST request to the store, such as "/backup" or "/restore".
   void StoreAction(const std::string& aPath) const;
   void SetBackendFaults(const std::string& aSlot,
                         const nlohmann::json& aFaults) const;
   [[nodiscard]] nlohmann::json StoreStats() const;
   [[nodiscard]] nlohmann::json Runs(const std::string& aSlot) const;
-  /// \returns How often each request id ran, over all backend servers.
+  /// \returns Number of runs of each request id, over all backend servers.
   [[nodiscard]] RunCounts AllRuns() const;
-  /// \brief Submits through a daemon and requires that it is accepted.
-  [[nodiscard]] bool Accept(const std::string& aSlot,
-                            const std::string& aId,
-                            std::uint64_t aBase,
-                            const std::string& aPatch) const;
-  /// \returns Version in force at a daemon; 0 when it does not answer.
+  /// \brief Submits a patch through a daemon.
+  /// \returns Whether it was accepted.
+  [[nodiscard]] bool SubmitPatch(const std::string& aSlot,
+                                 const std::string& aId,
+                                 std::uint64_t aBase,
+                                 const std::string& aPatch) const;
+  /// \returns The version in force at a daemon; 0 when it does not answer.
   [[nodiscard]] std::uint64_t VersionAt(const std::string& aSlot) const;
   [[nodiscard]] nlohmann::json Status(const std::string& aSlot) const;
-  /// \brief Waits until every running daemon has this version in force and
-  /// takes calls.
+  /// \brief Waits until every running daemon is ready with this version or a
+  /// newer one in force.
   [[nodiscard]] bool WaitForVersion(
     std::uint64_t aVersion,
     std::chrono::milliseconds aLimit = std::chrono::seconds{ 30 });
-  /// \brief Waits until every running daemon sees all the others.
+  /// \brief Waits until every running daemon knows all running daemons.
   [[nodiscard]] bool WaitForMembers();
-  /// \returns A file of this fleet's directory with this text.
+  /// \brief Writes a file in this fleet's temporary directory.
+  /// \returns Its path.
   std::string WriteFile(const std::string& aName,
                         const std::string& aText) const;
 
@@ -138,29 +148,29 @@
     std::string m_settingsFile;
     std::unique_ptr<Process> m_backend;
     std::unique_ptr<Process> m_daemon;
-    /// Standard output of its latest start.
-    std::string m_log;
+    /// Path of the daemon's standard output since its latest start.
+    std::string m_outputFile;
     std::uint16_t m_backendPort{ 0 };
     std::uint16_t m_callsPort{ 0 };
     std::uint16_t m_operatorsPort{ 0 };
     std::uint16_t m_readinessPort{ 0 };
     std::uint16_t m_heartbeatsPort{ 0 };
-    /// [listen] section with the ports of its first start, so that it comes
-    /// back at the same address, as a slot does.
-    std::string m_listen{};
+    /// [listen] section with the ports of the first start, so that a restarted
+    /// daemon keeps its address.
+    std::string m_listenSection{};
   };
 
   void StartDaemon(Node& aNode);
   [[nodiscard]] std::string SettingsFor(const Node& aNode) const;
-  [[nodiscard]] const Node& At(const std::string& aSlot) const;
+  [[nodiscard]] const Node& NodeAt(const std::string& aSlot) const;
 
   TemporaryDirectory m_directory;
   std::unique_ptr<Process> m_store;
   std::string m_storeUrl;
   std::uint16_t m_storePort{ 0 };
-  std::uint16_t m_daemonsStorePort{ 0 };
+  std::uint16_t m_storePortOfDaemons{ 0 };
   std::map<std::string, Node> m_nodes;
-  int m_started{ 0 };
+  int m_logFileCount{ 0 };
 };
 
 }
--- a/tools/testkit/load.cpp
+++ b/tools/testkit/load.cpp
@@ -13,7 +13,7 @@
 
 using ClockType = std::chrono::steady_clock;
 
-/// One run of a plan on one event loop.
+/// Executes a plan on an event loop of its own.
 class LoadRun
 {
 public:
@@ -28,14 +28,14 @@
     std::sort(m_events.begin(),
               m_events.end(),
               [](const LoadEvent& aLeft, const LoadEvent& aRight) {
-                return aLeft.m_after < aRight.m_after;
+                return aLeft.m_afterCalls < aRight.m_afterCalls;
               });
   }
 
   std::vector<CallRecord> Run()
   {
     ScheduleNext();
-    while (m_done < m_plan.m_count) {
+    while (m_finished < m_plan.m_count) {
       m_loop.run_one();
     }
     m_threads.clear();
@@ -61,18 +61,18 @@
         return;
       }
       while (m_sent < m_plan.m_count && DueAt(m_sent) <= ClockType::now()) {
-        FireEvents();
+        StartDueEvents();
         Send(m_sent++);
       }
       ScheduleNext();
     });
   }
 
-  void FireEvents()
+  void StartDueEvents()
   {
     while (m_nextEvent < m_events.size() &&
-           m_events[m_nextEvent].m_after <= m_sent) {
-      // On a thread of its own: the load must go on while a daemon drains.
+           m_events[m_nextEvent].m_afterCalls <= m_sent) {
+      // Actions may block, for example until a daemon has drained.
       m_threads.emplace_back(m_events[m_nextEvent++].m_action);
     }
   }
@@ -89,24 +89,25 @@
     request.m_headers.push_back(HttpHeader{ m_plan.m_idHeader, record.m_id });
     request.m_body = m_plan.m_body;
     request.m_timeout = m_plan.m_timeout;
-    // From when it was due, not from when this loop got to it.
+    // Latency counts from the due time, so that it includes delays of this
+    // loop.
     const auto due = DueAt(aNumber);
     m_client.Send(std::move(request),
                   [this, aNumber, due](HttpClientResult aResult) {
-                    Ended(m_records[aNumber], due, std::move(aResult));
+                    RecordResult(m_records[aNumber], due, std::move(aResult));
                   });
   }
 
-  void Ended(CallRecord& aRecord,
-             ClockType::time_point aDue,
-             HttpClientResult aResult)
+  void RecordResult(CallRecord& aRecord,
+                    ClockType::time_point aDue,
+                    HttpClientResult aResult)
   {
     aRecord.m_latency = ClockType::now() - aDue;
     const auto& headers = aResult.m_response.m_headers;
     aRecord.m_outcome = HeaderValue(headers, "Greengagehub-Outcome");
     aRecord.m_reason = HeaderValue(headers, "Greengagehub-Reason");
     aRecord.m_result = std::move(aResult);
-    ++m_done;
+    ++m_finished;
   }
 
   const LoadPlan& m_plan;
@@ -117,13 +118,13 @@
   ClockType::time_point m_started;
   std::vector<CallRecord> m_records;
   std::size_t m_sent{ 0 };
-  std::size_t m_done{ 0 };
+  std::size_t m_finished{ 0 };
   std::size_t m_nextEvent{ 0 };
   std::vector<std::jthread> m_threads;
 };
 
 std::uint32_t
-RunsOf(const RunCounts& aRuns, const std::string& aId)
+RunCountOf(const RunCounts& aRuns, const std::string& aId)
 {
   const auto found = aRuns.find(aId);
   return found == aRuns.end() ? 0 : found->second;
@@ -135,10 +136,10 @@
   ++aOut.m_answered;
   const auto body =
     nlohmann::json::parse(aRecord.m_result.m_response.m_body, nullptr, false);
-  const bool own =
+  const bool isOwnAnswer =
     body.is_object() && body.value("id", std::string{}) == aRecord.m_id;
-  aOut.m_swapped += own ? 0 : 1;
-  aOut.m_answeredUnrun += aRuns == 0 ? 1 : 0;
+  aOut.m_wrongAnswers += isOwnAnswer ? 0 : 1;
+  aOut.m_answersWithoutRun += aRuns == 0 ? 1 : 0;
 }
 
 }
@@ -154,12 +155,12 @@
 {
   CallReport report;
   for (const CallRecord& each : aRecords) {
-    const std::uint32_t runs = RunsOf(aRuns, each.m_id);
-    report.m_doubled += runs > 1 ? 1 : 0;
+    const std::uint32_t runs = RunCountOf(aRuns, each.m_id);
+    report.m_duplicateRuns += runs > 1 ? 1 : 0;
     if (each.IsAnswered()) {
       CheckAnswer(each, runs, report);
     } else if (each.m_result.m_kind != HttpClientResult::Kind::Answered) {
-      ++report.m_cut;
+      ++report.m_disconnected;
     } else if (each.m_outcome == "not-run") {
       ++report.m_notRun;
       report.m_falseNotRun += runs > 0 ? 1 : 0;
@@ -173,16 +174,17 @@
 std::string
 Describe(const CallReport& aReport)
 {
-  return fmt::format("answered {}, not run {}, unknown {}, cut {}; doubled "
-                     "{}, false not-run {}, swapped {}, answered unrun {}",
+  return fmt::format("answered {}, not run {}, unknown {}, disconnected {}; "
+                     "duplicate runs {}, false not-run {}, wrong answers {}, "
+                     "answers without a run {}",
                      aReport.m_answered,
                      aReport.m_notRun,
                      aReport.m_unknown,
-                     aReport.m_cut,
-                     aReport.m_doubled,
+                     aReport.m_disconnected,
+                     aReport.m_duplicateRuns,
                      aReport.m_falseNotRun,
-                     aReport.m_swapped,
-                     aReport.m_answeredUnrun);
+                     aReport.m_wrongAnswers,
+                     aReport.m_answersWithoutRun);
 }
 
 }
--- a/tools/testkit/load.hpp
+++ b/tools/testkit/load.hpp
@@ -10,31 +10,33 @@
 
 namespace greengagehub::testkit {
 
-/// \brief Calls to send, at set times whatever the answers do (open loop), so
-/// that slow answers do not hide themselves.
+/// \brief Open-loop load: calls are sent at fixed times, whether or not earlier
+/// ones are answered, so that slow answers do not lower the rate.
 struct LoadPlan
 {
-  /// Callers' endpoints, used in turn.
+  /// Base URLs, used in turn.
   std::vector<std::string> m_urls;
   std::string m_method{ "POST" };
   std::string m_target{ "/release" };
+  /// Calls per second.
   double m_rate{ 200.0 };
   std::size_t m_count{ 200 };
   std::vector<HttpHeader> m_headers{};
   std::string m_body{};
-  /// In front of the numbers that make request ids.
+  /// A request's id is this prefix and the number of the call.
   std::string m_prefix{ "call-" };
   std::string m_idHeader{ "X-Request-Id" };
   std::chrono::milliseconds m_timeout{ std::chrono::seconds{ 10 } };
 };
 
-/// \brief What one caller was told, and when.
+/// \brief Outcome of one call, as its caller received it.
 struct CallRecord
 {
   std::string m_id;
   HttpClientResult m_result;
+  /// From the time at which the call was due.
   std::chrono::nanoseconds m_latency{ 0 };
-  /// "not-run", "unknown", or empty for a worker's answer.
+  /// "not-run" or "unknown"; empty for a worker's answer.
   std::string m_outcome;
   std::string m_reason;
 
@@ -45,11 +47,11 @@
   }
 };
 
-/// \brief Something to do while the load runs, on another thread.
+/// \brief An action during the load, run on a thread of its own.
 struct LoadEvent
 {
-  /// After this many calls were sent.
-  std::size_t m_after{ 0 };
+  /// Number of calls sent before the action.
+  std::size_t m_afterCalls{ 0 };
   std::function<void()> m_action;
 };
 
@@ -57,33 +59,36 @@
 [[nodiscard]] std::vector<CallRecord>
 RunLoad(const LoadPlan& aPlan, std::vector<LoadEvent> aEvents = {});
 
-/// \brief How often each request id ran, over all workers.
+/// \brief Number of runs of each request id, over all workers.
 using RunCounts = std::map<std::string, std::uint32_t>;
 
-/// \brief What callers were told against what ran.
+/// \brief Result of a comparison of outcomes with runs.
 struct CallReport
 {
   std::size_t m_answered{ 0 };
   std::size_t m_notRun{ 0 };
   std::size_t m_unknown{ 0 };
-  /// The caller's own connection failed: no word from the daemon.
-  std::size_t m_cut{ 0 };
-  // Violations.
-  std::size_t m_doubled{ 0 };
+  /// Calls whose connection to the daemon failed before an answer.
+  std::size_t m_disconnected{ 0 };
+  // Violations: a request ran twice, ran although reported as not run, got
+  // another request's answer, or got an answer without a run.
+  std::size_t m_duplicateRuns{ 0 };
   std::size_t m_falseNotRun{ 0 };
-  std::size_t m_swapped{ 0 };
-  std::size_t m_answeredUnrun{ 0 };
+  std::size_t m_wrongAnswers{ 0 };
+  std::size_t m_answersWithoutRun{ 0 };
 
   [[nodiscard]] bool IsClean() const
   {
-    return m_doubled + m_falseNotRun + m_swapped + m_answeredUnrun == 0;
+    return m_duplicateRuns + m_falseNotRun + m_wrongAnswers +
+             m_answersWithoutRun ==
+           0;
   }
 };
 
 [[nodiscard]] CallReport
 CheckCalls(const std::vector<CallRecord>& aRecords, const RunCounts& aRuns);
 
-/// \returns "answered 90, not run 10, ..." for messages.
+/// \returns A line of text such as "answered 90, not run 10, ...".
 [[nodiscard]] std::string
 Describe(const CallReport& aReport);
 
--- a/tools/testkit/process.cpp
+++ b/tools/testkit/process.cpp
@@ -14,7 +14,7 @@
 namespace greengagehub::testkit {
 
 namespace {
-constexpr auto kPoll = std::chrono::milliseconds{ 5 };
+constexpr auto kPollInterval = std::chrono::milliseconds{ 5 };
 }
 
 bool
@@ -26,7 +26,7 @@
     if (std::chrono::steady_clock::now() >= until) {
       return false;
     }
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
@@ -120,7 +120,7 @@
 }
 
 bool
-Process::Logged(const std::string& aEvent) const
+Process::HasLogged(const std::string& aEvent) const
 {
   return Log().find("\"event\":\"" + aEvent + "\"") != std::string::npos;
 }
--- a/tools/testkit/process.hpp
+++ b/tools/testkit/process.hpp
@@ -10,13 +10,13 @@
 
 namespace greengagehub::testkit {
 
-/// \brief Polls a condition until it holds or the limit is over.
+/// \brief Polls a condition until it holds or the time limit has passed.
 /// \returns Whether it held.
 [[nodiscard]] bool
 WaitUntil(const std::function<bool()>& aCondition,
           std::chrono::milliseconds aLimit = std::chrono::seconds{ 20 });
 
-/// \brief A directory that is removed with this object.
+/// \brief A temporary directory, removed by the destructor.
 class TemporaryDirectory
 {
 public:
@@ -31,12 +31,14 @@
   std::string m_path;
 };
 
-/// \brief A child process whose standard error goes to a file. Killed with
-/// this object if it still runs.
+/// \brief A child process, killed by the destructor if it still runs.
+///
+/// Standard error is appended to the log file, standard output to a file of the
+/// same name with ".out" added.
 class Process
 {
 public:
-  /// \param aArguments the program first.
+  /// \param aArguments The program's path, then its arguments.
   Process(std::vector<std::string> aArguments, std::string aLogFile);
   ~Process();
   Process(Process&& aOther) noexcept;
@@ -45,18 +47,18 @@
   Process& operator=(const Process&) = delete;
 
   [[nodiscard]] pid_t Pid() const noexcept { return m_pid; }
-  /// \returns All that it has written to standard error.
+  /// \returns Standard output, then standard error, since the first start that
+  /// used the log file.
   [[nodiscard]] std::string Log() const;
-  /// \returns Whether a line with this event has been logged.
-  [[nodiscard]] bool Logged(const std::string& aEvent) const;
-  /// \returns Whether it still runs.
+  /// \returns Whether the log has a line with this event.
+  [[nodiscard]] bool HasLogged(const std::string& aEvent) const;
   [[nodiscard]] bool IsRunning();
 
   void Signal(int aSignal) const;
-  /// \brief Ends it at once, as a lost machine would.
+  /// \brief Sends SIGKILL and waits for the end of the process.
   void Kill();
-  /// \returns The exit code, or nothing when it does not end in time or was
-  /// ended by a signal.
+  /// \returns The exit code; nothing when the process does not end in time or
+  /// is ended by a signal.
   [[nodiscard]] std::optional<int> Wait(
     std::chrono::milliseconds aLimit = std::chrono::seconds{ 20 });
 
--- a/tools/testkit/tcp_proxy.cpp
+++ b/tools/testkit/tcp_proxy.cpp
@@ -17,27 +17,27 @@
 
 constexpr auto kDelay = std::chrono::milliseconds{ 150 };
 
-/// One connection through the proxy.
-struct Pair : std::enable_shared_from_this<Pair>
+/// The two sockets of a proxied connection.
+struct ProxiedConnection : std::enable_shared_from_this<ProxiedConnection>
 {
-  explicit Pair(asio::io_context& aLoop)
-    : m_near(aLoop)
-    , m_far(aLoop)
+  explicit ProxiedConnection(asio::io_context& aLoop)
+    : m_client(aLoop)
+    , m_server(aLoop)
   {
   }
 
   void Reset()
   {
     asio::error_code ignored;
-    for (tcp::socket* each : { &m_near, &m_far }) {
-      // With zero linger a close is a reset.
+    for (tcp::socket* each : { &m_client, &m_server }) {
+      // A close with a linger time of zero sends a reset.
       each->set_option(asio::socket_base::linger{ true, 0 }, ignored);
       each->close(ignored);
     }
   }
 
-  tcp::socket m_near;
-  tcp::socket m_far;
+  tcp::socket m_client;
+  tcp::socket m_server;
 };
 
 }
@@ -60,66 +60,69 @@
 
   void Accept()
   {
-    auto pair = std::make_shared<Pair>(m_loop);
-    m_acceptor.async_accept(pair->m_near,
-                            [this, pair](const asio::error_code& aError) {
+    auto connection = std::make_shared<ProxiedConnection>(m_loop);
+    m_acceptor.async_accept(connection->m_client,
+                            [this, connection](const asio::error_code& aError) {
                               if (!aError) {
-                                Connect(pair);
+                                Connect(connection);
                               }
                               Accept();
                             });
   }
 
-  void Connect(const std::shared_ptr<Pair>& aPair)
+  void Connect(const std::shared_ptr<ProxiedConnection>& aConnection)
   {
     if (m_fault == ProxyFault::Reset) {
-      aPair->Reset();
+      aConnection->Reset();
       return;
     }
-    aPair->m_far.async_connect({ asio::ip::address_v4::loopback(), m_target },
-                               [this, aPair](const asio::error_code& aError) {
-                                 if (aError) {
-                                   aPair->Reset();
-                                   return;
-                                 }
-                                 m_pairs.insert(aPair);
-                                 Pump(
-                                   aPair, aPair->m_near, aPair->m_far, false);
-                                 Pump(aPair, aPair->m_far, aPair->m_near, true);
-                               });
+    aConnection->m_server.async_connect(
+      { asio::ip::address_v4::loopback(), m_target },
+      [this, aConnection](const asio::error_code& aError) {
+        if (aError) {
+          aConnection->Reset();
+          return;
+        }
+        m_connections.insert(aConnection);
+        Forward(
+          aConnection, aConnection->m_client, aConnection->m_server, false);
+        Forward(
+          aConnection, aConnection->m_server, aConnection->m_client, true);
+      });
   }
 
-  void Pump(const std::shared_ptr<Pair>& aPair,
-            tcp::socket& aFrom,
-            tcp::socket& aTo,
-            bool aAnswers)
+  void Forward(const std::shared_ptr<ProxiedConnection>& aConnection,
+               tcp::socket& aFrom,
+               tcp::socket& aTo,
+               bool aFromServer)
   {
     auto buffer = std::make_shared<std::array<char, 8192>>();
     aFrom.async_read_some(
       asio::buffer(*buffer),
-      [this, aPair, &aFrom, &aTo, aAnswers, buffer](
+      [this, aConnection, &aFrom, &aTo, aFromServer, buffer](
         const asio::error_code& aError, std::size_t aSize) {
         if (aError) {
-          m_pairs.erase(aPair);
-          aPair->Reset();
+          m_connections.erase(aConnection);
+          aConnection->Reset();
           return;
         }
         const ProxyFault fault = m_fault;
-        const bool lost = fault == ProxyFault::Silent ||
-                          (fault == ProxyFault::OneWay && aAnswers);
-        if (lost) {
-          Pump(aPair, aFrom, aTo, aAnswers);
+        const bool isDropped =
+          fault == ProxyFault::Drop ||
+          (fault == ProxyFault::DropAnswers && aFromServer);
+        if (isDropped) {
+          Forward(aConnection, aFrom, aTo, aFromServer);
           return;
         }
         auto timer = std::make_shared<asio::steady_timer>(m_loop);
         timer->expires_after(
           fault == ProxyFault::Delay ? kDelay : std::chrono::milliseconds{ 0 });
         timer->async_wait(
-          [this, aPair, &aFrom, &aTo, aAnswers, buffer, aSize, timer](
+          [this, aConnection, &aFrom, &aTo, aFromServer, buffer, aSize, timer](
             const asio::error_code&) {
             asio::error_code ignored;
             asio::write(aTo, asio::buffer(buffer->data(), aSize), ignored);
-            Pump(aPair, aFrom, aTo, aAnswers);
+            Forward(aConnection, aFrom, aTo, aFromServer);
           });
       });
   }
@@ -128,17 +131,17 @@
   {
     m_fault = aFault;
     if (aFault == ProxyFault::Reset) {
-      for (const auto& each : m_pairs) {
+      for (const auto& each : m_connections) {
         each->Reset();
       }
-      m_pairs.clear();
+      m_connections.clear();
     }
   }
 
   std::uint16_t m_target;
   asio::io_context m_loop{ 1 };
   tcp::acceptor m_acceptor;
-  std::set<std::shared_ptr<Pair>> m_pairs;
+  std::set<std::shared_ptr<ProxiedConnection>> m_connections;
   ProxyFault m_fault{ ProxyFault::None };
   std::thread m_thread;
 };
--- a/tools/testkit/tcp_proxy.hpp
+++ b/tools/testkit/tcp_proxy.hpp
@@ -7,21 +7,22 @@
 
 namespace greengagehub::testkit {
 
-/// \brief What a proxy does to the bytes between a process and its peer.
+/// \brief Fault that a proxy applies to its connections.
 enum class ProxyFault : std::uint8_t
 {
   None,
-  /// Each piece is held up.
+  /// Data is delayed.
   Delay,
-  /// Nothing passes, and nothing tells.
-  Silent,
-  /// Requests pass, answers do not.
-  OneWay,
-  /// Open connections are reset, and new ones too.
+  /// Data is dropped in both directions; connections stay open.
+  Drop,
+  /// Data from the server is dropped.
+  DropAnswers,
+  /// Open and new connections are reset.
   Reset,
 };
 
-/// \brief A loopback proxy on a thread of its own, in front of one port.
+/// \brief A proxy on a loopback port and a thread of its own, in front of
+/// another loopback port.
 class TcpProxy
 {
 public:
@@ -31,7 +32,7 @@
   TcpProxy& operator=(const TcpProxy&) = delete;
 
   [[nodiscard]] std::uint16_t Port() const noexcept;
-  /// \brief From any thread; holds for open connections too.
+  /// \brief Sets the fault of open and new connections, from any thread.
   void SetFault(ProxyFault aFault);
 
 private:
