--- a/bench/rollout_lab.hpp
+++ b/bench/rollout_lab.hpp
@@ -142,15 +142,15 @@
     bool m_isDisturbed{ false };
     TimePoint m_startsAt;
     std::vector<TimePoint> m_freeAt{ std::vector<TimePoint>(kSlots) };
-    std::uint32_t m_atWork{ 0 };
-    RunTally m_tally;
+    std::uint32_t m_pendingCalls{ 0 };
+    RunCounter m_tally;
   };
   struct RunEnd
   {
     TimePoint m_at;
     std::size_t m_worker{ 0 };
     std::uint64_t m_route{ 0 };
-    RunTally::Result m_result{};
+    RunCounter::Result m_result{};
     Duration m_took{};
     bool m_isBad{ false };
     [[nodiscard]] bool operator>(const RunEnd& aOther) const
@@ -197,7 +197,7 @@
       const RunEnd runEnd = m_runEnds.top();
       m_runEnds.pop();
       Worker& worker = m_workers[runEnd.m_worker];
-      --worker.m_atWork;
+      --worker.m_pendingCalls;
       const bool isCold =
         worker.m_isNew && runEnd.m_at < worker.m_startsAt + kColdStart;
       worker.m_tally.Ended(
@@ -231,7 +231,7 @@
 
   [[nodiscard]] std::optional<std::size_t> Choose()
   {
-    const bool isCanary = m_table.DrawsTrial(m_now, kService, m_random);
+    const bool isCanary = m_table.DrawsCanary(m_now, kService, m_random);
     for (const VersionRule& rule :
          m_table.RulesFor(m_now, kService, isCanary)) {
       std::vector<std::size_t> allowed;
@@ -252,7 +252,9 @@
       if (!allowed.empty()) {
         const std::size_t one = allowed[Below(m_random, allowed.size())];
         const std::size_t two = allowed[Below(m_random, allowed.size())];
-        return m_workers[one].m_atWork <= m_workers[two].m_atWork ? one : two;
+        return m_workers[one].m_pendingCalls <= m_workers[two].m_pendingCalls
+                 ? one
+                 : two;
       }
     }
     return std::nullopt;
@@ -285,14 +287,14 @@
       std::chrono::duration<double, std::milli>{ runMs });
     const Duration span = std::min<Duration>(whole, kDeadline);
     if (whole > kDeadline) {
-      runEnd.m_result = RunTally::Result::Expired;
+      runEnd.m_result = RunCounter::Result::Expired;
     }
     const auto slot = std::ranges::min_element(worker.m_freeAt);
     const TimePoint start = std::max(*slot, m_now);
     *slot = start + span;
     runEnd.m_took = span;
     runEnd.m_at = *slot;
-    ++worker.m_atWork;
+    ++worker.m_pendingCalls;
     worker.m_tally.Arrived();
     m_runEnds.push(runEnd);
   }
@@ -303,7 +305,7 @@
       case VersionFault::None:
         return false;
       case VersionFault::UnderLoad:
-        return aWorker.m_atWork >= m_scenario.m_loaded &&
+        return aWorker.m_pendingCalls >= m_scenario.m_loaded &&
                Chance(m_scenario.m_share);
       case VersionFault::OneRoute:
         return aRoute.m_id == kRoutes[1].m_id && Chance(m_scenario.m_share);
@@ -314,7 +316,7 @@
     }
   }
 
-  [[nodiscard]] RunTally::Result ResultOf(const Worker& aWorker, bool aFails)
+  [[nodiscard]] RunCounter::Result ResultOf(const Worker& aWorker, bool aFails)
   {
     constexpr double kBaseFailureShare = 0.004;
     const bool grey =
@@ -323,10 +325,10 @@
     const bool lost =
       IsDisturbed(Disturbance::LostAnswers) && aWorker.m_isDisturbed;
     if (aFails || Chance(grey || callee ? 0.4 : kBaseFailureShare)) {
-      return RunTally::Result::Failed;
+      return RunCounter::Result::Failed;
     }
-    return lost && Chance(0.3) ? RunTally::Result::Lost
-                               : RunTally::Result::Good;
+    return lost && Chance(0.3) ? RunCounter::Result::Lost
+                               : RunCounter::Result::Good;
   }
 
   void Lead()
@@ -370,7 +372,7 @@
       counts.m_process = 1;
       counts.m_service = kService;
       counts.m_version = each.m_isNew ? "new" : "old";
-      counts.m_atWork = each.m_atWork;
+      counts.m_pendingCalls = each.m_pendingCalls;
       counts.m_arrived = each.m_tally.CountArrived();
       counts.m_routes = each.m_tally.Routes();
       m_leader->OnCounts(counts);
@@ -383,7 +385,7 @@
       // The simulated store confirms the write at once.
       aRecord.m_state = RolloutState::Completed;
       for (const Worker& each : m_workers) {
-        m_result.m_cut += each.m_isNew ? 0 : each.m_atWork;
+        m_result.m_cut += each.m_isNew ? 0 : each.m_pendingCalls;
       }
     }
     aRecord.m_isWritten = IsFinal(aRecord.m_state);
@@ -401,7 +403,7 @@
   Random m_random;
   TimePoint m_now{ kOrdered };
   RolloutTable m_table;
-  std::optional<RolloutHolder> m_leader;
+  std::optional<RolloutLeader> m_leader;
   std::vector<Worker> m_workers;
   std::priority_queue<RunEnd, std::vector<RunEnd>, std::greater<>> m_runEnds;
   double m_dueCalls{ 0.0 };
--- a/include/greengagehub/calls/dispatcher.hpp
+++ b/include/greengagehub/calls/dispatcher.hpp
@@ -217,7 +217,7 @@
                       Call& aCall,
                       CallAnswer aAnswer);
   /// \returns Time left in quarantine; nothing if the call isn't quarantined.
-  [[nodiscard]] std::optional<std::chrono::milliseconds> HeldFor(
+  [[nodiscard]] std::optional<std::chrono::milliseconds> QuarantineTimeLeft(
     TimePoint aNow,
     const Call& aCall) const;
   /// \returns Whether no other crash counts against the call's fingerprint.
--- a/include/greengagehub/daemon/control_plane.hpp
+++ b/include/greengagehub/daemon/control_plane.hpp
@@ -124,10 +124,10 @@
   void PullFrom(const MemberPeer& aPeer, bool aMembers);
   void OnPulled(std::optional<PullAnswer> aAnswer);
   [[nodiscard]] PullAnswer ServePull(const PullRequest& aRequest);
-  void PublishQuarantine(const QuarantineNews& aUpdate,
+  void PublishQuarantine(const QuarantineUpdate& aUpdate,
                          QuarantineKeeper::Scope aScope);
   void SendQuarantine(const std::vector<MemberPeer>& aTo,
-                      const QuarantineNews& aUpdate);
+                      const QuarantineUpdate& aUpdate);
   /// \brief Sends the own verdicts to a peer whose digest differs.
   void SyncVerdicts(TimePoint aNow, const GossipMessage& aMessage);
   [[nodiscard]] RolloutKeeper::Parts RolloutParts();
@@ -140,7 +140,7 @@
   /// \brief Sends the own roll-outs to a peer whose digest differs.
   void SyncRollouts(TimePoint aNow, const GossipMessage& aMessage);
   void SendCounts(WorkerCounts aCounts);
-  [[nodiscard]] RolloutHolder::Workers WorkersOf(
+  [[nodiscard]] RolloutLeader::Workers WorkersOf(
     const RolloutRecord& aRecord) const;
   [[nodiscard]] std::string MostCommonVersionOf(
     const std::string& aService) const;
--- a/include/greengagehub/daemon/quarantine_keeper.hpp
+++ b/include/greengagehub/daemon/quarantine_keeper.hpp
@@ -25,7 +25,7 @@
   {
     platform::KvStore& m_store;
     const Log& m_log;
-    std::function<void(const QuarantineNews&, Scope)> m_publish;
+    std::function<void(const QuarantineUpdate&, Scope)> m_publish;
     /// Whether this daemon writes verdicts of other daemons, which may have
     /// failed before they wrote them.
     std::function<bool()> m_isBackupWriter;
@@ -46,9 +46,9 @@
   /// \brief Writes verdicts again that a store restored from a backup may have
   /// lost, with their leases.
   void OnStoreRestored();
-  void OnOwnEnd(EndReport aReport);
-  void OnRanWell(Fingerprint aContent);
-  void OnNews(const QuarantineNews& aUpdate);
+  void OnLocalCrash(EndReport aReport);
+  void OnSuccess(Fingerprint aContent);
+  void OnNews(const QuarantineUpdate& aUpdate);
   /// \returns Whether the fingerprint was quarantined.
   [[nodiscard]] bool Lift(Fingerprint aContent);
 
@@ -57,7 +57,7 @@
   void ApplyChanges(TimePoint aNow,
                     const QuarantineChanges& aChanges,
                     Scope aScope);
-  void LogVerdict(const ContentVerdict& aVerdict, Scope aScope) const;
+  void LogVerdict(const QuarantineVerdict& aVerdict, Scope aScope) const;
   void Read(bool aAllowStale);
   void OnRead(const StoreReply& aReply, bool aAllowStale);
   void Write(std::optional<StoreRequest> aRequest);
--- a/include/greengagehub/daemon/request_log.hpp
+++ b/include/greengagehub/daemon/request_log.hpp
@@ -87,7 +87,7 @@
   /// of its runs, without a rate limit.
   void OnWorkerExit(std::string_view aInstance,
                     bool aIsDraining,
-                    const WorkerEnd& aExit);
+                    const WorkerCrash& aExit);
   void OnRunCancelled(TimePoint aNow, std::string_view aId, bool aStarted);
 
   /// \brief Logs the number of omitted lines, if any.
--- a/include/greengagehub/daemon/rollout_keeper.hpp
+++ b/include/greengagehub/daemon/rollout_keeper.hpp
@@ -39,7 +39,7 @@
     /// Whether this daemon writes states when the leader fails or cannot reach
     /// the store.
     std::function<bool()> m_isBackupWriter;
-    std::function<RolloutHolder::Workers(const RolloutRecord&)> m_workers;
+    std::function<RolloutLeader::Workers(const RolloutRecord&)> m_workers;
     /// The version that most known workers of a service run.
     std::function<std::string(const std::string& aService)> m_mostCommonVersion;
     /// Counts of the local worker; without a version if no worker is known.
@@ -72,7 +72,7 @@
   [[nodiscard]] bool Stop(const std::string& aService);
   /// \brief Revokes permits, which may have expired during a pause of the
   /// process.
-  void OnProcessResumed() { m_table.DropLeaves(); }
+  void OnProcessResumed() { m_table.RevokePermits(); }
 
 private:
   using Change = RolloutTable::Change;
@@ -94,14 +94,14 @@
   void OnStatusesRead(std::vector<StoreItem> aOrders, const StoreReply& aReply);
   void Write(std::optional<StoreRequest> aRequest);
   void OnWritten(const RolloutStatus& aStatus);
-  void LogStep(const RolloutHolder::Lead& aDecision) const;
+  void LogStep(const RolloutLeader::Lead& aDecision) const;
   void LogChange(const RolloutRecord& aRecord, Scope aScope) const;
 
   Parts m_parts;
   RolloutTable m_table;
   StatusWriter<platform::RolloutForm> m_writer;
   /// Roll-outs that this daemon leads, by service.
-  std::map<std::string, RolloutHolder> m_leaders;
+  std::map<std::string, RolloutLeader> m_leaders;
   /// Target version of the order for which the local worker is counted.
   std::string m_countedTarget;
   TimePoint m_nextCounts{};
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -167,7 +167,7 @@
   RepeatShare m_retriedRuns;
   BackendClient m_client;
   CrashDetector m_crashDetector;
-  RunTally m_runCounter;
+  RunCounter m_runCounter;
   /// Version of the worker's software; empty: unknown.
   std::string m_version;
   TimePoint m_warmUpEnd{};
--- a/include/greengagehub/membership/gossip_message.hpp
+++ b/include/greengagehub/membership/gossip_message.hpp
@@ -2,7 +2,7 @@
 
 #include "greengagehub/config/decision.hpp"
 #include "greengagehub/membership/member.hpp"
-#include "greengagehub/quarantine/quarantine_news.hpp"
+#include "greengagehub/quarantine/quarantine_update.hpp"
 #include "greengagehub/rollout/rollout_record.hpp"
 #include "greengagehub/rollout/run_counts.hpp"
 #include "greengagehub/workspaces/quota_message.hpp"
@@ -48,7 +48,7 @@
   bool m_watching{ false };
   /// MemberDigests::Summary() of the sender's view, itself included.
   std::uint64_t m_members{ 0 };
-  QuarantineNews m_quarantine{};
+  QuarantineUpdate m_quarantine{};
   /// Quarantine::Summary() at the sender.
   std::uint64_t m_verdicts{ 0 };
   std::vector<RolloutRecord> m_rollouts{};
--- a/include/greengagehub/membership/watch_role.hpp
+++ b/include/greengagehub/membership/watch_role.hpp
@@ -40,7 +40,7 @@
 
   [[nodiscard]] bool Holds(TimePoint aNow) const noexcept
   {
-    return m_isHeld && aNow < m_expires;
+    return m_isQuarantined && aNow < m_expires;
   }
 
   /// \brief Delays the next attempt, since all places of the domain are taken.
@@ -79,7 +79,7 @@
   std::uint64_t m_lease{ 0 };
   std::uint32_t m_place{ 0 };
   std::uint32_t m_placesTried{ 0 };
-  bool m_isHeld{ false };
+  bool m_isQuarantined{ false };
   TimePoint m_requestedAt{};
   TimePoint m_expires{};
   TimePoint m_nextTry{};
--- a/include/greengagehub/quarantine/crash_detector.hpp
+++ b/include/greengagehub/quarantine/crash_detector.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "greengagehub/quarantine/quarantine_news.hpp"
+#include "greengagehub/quarantine/quarantine_update.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -9,7 +9,7 @@
 namespace greengagehub {
 
 /// \brief A crash of the local backend server and the runs that it interrupted.
-struct WorkerEnd
+struct WorkerCrash
 {
   /// Increments with each crash seen by this daemon.
   std::uint64_t m_number{ 0 };
@@ -28,12 +28,12 @@
 public:
   /// \brief The backend server closed a connection while a request was running.
   /// \returns Whether to probe the address now; false while a probe is pending.
-  [[nodiscard]] bool OnLost(const Witness& aRun);
+  [[nodiscard]] bool OnConnectionLost(const Witness& aRun);
   /// \brief Handles the result of a probe.
   /// \returns The crash with all runs lost since the previous probe, if the
   /// connection was refused. Further runs lost in the same crash are returned
   /// with the same number.
-  [[nodiscard]] std::optional<WorkerEnd> OnLooked(bool aIsRefused);
+  [[nodiscard]] std::optional<WorkerCrash> OnProbed(bool aIsRefused);
   /// \brief The backend server answered, so the next refused probe is a new
   /// crash.
   void OnAlive() noexcept { m_hasCrashed = false; }
--- a/include/greengagehub/quarantine/quarantine.hpp
+++ b/include/greengagehub/quarantine/quarantine.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "greengagehub/quarantine/quarantine_news.hpp"
+#include "greengagehub/quarantine/quarantine_update.hpp"
 #include "greengagehub/quarantine/success_log.hpp"
 
 #include <deque>
@@ -13,12 +13,12 @@
 struct QuarantineChanges
 {
   /// To be sent to other daemons.
-  QuarantineNews m_news{};
+  QuarantineUpdate m_update{};
   /// New verdicts, already in force on this daemon.
-  std::vector<ContentVerdict> m_verdicts{};
+  std::vector<QuarantineVerdict> m_verdicts{};
   /// The subset of m_verdicts that this daemon reached itself, rather than
   /// received.
-  std::vector<ContentVerdict> m_own{};
+  std::vector<QuarantineVerdict> m_ownVerdicts{};
 };
 
 /// \brief Quarantine of requests that crash the backend servers they run on.
@@ -48,7 +48,7 @@
   static constexpr std::uint32_t kCrashLimit = 3;
   /// Crashes after which a request is a suspect: it runs in isolation and is
   /// not retried at once.
-  static constexpr std::uint32_t kSuspectEnds = 2;
+  static constexpr std::uint32_t kSuspectCrashes = 2;
   /// Threshold for a request that succeeded within kRecentSuccess before its
   /// first counted crash.
   static constexpr std::uint32_t kCrashLimitAfterSuccess = 2 * kCrashLimit;
@@ -61,7 +61,7 @@
   static constexpr std::chrono::milliseconds kAgeTolerance{ 10 };
   /// How long a request stays quarantined; also the lease time of its key in
   /// the store. A single crash afterwards quarantines it again.
-  static constexpr std::chrono::minutes kHoldTime{ 10 };
+  static constexpr std::chrono::minutes kQuarantineTime{ 10 };
   /// How long crashes and verdicts are kept.
   static constexpr std::chrono::minutes kRetention{ 20 };
   static constexpr std::size_t kMaxCrashes = 512;
@@ -70,25 +70,26 @@
   [[nodiscard]] bool IsQuarantined(TimePoint aNow,
                                    Fingerprint aFingerprint) const;
   /// \returns The remaining quarantine time, if the request is quarantined.
-  [[nodiscard]] std::optional<std::chrono::milliseconds> HeldFor(
+  [[nodiscard]] std::optional<std::chrono::milliseconds> QuarantineTimeLeft(
     TimePoint aNow,
     Fingerprint aFingerprint) const;
   /// \returns The number of crashes that count against the request.
-  [[nodiscard]] std::uint32_t EndsUnder(Fingerprint aFingerprint) const;
+  [[nodiscard]] std::uint32_t CrashCount(Fingerprint aFingerprint) const;
   /// \returns Whether the request must run in isolation.
   [[nodiscard]] bool IsSuspect(Fingerprint aFingerprint) const
   {
-    return EndsUnder(aFingerprint) >= kSuspectEnds;
+    return CrashCount(aFingerprint) >= kSuspectCrashes;
   }
 
   /// \brief Adds a crash of the local backend server.
-  /// \param aReport without m_lastGood, which is filled in here.
-  [[nodiscard]] QuarantineChanges OnOwnEnd(TimePoint aNow, EndReport aReport);
+  /// \param aReport without m_lastSuccess, which is filled in here.
+  [[nodiscard]] QuarantineChanges OnLocalCrash(TimePoint aNow,
+                                               EndReport aReport);
   /// \brief Applies crashes and verdicts from another daemon or the store.
   [[nodiscard]] QuarantineChanges OnNews(TimePoint aNow,
-                                         const QuarantineNews& aNews);
+                                         const QuarantineUpdate& aNews);
   /// \brief Records a successful run on the local backend server.
-  [[nodiscard]] QuarantineChanges OnRanWell(TimePoint aNow,
+  [[nodiscard]] QuarantineChanges OnSuccess(TimePoint aNow,
                                             Fingerprint aFingerprint);
   /// \brief Lifts a quarantine on behalf of an operator.
   /// \returns Nothing if the request is not quarantined.
@@ -108,15 +109,15 @@
   };
   /// \returns All known crashes of the request, counted or not. Empty for a
   /// verdict that was loaded from the store.
-  [[nodiscard]] std::vector<KnownCrash> EndsSeen(
+  [[nodiscard]] std::vector<KnownCrash> KnownCrashes(
     TimePoint aNow,
     Fingerprint aFingerprint) const;
   /// \returns All verdicts, to synchronize another daemon.
-  [[nodiscard]] std::vector<ContentVerdict> Verdicts(TimePoint aNow) const;
+  [[nodiscard]] std::vector<QuarantineVerdict> Verdicts(TimePoint aNow) const;
   /// \returns A digest of Verdicts() without ages; 0 if there are none.
   [[nodiscard]] std::uint64_t Summary() const noexcept { return m_summary; }
   /// \returns The number of quarantined requests.
-  [[nodiscard]] std::size_t CountHeld() const noexcept
+  [[nodiscard]] std::size_t CountQuarantined() const noexcept
   {
     return m_quarantinedCount;
   }
@@ -134,7 +135,7 @@
   {
     std::vector<LostRun> m_runs{};
     /// Last success known to all daemons.
-    std::optional<TimePoint> m_lastGood{};
+    std::optional<TimePoint> m_lastSuccess{};
   };
   struct Crash
   {
@@ -151,7 +152,7 @@
   };
   struct Record
   {
-    ContentVerdict m_verdict;
+    QuarantineVerdict m_verdict;
     /// When the verdict was given; m_verdict.m_age is not updated.
     TimePoint m_at;
   };
@@ -187,17 +188,17 @@
                       Fingerprint aFingerprint,
                       QuarantineChanges& aOut);
   void ApplyVerdict(TimePoint aNow,
-                    const ContentVerdict& aVerdict,
+                    const QuarantineVerdict& aVerdict,
                     QuarantineChanges& aOut);
   void ApplySuccess(TimePoint aNow,
-                    const ContentVerdict& aVerdict,
+                    const QuarantineVerdict& aVerdict,
                     QuarantineChanges& aOut);
   /// \brief Stores a new verdict and adds it to the changes.
   void SetVerdict(TimePoint aAt,
-                  const ContentVerdict& aVerdict,
+                  const QuarantineVerdict& aVerdict,
                   QuarantineChanges& aOut);
   void LiftVerdict(TimePoint aNow,
-                   ContentVerdict aVerdict,
+                   QuarantineVerdict aVerdict,
                    VerdictCause aCause,
                    QuarantineChanges& aOut);
   void DropOldestCrash();
--- a/include/greengagehub/quarantine/quarantine_news.hpp
+++ b/include/greengagehub/quarantine/quarantine_update.hpp
@@ -20,9 +20,9 @@
   Fingerprint m_content{};
   /// How long the request had been running.
   Duration m_ran{};
-  /// Time from the last success of this request on the same backend server to
-  /// the crash; unset if none is known.
-  std::optional<Duration> m_lastGood{};
+  /// Expired from the last success of this request on the same backend server
+  /// to the crash; unset if none is known.
+  std::optional<Duration> m_lastSuccess{};
 };
 
 /// \brief A crash of one backend server, reported by its daemon.
@@ -46,7 +46,7 @@
   Succeeded,
   Operator,
   /// The quarantine time is over.
-  Time,
+  Expired,
 };
 
 /// \returns "ends", "ran-well", "operator" or "time".
@@ -58,23 +58,23 @@
 /// The verdict with the higher generation takes precedence; within a
 /// generation, the one that lifts. Generation 0 only reports a successful run
 /// and changes no quarantine.
-struct ContentVerdict
+struct QuarantineVerdict
 {
   Fingerprint m_content{};
   /// Service of the last backend server that crashed.
   std::string m_service{};
   std::uint32_t m_generation{ 0 };
-  bool m_isHeld{ false };
+  bool m_isQuarantined{ false };
   VerdictCause m_cause{ VerdictCause::Crashes };
   /// Number of crashes that count against the request.
   std::uint32_t m_ends{ 0 };
   Duration m_age{};
 };
 
-struct QuarantineNews
+struct QuarantineUpdate
 {
   std::vector<EndReport> m_ends{};
-  std::vector<ContentVerdict> m_verdicts{};
+  std::vector<QuarantineVerdict> m_verdicts{};
 
   [[nodiscard]] bool IsEmpty() const noexcept
   {
@@ -85,7 +85,7 @@
 /// \returns The update in parts that each fit into a datagram of 1,400 bytes
 /// together with the sender. A crash with many runs is split over several
 /// parts.
-[[nodiscard]] std::vector<QuarantineNews>
-SplitNews(const QuarantineNews& aNews);
+[[nodiscard]] std::vector<QuarantineUpdate>
+SplitIntoDatagrams(const QuarantineUpdate& aNews);
 
 }
--- a/include/greengagehub/quarantine/verdict_writer.hpp
+++ b/include/greengagehub/quarantine/verdict_writer.hpp
@@ -2,7 +2,7 @@
 
 #include "greengagehub/core/clock.hpp"
 #include "greengagehub/core/store_message.hpp"
-#include "greengagehub/quarantine/quarantine_news.hpp"
+#include "greengagehub/quarantine/quarantine_update.hpp"
 
 #include <chrono>
 #include <deque>
@@ -15,12 +15,12 @@
 
 /// \returns The value that represents the verdict in the store.
 [[nodiscard]] std::string
-VerdictToJson(const ContentVerdict& aVerdict);
+VerdictToJson(const QuarantineVerdict& aVerdict);
 
 /// \param aKey full key, including kVerdictPrefix.
 /// \returns The verdict with an age of zero, or an error if the key or value is
 /// malformed.
-[[nodiscard]] Outcome<ContentVerdict>
+[[nodiscard]] Outcome<QuarantineVerdict>
 ParseVerdict(std::string_view aKey, std::string_view aValue);
 
 /// \brief Persists quarantined requests in the platform store, so that they
@@ -35,7 +35,9 @@
   /// \param aNotBefore when to write it.
   /// \param aChecksFirst whether to read the key first and skip the write if
   /// another daemon has done it.
-  void Hold(ContentVerdict aVerdict, TimePoint aNotBefore, bool aChecksFirst);
+  void Hold(QuarantineVerdict aVerdict,
+            TimePoint aNotBefore,
+            bool aChecksFirst);
   /// \brief Queues the deletion of the request's key.
   void Lift(Fingerprint aFingerprint, TimePoint aNow);
   /// \returns The next call to the store, if one is due and none is in
@@ -57,7 +59,7 @@
   };
   struct Job
   {
-    ContentVerdict m_verdict;
+    QuarantineVerdict m_verdict;
     TimePoint m_due;
     Step m_first{ Step::Lease };
   };
--- a/include/greengagehub/rollout/version_judge.hpp
+++ b/include/greengagehub/rollout/canary_analyzer.hpp
@@ -26,7 +26,7 @@
 /// evaluated by itself, since a fault may affect only one. Runs count for about
 /// three seconds, so that earlier good runs don't hide a fault that begins
 /// late.
-class VersionJudge
+class CanaryAnalyzer
 {
 public:
   enum class Verdict : std::uint8_t
@@ -46,7 +46,7 @@
     /// Evaluated runs of the canary, the bad ones among them, and the number of
     /// bad runs expected from the baseline.
     double m_runs{ 0.0 };
-    double m_hits{ 0.0 };
+    double m_badRuns{ 0.0 };
     double m_expected{ 0.0 };
   };
 
@@ -60,7 +60,7 @@
     std::uint32_t m_oldAtWork{ 0 };
   };
 
-  explicit VersionJudge(std::string aTarget)
+  explicit CanaryAnalyzer(std::string aTarget)
     : m_target(std::move(aTarget))
   {
   }
@@ -86,7 +86,7 @@
   struct Tally
   {
     double m_runs{ 0.0 };
-    double m_hits{ 0.0 };
+    double m_badRuns{ 0.0 };
     double m_expected{ 0.0 };
 
     void Add(const Tally& aOther) noexcept;
@@ -109,7 +109,7 @@
     double m_runs{ 0.0 };
     double m_failed{ 0.0 };
     double m_lost{ 0.0 };
-    std::array<double, TimeCounts::kBuckets> m_times{};
+    std::array<double, RunTimeHistogram::kBuckets> m_times{};
 
     void Add(const RouteCounts& aCurrent,
              const RouteCounts& aPrevious) noexcept;
--- a/include/greengagehub/rollout/rollout_holder.hpp
+++ b/include/greengagehub/rollout/rollout_leader.hpp
@@ -12,7 +12,7 @@
 /// Every daemon receives the record and the counts, so any of them can take
 /// over and continue at the current step. Two concurrent leaders grant the same
 /// permits or smaller ones, and the store accepts the result of one of them.
-class RolloutHolder
+class RolloutLeader
 {
 public:
   /// Workers that accept calls, by version.
@@ -29,11 +29,11 @@
     /// Whether the state or the canary share changes; false if the permit is
     /// only renewed.
     bool m_isStep{ false };
-    VersionJudge::Judgement m_judgement{};
+    CanaryAnalyzer::Judgement m_judgement{};
     StepInputs m_view{};
   };
 
-  RolloutHolder(TimePoint aNow, std::string aTarget, RolloutLimits aLimits);
+  RolloutLeader(TimePoint aNow, std::string aTarget, RolloutLimits aLimits);
 
   [[nodiscard]] const std::string& Target() const noexcept { return m_target; }
   void OnCounts(const WorkerCounts& aCounts) { m_judge.OnCounts(aCounts); }
@@ -51,8 +51,8 @@
 
   std::string m_target;
   RolloutLimits m_limits;
-  VersionJudge m_judge;
-  VersionJudge::Judgement m_judgement;
+  CanaryAnalyzer m_judge;
+  CanaryAnalyzer::Judgement m_judgement;
   TimePoint m_startedAt;
   TimePoint m_evaluatedAt{};
   TimePoint m_publishedAt{};
--- a/include/greengagehub/rollout/rollout_plan.hpp
+++ b/include/greengagehub/rollout/rollout_plan.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "greengagehub/rollout/canary_analyzer.hpp"
 #include "greengagehub/rollout/rollout_record.hpp"
-#include "greengagehub/rollout/version_judge.hpp"
 
 #include <optional>
 
@@ -23,7 +23,7 @@
   Duration m_age{};
   /// Time allowed for the whole roll-out.
   std::chrono::milliseconds m_duration{ 0 };
-  VersionJudge::Verdict m_verdict{ VersionJudge::Verdict::Inconclusive };
+  CanaryAnalyzer::Verdict m_verdict{ CanaryAnalyzer::Verdict::Inconclusive };
   /// Workers that accept calls, of the version in service and of the new one.
   std::uint32_t m_oldWorkers{ 0 };
   std::uint32_t m_newWorkers{ 0 };
@@ -42,7 +42,7 @@
   RolloutState m_state{ RolloutState::Running };
   RollbackCause m_cause{ RollbackCause::None };
   /// m_left is filled in by the leader.
-  CanaryPermit m_leave{};
+  CanaryPermit m_permit{};
 };
 
 /// \returns The next step: a canary on few workers for more than half of the
--- a/include/greengagehub/rollout/rollout_record.hpp
+++ b/include/greengagehub/rollout/rollout_record.hpp
@@ -89,7 +89,7 @@
   /// Evaluated runs of the version, the bad ones among them, and the number of
   /// bad runs expected from the version in service.
   std::uint32_t m_runs{ 0 };
-  std::uint32_t m_harmed{ 0 };
+  std::uint32_t m_badRuns{ 0 };
   std::uint32_t m_expected{ 0 };
 };
 
@@ -107,12 +107,12 @@
   bool m_isWritten{ false };
   /// Whether the roll-out is known only from the store, as running; such a
   /// record is not sent to other daemons.
-  bool m_isResumed{ false };
+  bool m_isFromStore{ false };
   RollbackCause m_cause{ RollbackCause::None };
-  VerdictEvidence m_grounds{};
+  VerdictEvidence m_evidence{};
   /// Incremented with each permit that the leader grants.
   std::uint64_t m_step{ 0 };
-  CanaryPermit m_leave{};
+  CanaryPermit m_permit{};
   /// Time since the order was first seen.
   Duration m_age{};
 };
--- a/include/greengagehub/rollout/rollout_table.hpp
+++ b/include/greengagehub/rollout/rollout_table.hpp
@@ -86,7 +86,7 @@
   {
     None,
     /// The same state with another permit.
-    Leave,
+    Permit,
     /// A new order, or another state.
     State,
   };
@@ -107,9 +107,9 @@
   [[nodiscard]] Change Take(TimePoint aNow, const RolloutRecord& aRecord);
 
   /// \returns Whether a call is randomly assigned to the canary.
-  [[nodiscard]] bool DrawsTrial(TimePoint aNow,
-                                const std::string& aService,
-                                Random& aRandom) const;
+  [[nodiscard]] bool DrawsCanary(TimePoint aNow,
+                                 const std::string& aService,
+                                 Random& aRandom) const;
   /// \param aIsCanary whether the call is assigned to the canary.
   [[nodiscard]] VersionRules RulesFor(TimePoint aNow,
                                       const std::string& aService,
@@ -133,7 +133,7 @@
   [[nodiscard]] std::uint64_t Summary() const noexcept { return m_summary; }
   /// \brief Revokes all permits, after the process was paused for longer than
   /// they last.
-  void DropLeaves();
+  void RevokePermits();
 
 private:
   struct Entry
--- a/include/greengagehub/rollout/run_counts.hpp
+++ b/include/greengagehub/rollout/run_counts.hpp
@@ -11,7 +11,7 @@
 
 /// \brief Histogram of run times. Each bucket ends at 1.5 times the end of the
 /// one before; the last one is unbounded.
-class TimeCounts
+class RunTimeHistogram
 {
 public:
   static constexpr std::size_t kBuckets = 24;
@@ -29,7 +29,7 @@
 /// \brief Results of the runs of one route on one worker since the order.
 struct RouteCounts
 {
-  /// Digest of the route's key; 0 for all routes beyond RunTally::kMaxRoutes.
+  /// Digest of the route's key; 0 for all routes beyond RunCounter::kMaxRoutes.
   std::uint64_t m_route{ 0 };
   std::uint32_t m_runs{ 0 };
   /// The worker answered with an error of its own.
@@ -37,7 +37,7 @@
   /// The answer was lost or incomplete.
   std::uint32_t m_lost{ 0 };
   /// Times of successful and expired runs, corrected for cold workers.
-  TimeCounts::Buckets m_times{};
+  RunTimeHistogram::Buckets m_times{};
 };
 
 /// \brief Counts of one daemon's worker. They only grow, so lost and duplicate
@@ -50,14 +50,14 @@
   std::string m_service{};
   std::string m_version{};
   /// Running and queued calls.
-  std::uint32_t m_atWork{ 0 };
+  std::uint32_t m_pendingCalls{ 0 };
   /// Calls received since the order.
   std::uint32_t m_arrived{ 0 };
   std::vector<RouteCounts> m_routes{};
 };
 
 /// \brief Counts the runs of the local worker.
-class RunTally
+class RunCounter
 {
 public:
   /// Routes with counts of their own.
--- a/include/greengagehub/rollout/status_writer.hpp
+++ b/include/greengagehub/rollout/status_writer.hpp
@@ -25,8 +25,8 @@
 
 /// \brief Converts statuses to and from the keys and values of a store.
 template<class T>
-concept StatusForm = requires(const RolloutStatus& aStatus,
-                              std::string_view aText)
+concept StatusCodec = requires(const RolloutStatus& aStatus,
+                               std::string_view aText)
 {
   {
     T::KeyOf(aText)
@@ -45,7 +45,7 @@
 /// and a new leader. The first final status that the store accepts is kept; a
 /// conflict reports it to the other writers, which adopt it. A write whose
 /// answer was lost is repeated, and the conflict shows the stored status.
-template<StatusForm Codec>
+template<StatusCodec Codec>
 class StatusWriter
 {
 public:
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -128,7 +128,7 @@
                                       Call& aCall,
                                       CallAnswer aPrevious)
 {
-  if (const auto left = HeldFor(aNow, aCall)) {
+  if (const auto left = QuarantineTimeLeft(aNow, aCall)) {
     Finish(aOut,
            aCall,
            Refuse(aCall.m_id, CallOutcome::NotRun, RefusalReason::Held, *left));
@@ -190,7 +190,7 @@
   call.m_plan = std::move(aPlan);
   call.m_drewCanary =
     m_rollouts != nullptr &&
-    m_rollouts->DrawsTrial(aNow, call.m_plan.m_service, m_random);
+    m_rollouts->DrawsCanary(aNow, call.m_plan.m_service, m_random);
   m_deadlines.insert({ call.m_plan.m_deadline + kGrace, aCall });
   Call& inserted = m_calls.emplace(aCall, std::move(call)).first->second;
   StartAttempt(aNow,
@@ -205,11 +205,12 @@
 
 template<RoutingPolicy Policy>
 std::optional<std::chrono::milliseconds>
-BasicDispatcher<Policy>::HeldFor(TimePoint aNow, const Call& aCall) const
+BasicDispatcher<Policy>::QuarantineTimeLeft(TimePoint aNow,
+                                            const Call& aCall) const
 {
   return m_quarantine == nullptr
            ? std::nullopt
-           : m_quarantine->HeldFor(aNow, aCall.m_plan.m_content);
+           : m_quarantine->QuarantineTimeLeft(aNow, aCall.m_plan.m_content);
 }
 
 template<RoutingPolicy Policy>
@@ -219,8 +220,8 @@
 {
   const std::uint32_t knownCrashes =
     m_quarantine == nullptr ? 0
-                            : m_quarantine->EndsUnder(aCall.m_plan.m_content);
-  return std::max(knownCrashes, aAnswer.m_ends) < Quarantine::kSuspectEnds;
+                            : m_quarantine->CrashCount(aCall.m_plan.m_content);
+  return std::max(knownCrashes, aAnswer.m_ends) < Quarantine::kSuspectCrashes;
 }
 
 template<RoutingPolicy Policy>
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -51,11 +51,11 @@
                 .m_trace = m_parts.m_trace,
                 .m_onCrash =
                   [this](EndReport aReport) {
-                    m_parts.m_quarantine.OnOwnEnd(std::move(aReport));
+                    m_parts.m_quarantine.OnLocalCrash(std::move(aReport));
                   },
                 .m_onSuccess =
                   [this](Fingerprint aFingerprint) {
-                    m_parts.m_quarantine.OnRanWell(aFingerprint);
+                    m_parts.m_quarantine.OnSuccess(aFingerprint);
                   },
                 .m_mayRunRetry =
                   [this](TimePoint aNow) {
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -122,13 +122,13 @@
       aLog,
       PackLimits{},
       [this](const std::vector<VersionEntry>& aEntries) { StageAll(aEntries); })
-  , m_quarantine(
-      { m_store,
-        aLog,
-        [this](const QuarantineNews& aUpdate, QuarantineKeeper::Scope aScope) {
-          PublishQuarantine(aUpdate, aScope);
-        },
-        [this] { return m_membership.IsFirstOfAll(); } })
+  , m_quarantine({ m_store,
+                   aLog,
+                   [this](const QuarantineUpdate& aUpdate,
+                          QuarantineKeeper::Scope aScope) {
+                     PublishQuarantine(aUpdate, aScope);
+                   },
+                   [this] { return m_membership.IsFirstOfAll(); } })
   , m_rollouts(RolloutParts())
   , m_workspaces(WorkspaceParts(aLoop), aProcess, m_random())
   , m_tick(aLoop)
--- a/src/daemon/control_plane_quarantine.cpp
+++ b/src/daemon/control_plane_quarantine.cpp
@@ -16,9 +16,9 @@
 
 void
 ControlPlane::SendQuarantine(const std::vector<MemberPeer>& aTo,
-                             const QuarantineNews& aUpdate)
+                             const QuarantineUpdate& aUpdate)
 {
-  for (QuarantineNews& part : SplitNews(aUpdate)) {
+  for (QuarantineUpdate& part : SplitIntoDatagrams(aUpdate)) {
     GossipMessage message;
     message.m_kind = GossipMessage::Kind::Push;
     message.m_sender = m_membership.Self();
@@ -31,7 +31,7 @@
 }
 
 void
-ControlPlane::PublishQuarantine(const QuarantineNews& aUpdate,
+ControlPlane::PublishQuarantine(const QuarantineUpdate& aUpdate,
                                 QuarantineKeeper::Scope aScope)
 {
   SendQuarantine(m_membership.SampleNear(kUpdateFanout), aUpdate);
--- a/src/daemon/control_plane_rollouts.cpp
+++ b/src/daemon/control_plane_rollouts.cpp
@@ -118,10 +118,10 @@
   SendGossip({ *leader, std::move(message) });
 }
 
-RolloutHolder::Workers
+RolloutLeader::Workers
 ControlPlane::WorkersOf(const RolloutRecord& aRecord) const
 {
-  RolloutHolder::Workers workers;
+  RolloutLeader::Workers workers;
   const auto count = [&](const MemberRecord& aMember) {
     const bool isCounted = aMember.m_service == aRecord.m_order.m_service &&
                            TakesCalls(aMember.m_state) && aMember.m_slots > 0;
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -300,12 +300,12 @@
   const Quarantine& quarantine = m_parts.m_control.GetQuarantine().Table();
   const TimePoint now = Clock::now();
   Json quarantined = Json::array();
-  for (const ContentVerdict& each : quarantine.Verdicts(now)) {
-    if (!each.m_isHeld) {
+  for (const QuarantineVerdict& each : quarantine.Verdicts(now)) {
+    if (!each.m_isQuarantined) {
       continue;
     }
     Json witnesses = Json::array();
-    for (const auto& crash : quarantine.EndsSeen(now, each.m_content)) {
+    for (const auto& crash : quarantine.KnownCrashes(now, each.m_content)) {
       witnesses.push_back({ { "slot", crash.m_slot },
                             { "ago_ms", Millis(crash.m_age) },
                             { "ran_ms", Millis(crash.m_ran) } });
@@ -316,7 +316,7 @@
         { "generation", each.m_generation },
         { "ends", each.m_ends },
         { "held_ms", Millis(each.m_age) },
-        { "left_ms", Millis(Quarantine::kHoldTime - each.m_age) },
+        { "left_ms", Millis(Quarantine::kQuarantineTime - each.m_age) },
         { "witnesses", std::move(witnesses) } });
   }
   return JsonResponse(200, Dump(Json{ { "held", std::move(quarantined) } }));
@@ -377,7 +377,8 @@
   metrics.SetGauge(
     "contents_held",
     "Requests that are not run, by content, as workers ended under them",
-    static_cast<double>(m_parts.m_control.GetQuarantine().Table().CountHeld()));
+    static_cast<double>(
+      m_parts.m_control.GetQuarantine().Table().CountQuarantined()));
   metrics.SetGauge(
     "rollouts_open",
     "Versions on trial, neither completed nor rolled back",
--- a/src/daemon/operators_api_rollouts.cpp
+++ b/src/daemon/operators_api_rollouts.cpp
@@ -22,11 +22,11 @@
            { "reason", NameOf(aRecord.m_cause) },
            { "ordered_ms_ago", Millis(aRecord.m_age) },
            { "duration_ms", aRecord.m_order.m_duration.count() },
-           { "permille", aRecord.m_leave.m_permille },
-           { "workers", aRecord.m_leave.m_workers },
-           { "runs", aRecord.m_grounds.m_runs },
-           { "harmed", aRecord.m_grounds.m_harmed },
-           { "harmed_expected", aRecord.m_grounds.m_expected } };
+           { "permille", aRecord.m_permit.m_permille },
+           { "workers", aRecord.m_permit.m_workers },
+           { "runs", aRecord.m_evidence.m_runs },
+           { "harmed", aRecord.m_evidence.m_badRuns },
+           { "harmed_expected", aRecord.m_evidence.m_expected } };
 }
 
 }
--- a/src/daemon/quarantine_keeper.cpp
+++ b/src/daemon/quarantine_keeper.cpp
@@ -38,22 +38,22 @@
 }
 
 void
-QuarantineKeeper::OnOwnEnd(EndReport aReport)
+QuarantineKeeper::OnLocalCrash(EndReport aReport)
 {
   const TimePoint now = Clock::now();
   ApplyChanges(
-    now, m_quarantine.OnOwnEnd(now, std::move(aReport)), Scope::AllDomains);
+    now, m_quarantine.OnLocalCrash(now, std::move(aReport)), Scope::AllDomains);
 }
 
 void
-QuarantineKeeper::OnRanWell(Fingerprint aContent)
+QuarantineKeeper::OnSuccess(Fingerprint aContent)
 {
   const TimePoint now = Clock::now();
-  ApplyChanges(now, m_quarantine.OnRanWell(now, aContent), Scope::AllDomains);
+  ApplyChanges(now, m_quarantine.OnSuccess(now, aContent), Scope::AllDomains);
 }
 
 void
-QuarantineKeeper::OnNews(const QuarantineNews& aUpdate)
+QuarantineKeeper::OnNews(const QuarantineUpdate& aUpdate)
 {
   const TimePoint now = Clock::now();
   ApplyChanges(now, m_quarantine.OnNews(now, aUpdate), Scope::OwnDomain);
@@ -66,8 +66,8 @@
     return;
   }
   const TimePoint now = Clock::now();
-  for (const ContentVerdict& each : m_quarantine.Verdicts(now)) {
-    if (each.m_isHeld) {
+  for (const QuarantineVerdict& each : m_quarantine.Verdicts(now)) {
+    if (each.m_isQuarantined) {
       m_writer.Hold(each, now, true);
     }
   }
@@ -90,13 +90,13 @@
                                const QuarantineChanges& aChanges,
                                Scope aScope)
 {
-  for (const ContentVerdict& each : aChanges.m_verdicts) {
+  for (const QuarantineVerdict& each : aChanges.m_verdicts) {
     LogVerdict(each, aScope);
-    const bool isOwn =
-      std::ranges::any_of(aChanges.m_own, [&](const ContentVerdict& aOwn) {
+    const bool isOwn = std::ranges::any_of(
+      aChanges.m_ownVerdicts, [&](const QuarantineVerdict& aOwn) {
         return aOwn.m_content == each.m_content;
       });
-    if (!each.m_isHeld) {
+    if (!each.m_isQuarantined) {
       // The daemon that lifts a verdict deletes its key; expired keys are
       // deleted by the store.
       if (aScope == Scope::AllDomains) {
@@ -108,8 +108,8 @@
       m_writer.Hold(each, aNow + kBackupWriteDelay, true);
     }
   }
-  if (!aChanges.m_news.IsEmpty()) {
-    m_parts.m_publish(aChanges.m_news, aScope);
+  if (!aChanges.m_update.IsEmpty()) {
+    m_parts.m_publish(aChanges.m_update, aScope);
   }
   if (!aChanges.m_verdicts.empty()) {
     Write(m_writer.OnTick(aNow));
@@ -117,13 +117,14 @@
 }
 
 void
-QuarantineKeeper::LogVerdict(const ContentVerdict& aVerdict, Scope aScope) const
+QuarantineKeeper::LogVerdict(const QuarantineVerdict& aVerdict,
+                             Scope aScope) const
 {
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
   m_parts.m_log.Warning(
     kComponent,
-    aVerdict.m_isHeld ? "content_held" : "content_lifted",
+    aVerdict.m_isQuarantined ? "content_held" : "content_lifted",
     { { "content", ToHex(aVerdict.m_content) },
       { "cause", NameOf(aVerdict.m_cause) },
       { "service", aVerdict.m_service },
@@ -158,7 +159,7 @@
     return;
   }
   m_hasRead = m_hasRead || !aAllowStale;
-  QuarantineNews update;
+  QuarantineUpdate update;
   for (const StoreItem& each : aReply.m_items) {
     const auto verdict = ParseVerdict(each.m_key, each.m_value);
     if (verdict) {
--- a/src/daemon/request_log.cpp
+++ b/src/daemon/request_log.cpp
@@ -124,7 +124,7 @@
 void
 RequestLog::OnWorkerExit(std::string_view aInstance,
                          bool aIsDraining,
-                         const WorkerEnd& aExit)
+                         const WorkerCrash& aExit)
 {
   std::string fingerprints;
   for (const Witness& each : aExit.m_runs) {
--- a/src/daemon/rollout_keeper.cpp
+++ b/src/daemon/rollout_keeper.cpp
@@ -96,7 +96,7 @@
   const bool isOwn = aScope == Scope::AllDomains && m_parts.m_isLeader();
   const bool isWriter = isOwn || (aRecord.m_state != RolloutState::Running &&
                                   m_parts.m_isBackupWriter());
-  if (!isWriter || aRecord.m_isResumed) {
+  if (!isWriter || aRecord.m_isFromStore) {
     return;
   }
   m_writer.Want(StatusOf(aRecord), isOwn ? aNow : aNow + kBackupWriteDelay);
@@ -135,7 +135,7 @@
   if (leader == m_leaders.end()) {
     leader =
       m_leaders
-        .emplace(service, RolloutHolder{ aNow, target, m_parts.m_limits() })
+        .emplace(service, RolloutLeader{ aNow, target, m_parts.m_limits() })
         .first;
     m_parts.m_log.Info(kComponent,
                        "leads",
@@ -144,7 +144,7 @@
                          { "age_ms", Millis(aRecord.m_age) },
                          { "step", aRecord.m_step } });
     // The first leader writes the running state; an existing status is kept.
-    if (aRecord.m_state == RolloutState::Running && !aRecord.m_isResumed) {
+    if (aRecord.m_state == RolloutState::Running && !aRecord.m_isFromStore) {
       m_writer.Want({ service, target, RolloutState::Running }, aNow);
     }
   }
@@ -180,7 +180,7 @@
   }
   record->m_state = RolloutState::RolledBack;
   record->m_cause = RollbackCause::Operator;
-  record->m_leave = {};
+  record->m_permit = {};
   ApplyChange(now, aService, m_table.Take(now, *record), Scope::AllDomains);
   return true;
 }
@@ -363,10 +363,10 @@
 // Log
 
 void
-RolloutKeeper::LogStep(const RolloutHolder::Lead& aDecision) const
+RolloutKeeper::LogStep(const RolloutLeader::Lead& aDecision) const
 {
   const RolloutRecord& record = aDecision.m_record;
-  const VersionJudge::Judgement& judged = aDecision.m_judgement;
+  const CanaryAnalyzer::Judgement& judged = aDecision.m_judgement;
   m_parts.m_log.Warning(
     kComponent,
     "step",
@@ -374,13 +374,13 @@
       { "target", record.m_order.m_target },
       { "state", NameOf(record.m_state) },
       { "cause", NameOf(record.m_cause) },
-      { "permille", std::uint64_t{ record.m_leave.m_permille } },
-      { "workers", std::uint64_t{ record.m_leave.m_workers } },
+      { "permille", std::uint64_t{ record.m_permit.m_permille } },
+      { "workers", std::uint64_t{ record.m_permit.m_workers } },
       { "age_ms", Millis(record.m_age) },
       { "verdict", static_cast<std::int64_t>(judged.m_verdict) },
       { "route", judged.m_route },
       { "runs", judged.m_runs },
-      { "harmed", judged.m_hits },
+      { "harmed", judged.m_badRuns },
       { "harmed_expected", judged.m_expected },
       { "old_workers", std::uint64_t{ aDecision.m_view.m_oldWorkers } },
       { "new_workers", std::uint64_t{ aDecision.m_view.m_newWorkers } },
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -177,7 +177,7 @@
     return Refusal{ RefusalReason::NotInService, {} };
   }
   const Quarantine& quarantine = m_parts.m_quarantine;
-  if (const auto left = quarantine.HeldFor(aNow, aFingerprint)) {
+  if (const auto left = quarantine.QuarantineTimeLeft(aNow, aFingerprint)) {
     return Refusal{ RefusalReason::Held, *left };
   }
   const bool runsBesideSuspect =
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -37,7 +37,7 @@
   const Witness lost{ run.m_fingerprint,
                       Clock::now() - run.m_startedAt,
                       std::nullopt };
-  if (!m_crashDetector.OnLost(lost)) {
+  if (!m_crashDetector.OnConnectionLost(lost)) {
     return;
   }
   CheckListening(
@@ -50,7 +50,7 @@
 void
 RunService::OnListenCheck(bool aIsPortClosed)
 {
-  auto end = m_crashDetector.OnLooked(aIsPortClosed);
+  auto end = m_crashDetector.OnProbed(aIsPortClosed);
   if (end) {
     m_parts.m_requests.OnWorkerExit(
       m_incarnation.m_id, m_runs.IsLeaving(), *end);
@@ -84,7 +84,7 @@
                                             : RefusalReason::AnswerLost);
   answer.m_reachedWorker = true;
   if (aWorkerCrashed) {
-    answer.m_ends = m_parts.m_quarantine.EndsUnder(run->second.m_fingerprint);
+    answer.m_ends = m_parts.m_quarantine.CrashCount(run->second.m_fingerprint);
   }
   FinishRun(aKey, std::move(answer));
 }
@@ -137,7 +137,7 @@
   counts.m_process = m_parts.m_seed;
   counts.m_service = m_parts.m_settings.m_service;
   counts.m_version = m_hasWorker ? m_version : std::string{};
-  counts.m_atWork = m_runs.Load();
+  counts.m_pendingCalls = m_runs.Load();
   counts.m_arrived = m_runCounter.CountArrived();
   counts.m_routes = m_runCounter.Routes();
   return counts;
@@ -147,18 +147,18 @@
 RunService::CountResult(const ActiveRun& aRun, const CallAnswer& aAnswer)
 {
   constexpr std::uint16_t kGatewayTimeout = 504;
-  RunTally::Result result = RunTally::Result::Good;
+  RunCounter::Result result = RunCounter::Result::Good;
   if (aAnswer.m_outcome == CallOutcome::NotRun) {
     return;
   }
   if (aAnswer.m_outcome == CallOutcome::Unknown) {
     result = aAnswer.m_reason == RefusalReason::DeadlinePassed
-               ? RunTally::Result::Expired
-               : RunTally::Result::Lost;
+               ? RunCounter::Result::Expired
+               : RunCounter::Result::Lost;
   } else if (aAnswer.m_response.m_status == kGatewayTimeout) {
-    result = RunTally::Result::Expired;
+    result = RunCounter::Result::Expired;
   } else if (aAnswer.m_response.m_status >= kFirstServerError) {
-    result = RunTally::Result::Failed;
+    result = RunCounter::Result::Failed;
   }
   const TimePoint now = Clock::now();
   m_runCounter.Ended(aRun.m_request.m_kind.m_route,
--- a/src/membership/watch_role.cpp
+++ b/src/membership/watch_role.cpp
@@ -43,7 +43,7 @@
 WatchRole::BackOff(TimePoint aNow)
 {
   m_state = State::Idle;
-  m_isHeld = false;
+  m_isQuarantined = false;
   m_nextTry = aNow + Jittered(m_random, m_backoff);
   m_backoff = std::min(2 * m_backoff, m_settings.m_maxRetry);
 }
@@ -61,7 +61,7 @@
 void
 WatchRole::NoteAllTaken(TimePoint aNow)
 {
-  if (m_state == State::Idle && !m_isHeld) {
+  if (m_state == State::Idle && !m_isQuarantined) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_maxRetry);
   }
 }
@@ -79,14 +79,14 @@
   if (m_nextTry == TimePoint{}) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_retry);
   }
-  if (m_isHeld && aNow >= m_expires) {
+  if (m_isQuarantined && aNow >= m_expires) {
     // The process was paused or disconnected for longer than the lease.
-    m_isHeld = false;
+    m_isQuarantined = false;
   }
   if (m_state != State::Idle || aNow < m_nextTry) {
     return std::nullopt;
   }
-  if (m_isHeld) {
+  if (m_isQuarantined) {
     m_state = State::RenewingLease;
     m_requestedAt = aNow;
     return StoreRequest{ .m_kind = StoreRequest::Kind::LeaseKeep,
@@ -148,7 +148,7 @@
     return std::nullopt;
   }
   m_state = State::Idle;
-  m_isHeld = true;
+  m_isQuarantined = true;
   m_backoff = m_settings.m_retry;
   // Counted from the request, since the store grants the lease after it.
   m_expires = m_requestedAt + m_settings.m_leaseTime;
--- a/src/quarantine/crash_detector.cpp
+++ b/src/quarantine/crash_detector.cpp
@@ -5,14 +5,14 @@
 namespace greengagehub {
 
 bool
-CrashDetector::OnLost(const Witness& aRun)
+CrashDetector::OnConnectionLost(const Witness& aRun)
 {
   m_lostRuns.push_back(aRun);
   return !std::exchange(m_isProbing, true);
 }
 
-std::optional<WorkerEnd>
-CrashDetector::OnLooked(bool aIsRefused)
+std::optional<WorkerCrash>
+CrashDetector::OnProbed(bool aIsRefused)
 {
   m_isProbing = false;
   std::vector<Witness> lost = std::exchange(m_lostRuns, {});
@@ -23,7 +23,7 @@
   if (!std::exchange(m_hasCrashed, true)) {
     ++m_number;
   }
-  return WorkerEnd{ m_number, std::move(lost) };
+  return WorkerCrash{ m_number, std::move(lost) };
 }
 
 }
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -11,30 +11,30 @@
 namespace {
 
 std::uint64_t
-DigestOf(const ContentVerdict& aVerdict)
+DigestOf(const QuarantineVerdict& aVerdict)
 {
   return ShortHashOf(fmt::format("{}/{}/{}",
                                  ToHex(aVerdict.m_content),
                                  aVerdict.m_generation,
-                                 aVerdict.m_isHeld));
+                                 aVerdict.m_isQuarantined));
 }
 
 /// \returns Whether the request counts as the cause of crashes that it was part
 /// of. An expired quarantine does not clear it.
 bool
-IsKnownCause(const ContentVerdict& aVerdict) noexcept
+IsKnownCause(const QuarantineVerdict& aVerdict) noexcept
 {
-  return aVerdict.m_isHeld || aVerdict.m_cause == VerdictCause::Time;
+  return aVerdict.m_isQuarantined || aVerdict.m_cause == VerdictCause::Expired;
 }
 
 /// \returns Whether the new verdict takes precedence over the old one.
 bool
-Overrides(const ContentVerdict& aNew, const ContentVerdict& aOld) noexcept
+Overrides(const QuarantineVerdict& aNew, const QuarantineVerdict& aOld) noexcept
 {
   if (aNew.m_generation != aOld.m_generation) {
     return aNew.m_generation > aOld.m_generation;
   }
-  return aOld.m_isHeld && !aNew.m_isHeld;
+  return aOld.m_isQuarantined && !aNew.m_isQuarantined;
 }
 
 }
@@ -49,20 +49,20 @@
       return "ran-well";
     case VerdictCause::Operator:
       return "operator";
-    case VerdictCause::Time:
+    case VerdictCause::Expired:
       break;
   }
   return "time";
 }
 
 std::optional<std::chrono::milliseconds>
-Quarantine::HeldFor(TimePoint aNow, Fingerprint aFingerprint) const
+Quarantine::QuarantineTimeLeft(TimePoint aNow, Fingerprint aFingerprint) const
 {
   const auto found = m_records.find(aFingerprint);
-  if (found == m_records.end() || !found->second.m_verdict.m_isHeld) {
+  if (found == m_records.end() || !found->second.m_verdict.m_isQuarantined) {
     return std::nullopt;
   }
-  const TimePoint until = found->second.m_at + kHoldTime;
+  const TimePoint until = found->second.m_at + kQuarantineTime;
   if (aNow >= until) {
     return std::nullopt;
   }
@@ -72,11 +72,11 @@
 bool
 Quarantine::IsQuarantined(TimePoint aNow, Fingerprint aFingerprint) const
 {
-  return HeldFor(aNow, aFingerprint).has_value();
+  return QuarantineTimeLeft(aNow, aFingerprint).has_value();
 }
 
 std::uint32_t
-Quarantine::EndsUnder(Fingerprint aFingerprint) const
+Quarantine::CrashCount(Fingerprint aFingerprint) const
 {
   const auto found = m_suspects.find(aFingerprint);
   if (found == m_suspects.end()) {
@@ -91,7 +91,7 @@
 std::optional<TimePoint>
 Quarantine::LastSuccess(const Suspect& aSuspect, Fingerprint aFingerprint) const
 {
-  return std::max(aSuspect.m_lastGood, m_successes.Find(aFingerprint));
+  return std::max(aSuspect.m_lastSuccess, m_successes.Find(aFingerprint));
 }
 
 bool
@@ -145,7 +145,7 @@
 }
 
 std::vector<Quarantine::KnownCrash>
-Quarantine::EndsSeen(TimePoint aNow, Fingerprint aFingerprint) const
+Quarantine::KnownCrashes(TimePoint aNow, Fingerprint aFingerprint) const
 {
   std::vector<KnownCrash> known;
   const auto suspect = m_suspects.find(aFingerprint);
@@ -160,10 +160,10 @@
   return known;
 }
 
-std::vector<ContentVerdict>
+std::vector<QuarantineVerdict>
 Quarantine::Verdicts(TimePoint aNow) const
 {
-  std::vector<ContentVerdict> all;
+  std::vector<QuarantineVerdict> all;
   all.reserve(m_records.size());
   for (const auto& [fingerprint, record] : m_records) {
     all.push_back(record.m_verdict);
@@ -173,17 +173,17 @@
 }
 
 QuarantineChanges
-Quarantine::OnOwnEnd(TimePoint aNow, EndReport aReport)
+Quarantine::OnLocalCrash(TimePoint aNow, EndReport aReport)
 {
   QuarantineChanges out;
   for (Witness& each : aReport.m_ran) {
     if (const auto lastSuccess = m_successes.Find(each.m_content)) {
-      each.m_lastGood = aNow - aReport.m_age - *lastSuccess;
+      each.m_lastSuccess = aNow - aReport.m_age - *lastSuccess;
     }
   }
   if (AddCrash(aNow, aReport, true)) {
     EvaluateCrash(aNow, aReport, out);
-    out.m_news.m_ends.push_back(std::move(aReport));
+    out.m_update.m_ends.push_back(std::move(aReport));
   }
   return out;
 }
@@ -213,9 +213,9 @@
     Suspect& suspect = m_suspects[each.m_content];
     suspect.m_runs.push_back(
       { aReport.m_id, crash.m_at - each.m_ran, crash.m_at });
-    if (each.m_lastGood) {
-      suspect.m_lastGood = std::max<std::optional<TimePoint>>(
-        suspect.m_lastGood, crash.m_at - *each.m_lastGood);
+    if (each.m_lastSuccess) {
+      suspect.m_lastSuccess = std::max<std::optional<TimePoint>>(
+        suspect.m_lastSuccess, crash.m_at - *each.m_lastSuccess);
     }
   }
   if (m_crashes.size() > kMaxCrashes) {
@@ -255,16 +255,16 @@
     return;
   }
   const auto record = m_records.find(aFingerprint);
-  ContentVerdict verdict;
+  QuarantineVerdict verdict;
   verdict.m_content = aFingerprint;
   verdict.m_service = aService;
   verdict.m_generation =
     record == m_records.end() ? 1 : record->second.m_verdict.m_generation + 1;
-  verdict.m_isHeld = true;
+  verdict.m_isQuarantined = true;
   verdict.m_ends = tally.m_count;
   SetVerdict(aNow, verdict, aOut);
   if (HasLocalCrash(suspect)) {
-    aOut.m_own.push_back(std::move(verdict));
+    aOut.m_ownVerdicts.push_back(std::move(verdict));
   }
 }
 
@@ -288,12 +288,12 @@
 }
 
 QuarantineChanges
-Quarantine::OnRanWell(TimePoint aNow, Fingerprint aFingerprint)
+Quarantine::OnSuccess(TimePoint aNow, Fingerprint aFingerprint)
 {
   QuarantineChanges out;
   m_successes.Record(aNow, aFingerprint);
   if (const auto record = m_records.find(aFingerprint);
-      record != m_records.end() && record->second.m_verdict.m_isHeld) {
+      record != m_records.end() && record->second.m_verdict.m_isQuarantined) {
     LiftVerdict(aNow, record->second.m_verdict, VerdictCause::Succeeded, out);
   } else if (const auto suspect = m_suspects.find(aFingerprint);
              suspect != m_suspects.end()) {
@@ -309,37 +309,37 @@
                            QuarantineChanges& aOut)
 {
   const auto localSuccess = m_successes.Find(aFingerprint);
-  if (!localSuccess || localSuccess <= aSuspect.m_lastGood) {
+  if (!localSuccess || localSuccess <= aSuspect.m_lastSuccess) {
     return;
   }
   // Most requests that were interrupted once succeed soon after. Publishing
   // each of these would dominate the traffic.
   const auto counted =
-    CountCrashes(aSuspect, aFingerprint, aSuspect.m_lastGood).m_count;
+    CountCrashes(aSuspect, aFingerprint, aSuspect.m_lastSuccess).m_count;
   const bool lowersCount =
-    counted >= kSuspectEnds &&
+    counted >= kSuspectCrashes &&
     CountCrashes(aSuspect, aFingerprint, localSuccess).m_count < counted;
   if (!lowersCount) {
     return;
   }
-  aSuspect.m_lastGood = localSuccess;
-  ContentVerdict update;
+  aSuspect.m_lastSuccess = localSuccess;
+  QuarantineVerdict update;
   update.m_content = aFingerprint;
   update.m_cause = VerdictCause::Succeeded;
   update.m_age = aNow - *localSuccess;
-  aOut.m_news.m_verdicts.push_back(std::move(update));
+  aOut.m_update.m_verdicts.push_back(std::move(update));
 }
 
 void
 Quarantine::ApplySuccess(TimePoint aNow,
-                         const ContentVerdict& aVerdict,
+                         const QuarantineVerdict& aVerdict,
                          QuarantineChanges& aOut)
 {
   const auto suspect = m_suspects.find(aVerdict.m_content);
   if (suspect == m_suspects.end()) {
     return;
   }
-  std::optional<TimePoint>& lastSuccess = suspect->second.m_lastGood;
+  std::optional<TimePoint>& lastSuccess = suspect->second.m_lastSuccess;
   const TimePoint at = aNow - aVerdict.m_age;
   const auto counted =
     CountCrashes(suspect->second, aVerdict.m_content, lastSuccess).m_count;
@@ -348,22 +348,22 @@
     CountCrashes(suspect->second, aVerdict.m_content, at).m_count < counted;
   if (isNew) {
     lastSuccess = at;
-    aOut.m_news.m_verdicts.push_back(aVerdict);
+    aOut.m_update.m_verdicts.push_back(aVerdict);
   }
 }
 
 QuarantineChanges
-Quarantine::OnNews(TimePoint aNow, const QuarantineNews& aNews)
+Quarantine::OnNews(TimePoint aNow, const QuarantineUpdate& aNews)
 {
   QuarantineChanges out;
   // Verdicts first; otherwise this daemon would reach them again from the
   // crashes.
-  for (const ContentVerdict& each : aNews.m_verdicts) {
+  for (const QuarantineVerdict& each : aNews.m_verdicts) {
     ApplyVerdict(aNow, each, out);
   }
   for (const EndReport& each : aNews.m_ends) {
     if (AddCrash(aNow, each, false)) {
-      out.m_news.m_ends.push_back(each);
+      out.m_update.m_ends.push_back(each);
       EvaluateCrash(aNow, each, out);
     }
   }
@@ -372,15 +372,16 @@
 
 void
 Quarantine::ApplyVerdict(TimePoint aNow,
-                         const ContentVerdict& aVerdict,
+                         const QuarantineVerdict& aVerdict,
                          QuarantineChanges& aOut)
 {
   if (aVerdict.m_generation == 0) {
     ApplySuccess(aNow, aVerdict, aOut);
     return;
   }
-  const bool isExpired = aVerdict.m_age > kRetention ||
-                         (aVerdict.m_isHeld && aVerdict.m_age > kHoldTime);
+  const bool isExpired =
+    aVerdict.m_age > kRetention ||
+    (aVerdict.m_isQuarantined && aVerdict.m_age > kQuarantineTime);
   if (isExpired) {
     return;
   }
@@ -396,7 +397,7 @@
 
 void
 Quarantine::SetVerdict(TimePoint aAt,
-                       const ContentVerdict& aVerdict,
+                       const QuarantineVerdict& aVerdict,
                        QuarantineChanges& aOut)
 {
   EraseRecord(aVerdict.m_content);
@@ -405,25 +406,25 @@
   }
   m_records.emplace(aVerdict.m_content, Record{ aVerdict, aAt });
   m_summary ^= DigestOf(aVerdict);
-  m_quarantinedCount += aVerdict.m_isHeld ? 1 : 0;
+  m_quarantinedCount += aVerdict.m_isQuarantined ? 1 : 0;
   const auto suspect = m_suspects.find(aVerdict.m_content);
   const bool clearsCrashes =
-    !aVerdict.m_isHeld && aVerdict.m_cause != VerdictCause::Time;
+    !aVerdict.m_isQuarantined && aVerdict.m_cause != VerdictCause::Expired;
   if (clearsCrashes && suspect != m_suspects.end()) {
-    suspect->second.m_lastGood =
-      std::max<std::optional<TimePoint>>(suspect->second.m_lastGood, aAt);
+    suspect->second.m_lastSuccess =
+      std::max<std::optional<TimePoint>>(suspect->second.m_lastSuccess, aAt);
   }
   aOut.m_verdicts.push_back(aVerdict);
-  aOut.m_news.m_verdicts.push_back(aVerdict);
+  aOut.m_update.m_verdicts.push_back(aVerdict);
 }
 
 void
 Quarantine::LiftVerdict(TimePoint aNow,
-                        ContentVerdict aVerdict,
+                        QuarantineVerdict aVerdict,
                         VerdictCause aCause,
                         QuarantineChanges& aOut)
 {
-  aVerdict.m_isHeld = false;
+  aVerdict.m_isQuarantined = false;
   aVerdict.m_cause = aCause;
   aVerdict.m_age = Duration{};
   SetVerdict(aNow, aVerdict, aOut);
@@ -433,7 +434,7 @@
 Quarantine::Lift(TimePoint aNow, Fingerprint aFingerprint)
 {
   const auto record = m_records.find(aFingerprint);
-  if (record == m_records.end() || !record->second.m_verdict.m_isHeld) {
+  if (record == m_records.end() || !record->second.m_verdict.m_isQuarantined) {
     return std::nullopt;
   }
   QuarantineChanges out;
@@ -449,24 +450,24 @@
          aNow - m_crashes.at(m_crashOrder.front()).m_at > kRetention) {
     DropOldestCrash();
   }
-  std::vector<ContentVerdict> expired;
+  std::vector<QuarantineVerdict> expired;
   std::vector<Fingerprint> forgotten;
   for (const auto& [fingerprint, record] : m_records) {
     const Duration age = aNow - record.m_at;
-    if (record.m_verdict.m_isHeld && age >= kHoldTime) {
+    if (record.m_verdict.m_isQuarantined && age >= kQuarantineTime) {
       expired.push_back(record.m_verdict);
     } else if (age > kRetention) {
       forgotten.push_back(fingerprint);
     }
   }
-  for (const ContentVerdict& each : expired) {
-    LiftVerdict(aNow, each, VerdictCause::Time, out);
+  for (const QuarantineVerdict& each : expired) {
+    LiftVerdict(aNow, each, VerdictCause::Expired, out);
   }
   for (const Fingerprint each : forgotten) {
     EraseRecord(each);
   }
   // Each daemon expires verdicts on its own.
-  out.m_news = {};
+  out.m_update = {};
   return out;
 }
 
@@ -478,7 +479,7 @@
     return;
   }
   m_summary ^= DigestOf(found->second.m_verdict);
-  m_quarantinedCount -= found->second.m_verdict.m_isHeld ? 1 : 0;
+  m_quarantinedCount -= found->second.m_verdict.m_isQuarantined ? 1 : 0;
   m_records.erase(found);
 }
 
@@ -488,7 +489,8 @@
   // Lifted verdicts first, since quarantined ones protect workers.
   const auto oldest =
     std::ranges::min_element(m_records, {}, [](const auto& aEach) {
-      return std::pair{ aEach.second.m_verdict.m_isHeld, aEach.second.m_at };
+      return std::pair{ aEach.second.m_verdict.m_isQuarantined,
+                        aEach.second.m_at };
     });
   EraseRecord(oldest->first);
 }
--- a/src/quarantine/quarantine_news.cpp
+++ b/src/quarantine/quarantine_update.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/quarantine/quarantine_news.hpp"
+#include "greengagehub/quarantine/quarantine_update.hpp"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxVerdictsPerPart = 18;
 
 void
-AppendCrash(std::vector<QuarantineNews>& aParts, const EndReport& aReport)
+AppendCrash(std::vector<QuarantineUpdate>& aParts, const EndReport& aReport)
 {
   for (std::size_t i = 0; i < aReport.m_ran.size(); i += kMaxRunsPerPart) {
     const std::size_t end = std::min(i + kMaxRunsPerPart, aReport.m_ran.size());
@@ -28,10 +28,10 @@
 
 }
 
-std::vector<QuarantineNews>
-SplitNews(const QuarantineNews& aNews)
+std::vector<QuarantineUpdate>
+SplitIntoDatagrams(const QuarantineUpdate& aNews)
 {
-  std::vector<QuarantineNews> parts;
+  std::vector<QuarantineUpdate> parts;
   // Verdicts first, so that receivers need not reach them from the crashes.
   for (std::size_t i = 0; i < aNews.m_verdicts.size();
        i += kMaxVerdictsPerPart) {
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -27,7 +27,7 @@
 }
 
 std::string
-VerdictToJson(const ContentVerdict& aVerdict)
+VerdictToJson(const QuarantineVerdict& aVerdict)
 {
   return Json{
     { "format", kFormatVersion },
@@ -37,7 +37,7 @@
   }.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-Outcome<ContentVerdict>
+Outcome<QuarantineVerdict>
 ParseVerdict(std::string_view aKey, std::string_view aValue)
 {
   const bool hasPrefix = aKey.starts_with(kVerdictPrefix);
@@ -48,9 +48,9 @@
   }
   const Json json = Json::parse(aValue, nullptr, false);
   FieldReader fields{ json };
-  ContentVerdict verdict;
+  QuarantineVerdict verdict;
   verdict.m_content = fingerprint.value();
-  verdict.m_isHeld = true;
+  verdict.m_isQuarantined = true;
   verdict.m_service = fields.Text("service");
   verdict.m_generation =
     static_cast<std::uint32_t>(fields.Whole("generation", UINT32_MAX));
@@ -78,7 +78,7 @@
 }
 
 void
-VerdictWriter::Hold(ContentVerdict aVerdict,
+VerdictWriter::Hold(QuarantineVerdict aVerdict,
                     TimePoint aNotBefore,
                     bool aChecksFirst)
 {
@@ -92,7 +92,7 @@
 VerdictWriter::Lift(Fingerprint aFingerprint, TimePoint aNow)
 {
   DropJobs(aFingerprint);
-  ContentVerdict verdict;
+  QuarantineVerdict verdict;
   verdict.m_content = aFingerprint;
   m_jobs.push_back({ std::move(verdict), aNow, Step::Delete });
 }
@@ -109,7 +109,7 @@
       return MakeDelete(key);
     default:
       return { .m_kind = StoreRequest::Kind::LeaseGrant,
-               .m_wait = Quarantine::kHoldTime };
+               .m_wait = Quarantine::kQuarantineTime };
   }
 }
 
@@ -117,7 +117,7 @@
 VerdictWriter::PutIfRevision(Revision aExpected)
 {
   m_step = Step::Put;
-  const ContentVerdict& verdict = m_jobs.front().m_verdict;
+  const QuarantineVerdict& verdict = m_jobs.front().m_verdict;
   StoreRequest request =
     MakePut(KeyOf(verdict.m_content), VerdictToJson(verdict), aExpected);
   request.m_lease = m_lease;
--- a/src/rollout/version_judge.cpp
+++ b/src/rollout/canary_analyzer.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/rollout/version_judge.hpp"
+#include "greengagehub/rollout/canary_analyzer.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -110,36 +110,36 @@
   const double baseline =
     std::max(aMeasure.m_minRate, aTally.m_expected / aTally.m_runs);
   return LikelihoodRatio(
-    aTally.m_hits, aTally.m_runs, baseline, aMeasure.m_lift);
+    aTally.m_badRuns, aTally.m_runs, baseline, aMeasure.m_lift);
 }
 
 }
 
 void
-VersionJudge::Tally::Add(const Tally& aOther) noexcept
+CanaryAnalyzer::Tally::Add(const Tally& aOther) noexcept
 {
   m_runs += aOther.m_runs;
-  m_hits += aOther.m_hits;
+  m_badRuns += aOther.m_badRuns;
   m_expected += aOther.m_expected;
 }
 
 double
-VersionJudge::Tally::Excess() const noexcept
+CanaryAnalyzer::Tally::Excess() const noexcept
 {
-  return m_hits - m_expected;
+  return m_badRuns - m_expected;
 }
 
 void
-VersionJudge::Tally::Decay() noexcept
+CanaryAnalyzer::Tally::Decay() noexcept
 {
   m_runs *= kDecayFactor;
-  m_hits *= kDecayFactor;
+  m_badRuns *= kDecayFactor;
   m_expected *= kDecayFactor;
 }
 
 void
-VersionJudge::Baseline::Add(const RouteCounts& aCurrent,
-                            const RouteCounts& aPrevious) noexcept
+CanaryAnalyzer::Baseline::Add(const RouteCounts& aCurrent,
+                              const RouteCounts& aPrevious) noexcept
 {
   m_runs += Increase(aCurrent.m_runs, aPrevious.m_runs);
   m_failed += Increase(aCurrent.m_failed, aPrevious.m_failed);
@@ -150,7 +150,7 @@
 }
 
 void
-VersionJudge::Baseline::Decay() noexcept
+CanaryAnalyzer::Baseline::Decay() noexcept
 {
   m_runs *= kDecayFactor;
   m_failed *= kDecayFactor;
@@ -161,7 +161,7 @@
 }
 
 double
-VersionJudge::Baseline::TimesFrom(std::size_t aBucket) const noexcept
+CanaryAnalyzer::Baseline::TimesFrom(std::size_t aBucket) const noexcept
 {
   double sum = 0.0;
   for (std::size_t i = aBucket; i < m_times.size(); ++i) {
@@ -171,7 +171,7 @@
 }
 
 void
-VersionJudge::OnCounts(const WorkerCounts& aCounts)
+CanaryAnalyzer::OnCounts(const WorkerCounts& aCounts)
 {
   Worker& worker = m_workers[aCounts.m_slot];
   if (worker.m_current.m_process != aCounts.m_process) {
@@ -183,20 +183,20 @@
 }
 
 std::size_t
-VersionJudge::FirstSlowBucket(const Route& aRoute) noexcept
+CanaryAnalyzer::FirstSlowBucket(const Route& aRoute) noexcept
 {
   const Baseline& all = aRoute.m_all;
   const double total = all.TimesFrom(0);
   std::size_t bucket = 0;
-  while (bucket < TimeCounts::kBuckets &&
+  while (bucket < RunTimeHistogram::kBuckets &&
          all.TimesFrom(bucket) > kSlowShare * total) {
     ++bucket;
   }
-  return std::min(bucket + kSlowMargin - 1, TimeCounts::kBuckets - 1);
+  return std::min(bucket + kSlowMargin - 1, RunTimeHistogram::kBuckets - 1);
 }
 
 void
-VersionJudge::UpdateBaseline()
+CanaryAnalyzer::UpdateBaseline()
 {
   for (auto& [id, route] : m_routes) {
     route.m_recent.Decay();
@@ -218,10 +218,10 @@
 
 template<class Count, class Total>
 double
-VersionJudge::BaselineRate(const Route& aRoute,
-                           double aMinRate,
-                           Count aCount,
-                           Total aTotal)
+CanaryAnalyzer::BaselineRate(const Route& aRoute,
+                             double aMinRate,
+                             Count aCount,
+                             Total aTotal)
 {
   const double recentRate =
     (aCount(aRoute.m_recent) + aMinRate) / (aTotal(aRoute.m_recent) + 1.0);
@@ -233,17 +233,17 @@
 }
 
 void
-VersionJudge::UpdateCanary(const std::string& aSlot,
-                           Route& aRoute,
-                           const RouteCounts& aCurrent,
-                           const RouteCounts& aPrevious)
+CanaryAnalyzer::UpdateCanary(const std::string& aSlot,
+                             Route& aRoute,
+                             const RouteCounts& aCurrent,
+                             const RouteCounts& aPrevious)
 {
   const double runs = Increase(aCurrent.m_runs, aPrevious.m_runs);
   const std::size_t firstSlow = FirstSlowBucket(aRoute);
-  const double timed = TimeCounts::SumFrom(aCurrent.m_times, 0) -
-                       TimeCounts::SumFrom(aPrevious.m_times, 0);
-  const double slow = TimeCounts::SumFrom(aCurrent.m_times, firstSlow) -
-                      TimeCounts::SumFrom(aPrevious.m_times, firstSlow);
+  const double timed = RunTimeHistogram::SumFrom(aCurrent.m_times, 0) -
+                       RunTimeHistogram::SumFrom(aPrevious.m_times, 0);
+  const double slow = RunTimeHistogram::SumFrom(aCurrent.m_times, firstSlow) -
+                      RunTimeHistogram::SumFrom(aPrevious.m_times, firstSlow);
   const auto allRuns = [](const Baseline& aBaseline) {
     return aBaseline.m_runs;
   };
@@ -288,7 +288,7 @@
 }
 
 void
-VersionJudge::UpdateCanary()
+CanaryAnalyzer::UpdateCanary()
 {
   for (auto& [id, route] : m_routes) {
     for (auto& [slot, tallies] : route.m_workers) {
@@ -311,7 +311,7 @@
 }
 
 double
-VersionJudge::RecentRatio(const Route& aRoute, std::size_t aMeasure)
+CanaryAnalyzer::RecentRatio(const Route& aRoute, std::size_t aMeasure)
 {
   std::vector<double> ratios;
   for (const auto& [slot, tallies] : aRoute.m_workers) {
@@ -323,8 +323,8 @@
   return SumWithoutWorst(std::move(ratios));
 }
 
-VersionJudge::Judgement
-VersionJudge::FindBadRoute() const
+CanaryAnalyzer::Judgement
+CanaryAnalyzer::FindBadRoute() const
 {
   const auto comparisons = static_cast<double>(
     std::max<std::size_t>(1, m_routes.size()) * kMeasureCount);
@@ -340,17 +340,20 @@
         for (const auto& [slot, tallies] : route.m_workers) {
           sum.Add(tallies.at(i));
         }
-        worst = { Verdict::Bad, kMeasureSpecs.at(i).m_cause,
-                  id,           sum.m_runs,
-                  sum.m_hits,   sum.m_expected };
+        worst = { Verdict::Bad,
+                  kMeasureSpecs.at(i).m_cause,
+                  id,
+                  sum.m_runs,
+                  sum.m_badRuns,
+                  sum.m_expected };
       }
     }
   }
   return worst;
 }
 
-VersionJudge::Judgement
-VersionJudge::FindExcess() const
+CanaryAnalyzer::Judgement
+CanaryAnalyzer::FindExcess() const
 {
   for (std::size_t i = 0; i < kMeasureCount; ++i) {
     std::vector<Tally> workers;
@@ -374,17 +377,19 @@
     const bool isLoadRelated =
       all.Excess() >= kMaxExcessOfAll && rest.Excess() >= kMinExcessOfRest;
     if (rest.Excess() >= maxExcess || isLoadRelated) {
-      return {
-        Verdict::Bad,  kMeasureSpecs.at(i).m_cause, 0, all.m_runs, all.m_hits,
-        all.m_expected
-      };
+      return { Verdict::Bad,
+               kMeasureSpecs.at(i).m_cause,
+               0,
+               all.m_runs,
+               all.m_badRuns,
+               all.m_expected };
     }
   }
   return {};
 }
 
 bool
-VersionJudge::IsProbablyGood() const
+CanaryAnalyzer::IsProbablyGood() const
 {
   double oldRuns = 0.0;
   for (const auto& [id, route] : m_routes) {
@@ -401,7 +406,7 @@
 }
 
 bool
-VersionJudge::IsGood() const
+CanaryAnalyzer::IsGood() const
 {
   if (!IsProbablyGood()) {
     return false;
@@ -419,8 +424,8 @@
     });
 }
 
-VersionJudge::Judgement
-VersionJudge::Evaluate()
+CanaryAnalyzer::Judgement
+CanaryAnalyzer::Evaluate()
 {
   m_traffic = { .m_newRuns = m_traffic.m_newRuns };
   for (const auto& [slot, worker] : m_workers) {
@@ -431,7 +436,7 @@
       m_traffic.m_newArrived += arrived;
     } else {
       m_traffic.m_oldArrived += arrived;
-      m_traffic.m_oldAtWork += worker.m_current.m_atWork;
+      m_traffic.m_oldAtWork += worker.m_current.m_pendingCalls;
     }
   }
   UpdateBaseline();
--- a/src/rollout/rollout_holder.cpp
+++ b/src/rollout/rollout_leader.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/rollout/rollout_holder.hpp"
+#include "greengagehub/rollout/rollout_leader.hpp"
 
 #include "greengagehub/rollout/rollout_table.hpp"
 
@@ -22,19 +22,19 @@
 constexpr double kRateWeight = 0.3;
 
 VerdictEvidence
-EvidenceOf(const VersionJudge::Judgement& aJudgement)
+EvidenceOf(const CanaryAnalyzer::Judgement& aJudgement)
 {
   const auto rounded = [](double aCount) {
     return static_cast<std::uint32_t>(std::lround(aCount));
   };
   return { rounded(aJudgement.m_runs),
-           rounded(aJudgement.m_hits),
+           rounded(aJudgement.m_badRuns),
            rounded(aJudgement.m_expected) };
 }
 
 }
 
-RolloutHolder::RolloutHolder(TimePoint aNow,
+RolloutLeader::RolloutLeader(TimePoint aNow,
                              std::string aTarget,
                              RolloutLimits aLimits)
   : m_target(std::move(aTarget))
@@ -46,12 +46,12 @@
 }
 
 void
-RolloutHolder::Evaluate(TimePoint aNow)
+RolloutLeader::Evaluate(TimePoint aNow)
 {
   const std::chrono::duration<double> since = aNow - m_evaluatedAt;
   m_evaluatedAt = aNow;
   m_judgement = m_judge.Evaluate();
-  const VersionJudge::Traffic& traffic = m_judge.LastTraffic();
+  const CanaryAnalyzer::Traffic& traffic = m_judge.LastTraffic();
   const double rate = (traffic.m_oldArrived + traffic.m_newArrived) /
                       std::max(since.count(), 1e-3);
   const bool isFirst = m_callsPerSecond <= 0.0;
@@ -61,7 +61,7 @@
 }
 
 StepInputs
-RolloutHolder::MakeInputs(TimePoint aNow,
+RolloutLeader::MakeInputs(TimePoint aNow,
                           const RolloutRecord& aRecord,
                           const Workers& aWorkers) const
 {
@@ -72,34 +72,34 @@
   inputs.m_oldWorkers = aWorkers.m_old;
   inputs.m_newWorkers = aWorkers.m_new;
   inputs.m_callsPerSecond = m_callsPerSecond;
-  inputs.m_permille = aRecord.m_leave.m_permille;
+  inputs.m_permille = aRecord.m_permit.m_permille;
   inputs.m_shareAge = aNow - m_permilleSince;
   inputs.m_isOldIdle = m_idleEvaluations >= kIdleEvaluations;
   return inputs;
 }
 
-std::optional<RolloutHolder::Lead>
-RolloutHolder::OnTick(TimePoint aNow,
+std::optional<RolloutLeader::Lead>
+RolloutLeader::OnTick(TimePoint aNow,
                       const RolloutRecord& aRecord,
                       const Workers& aWorkers)
 {
   const bool isStateLost =
-    aRecord.m_isResumed && aNow - m_startedAt >= kStateLostAfter;
-  if (IsFinal(aRecord.m_state) || (aRecord.m_isResumed && !isStateLost)) {
+    aRecord.m_isFromStore && aNow - m_startedAt >= kStateLostAfter;
+  if (IsFinal(aRecord.m_state) || (aRecord.m_isFromStore && !isStateLost)) {
     return std::nullopt;
   }
   if (aNow - m_evaluatedAt >= kEvaluationInterval) {
     Evaluate(aNow);
   }
-  if (aRecord.m_leave.m_permille != m_permille) {
-    m_permille = aRecord.m_leave.m_permille;
+  if (aRecord.m_permit.m_permille != m_permille) {
+    m_permille = aRecord.m_permit.m_permille;
     m_permilleSince = aNow;
   }
   Lead lead{ aRecord, false, m_judgement, MakeInputs(aNow, aRecord, aWorkers) };
   RolloutStep step;
   if (isStateLost) {
     step = { RolloutState::RolledBack, RollbackCause::StateLost, {} };
-  } else if (m_judgement.m_verdict == VersionJudge::Verdict::Bad) {
+  } else if (m_judgement.m_verdict == CanaryAnalyzer::Verdict::Bad) {
     step = { RolloutState::RolledBack, m_judgement.m_cause, {} };
   } else {
     step = NextStep(m_limits, lead.m_view);
@@ -108,7 +108,7 @@
   step.m_state = std::max(step.m_state, aRecord.m_state);
   // A change of the number of workers is published with the next permit.
   lead.m_isStep = step.m_state != aRecord.m_state ||
-                  step.m_leave.m_permille != aRecord.m_leave.m_permille;
+                  step.m_permit.m_permille != aRecord.m_permit.m_permille;
   if (!lead.m_isStep && aNow - m_publishedAt < kPublishInterval) {
     return std::nullopt;
   }
@@ -116,12 +116,12 @@
   RolloutRecord& record = lead.m_record;
   record.m_state = step.m_state;
   record.m_cause = step.m_cause;
-  record.m_grounds = EvidenceOf(m_judgement);
-  record.m_leave = step.m_leave;
+  record.m_evidence = EvidenceOf(m_judgement);
+  record.m_permit = step.m_permit;
   if (step.m_state == RolloutState::Running) {
-    record.m_leave.m_left = RolloutTable::kPermitTime;
+    record.m_permit.m_left = RolloutTable::kPermitTime;
   }
-  record.m_isResumed = false;
+  record.m_isFromStore = false;
   ++record.m_step;
   return lead;
 }
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -81,7 +81,7 @@
 RolloutStep
 NextStep(const RolloutLimits& aLimits, const StepInputs& aInputs)
 {
-  using Verdict = VersionJudge::Verdict;
+  using Verdict = CanaryAnalyzer::Verdict;
   const double elapsed = ElapsedPart(aInputs);
   RolloutStep step;
   if (elapsed >= kVerdictDeadline && aInputs.m_verdict != Verdict::Good &&
@@ -92,7 +92,7 @@
     return step;
   }
   if (aInputs.m_permille >= kAllPermille) {
-    step.m_leave = MakePermit(aInputs, kAllPermille);
+    step.m_permit = MakePermit(aInputs, kAllPermille);
     const auto latest =
       std::chrono::duration<double>(aInputs.m_duration) * kCompletionDeadline -
       kStoreWriteTime;
@@ -108,7 +108,7 @@
   if (aInputs.m_permille < kRampPermilles.front()) {
     const bool isCanaryDone =
       aInputs.m_verdict == Verdict::Good && elapsed >= kCanaryUntil;
-    step.m_leave =
+    step.m_permit =
       MakePermit(aInputs, isCanaryDone ? kRampPermilles.front() : canary);
     return step;
   }
@@ -120,7 +120,7 @@
     std::ranges::upper_bound(kRampPermilles, aInputs.m_permille);
   const std::uint32_t nextPermille =
     next == kRampPermilles.end() ? kAllPermille : *next;
-  step.m_leave =
+  step.m_permit =
     MakePermit(aInputs, isIncreased ? nextPermille : aInputs.m_permille);
   return step;
 }
--- a/src/rollout/rollout_table.cpp
+++ b/src/rollout/rollout_table.cpp
@@ -96,10 +96,10 @@
   }
   const bool becomesFinal =
     IsFinal(aRecord.m_state) && (isNewTarget || !IsFinal(old.m_state));
-  if (becomesFinal && !old.m_isResumed) {
+  if (becomesFinal && !old.m_isFromStore) {
     aEntry.m_finalSince = aNow;
   }
-  aEntry.m_permitUntil = aNow + aRecord.m_leave.m_left;
+  aEntry.m_permitUntil = aNow + aRecord.m_permit.m_left;
   aEntry.m_record = std::move(aRecord);
   UpdateSummary();
 }
@@ -122,7 +122,7 @@
   RolloutRecord record;
   record.m_order = aOrder;
   record.m_generation = known.m_generation + 1;
-  record.m_isResumed = aIsRunning;
+  record.m_isFromStore = aIsRunning;
   if (known.m_generation > 0) {
     const bool hasMoved = known.m_state >= RolloutState::Completing &&
                           known.m_state != RolloutState::RolledBack;
@@ -188,20 +188,20 @@
                          known.m_state == aRecord.m_state &&
                          known.m_isWritten == aRecord.m_isWritten;
   Replace(aNow, entry, aRecord);
-  return sameState ? Change::Leave : Change::State;
+  return sameState ? Change::Permit : Change::State;
 }
 
 bool
-RolloutTable::DrawsTrial(TimePoint aNow,
-                         const std::string& aService,
-                         Random& aRandom) const
+RolloutTable::DrawsCanary(TimePoint aNow,
+                          const std::string& aService,
+                          Random& aRandom) const
 {
   const Entry* entry = m_entries.empty() ? nullptr : FindEntry(aService);
   if (entry == nullptr || entry->m_record.m_state != RolloutState::Running ||
       entry->m_permitUntil <= aNow) {
     return false;
   }
-  return Below(aRandom, kAllPermille) < entry->m_record.m_leave.m_permille;
+  return Below(aRandom, kAllPermille) < entry->m_record.m_permit.m_permille;
 }
 
 VersionRule
@@ -235,15 +235,15 @@
     return rules;
   }
   const RolloutRecord& record = entry->m_record;
-  const bool hasAllCalls = record.m_leave.m_permille >= kAllPermille;
+  const bool hasAllCalls = record.m_permit.m_permille >= kAllPermille;
   const bool isCanaryAllowed = (aIsCanary || hasAllCalls) &&
                                record.m_state == RolloutState::Running &&
                                entry->m_permitUntil > aNow;
   if (isCanaryAllowed) {
     rules.Add({ VersionRule::Kind::Only,
                 record.m_order.m_target,
-                record.m_leave.m_workers,
-                record.m_leave.m_first,
+                record.m_permit.m_workers,
+                record.m_permit.m_first,
                 false });
   }
   rules.Add(InServiceRule(aNow, *entry));
@@ -267,7 +267,7 @@
   }
   switch (record.m_state) {
     case RolloutState::Running:
-      return entry->m_permitUntil > aNow && record.m_leave.m_permille > 0;
+      return entry->m_permitUntil > aNow && record.m_permit.m_permille > 0;
     case RolloutState::RolledBack:
       return false;
     default:
@@ -284,7 +284,7 @@
   }
   RolloutRecord record = entry->m_record;
   record.m_age = aNow - entry->m_orderedAt;
-  record.m_leave.m_left =
+  record.m_permit.m_left =
     std::max(Duration::zero(), entry->m_permitUntil - aNow);
   return record;
 }
@@ -311,7 +311,7 @@
 }
 
 void
-RolloutTable::DropLeaves()
+RolloutTable::RevokePermits()
 {
   for (auto& [service, entry] : m_entries) {
     entry.m_permitUntil = TimePoint{};
--- a/src/rollout/run_counts.cpp
+++ b/src/rollout/run_counts.cpp
@@ -14,7 +14,7 @@
 }
 
 std::size_t
-TimeCounts::BucketOf(Duration aTook) noexcept
+RunTimeHistogram::BucketOf(Duration aTook) noexcept
 {
   constexpr double kGrowth = 1.5;
   std::chrono::duration<double, std::milli> end = kFirstBucketEnd;
@@ -27,7 +27,7 @@
 }
 
 double
-TimeCounts::SumFrom(const Buckets& aBuckets, std::size_t aFirst) noexcept
+RunTimeHistogram::SumFrom(const Buckets& aBuckets, std::size_t aFirst) noexcept
 {
   const auto first =
     aBuckets.begin() + static_cast<std::ptrdiff_t>(std::min(aFirst, kBuckets));
@@ -35,14 +35,14 @@
 }
 
 void
-RunTally::Clear()
+RunCounter::Clear()
 {
   m_arrived = 0;
   m_routes.clear();
 }
 
 RouteCounts&
-RunTally::CountsOf(std::uint64_t aRoute)
+RunCounter::CountsOf(std::uint64_t aRoute)
 {
   const auto findRoute = [this](std::uint64_t aWanted) {
     return std::ranges::find(m_routes, aWanted, &RouteCounts::m_route);
@@ -60,10 +60,10 @@
 }
 
 void
-RunTally::Ended(std::uint64_t aRoute,
-                Result aResult,
-                Duration aTook,
-                bool aIsCold)
+RunCounter::Ended(std::uint64_t aRoute,
+                  Result aResult,
+                  Duration aTook,
+                  bool aIsCold)
 {
   RouteCounts& counts = CountsOf(aRoute);
   ++counts.m_runs;
@@ -72,7 +72,7 @@
   if (aResult == Result::Expired) {
     ++counts.m_times.back();
   } else if (aResult == Result::Good) {
-    const std::size_t bucket = TimeCounts::BucketOf(aTook);
+    const std::size_t bucket = RunTimeHistogram::BucketOf(aTook);
     const std::size_t shift = aIsCold ? kColdBuckets : 0;
     ++counts.m_times.at(bucket - std::min(bucket, shift));
   }
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kLastState =
   static_cast<std::uint32_t>(MemberState::Left);
 constexpr std::uint32_t kLastCause =
-  static_cast<std::uint32_t>(VerdictCause::Time);
+  static_cast<std::uint32_t>(VerdictCause::Expired);
 
 void
 ToWire(const MemberRecord& aRecord, wire::MemberRecord& aOut)
@@ -124,8 +124,8 @@
     ran.set_content_high(each.m_content.m_high);
     ran.set_content_low(each.m_content.m_low);
     ran.set_ran_ms(ToMs(each.m_ran));
-    if (each.m_lastGood) {
-      ran.set_last_good_ms(ToMs(*each.m_lastGood));
+    if (each.m_lastSuccess) {
+      ran.set_last_good_ms(ToMs(*each.m_lastSuccess));
     }
   }
 }
@@ -143,7 +143,7 @@
                  FromMs(each.ran_ms()),
                  std::nullopt };
     if (each.has_last_good_ms()) {
-      ran.m_lastGood = FromMs(each.last_good_ms());
+      ran.m_lastSuccess = FromMs(each.last_good_ms());
     }
     report.m_ran.push_back(ran);
   }
@@ -151,29 +151,29 @@
 }
 
 void
-ToWire(const ContentVerdict& aVerdict, wire::Verdict& aOut)
+ToWire(const QuarantineVerdict& aVerdict, wire::Verdict& aOut)
 {
   aOut.set_content_high(aVerdict.m_content.m_high);
   aOut.set_content_low(aVerdict.m_content.m_low);
   aOut.set_service(aVerdict.m_service);
   aOut.set_generation(aVerdict.m_generation);
-  aOut.set_is_held(aVerdict.m_isHeld);
+  aOut.set_is_held(aVerdict.m_isQuarantined);
   aOut.set_cause(static_cast<std::uint32_t>(aVerdict.m_cause));
   aOut.set_ends(aVerdict.m_ends);
   aOut.set_age_ms(ToMs(aVerdict.m_age));
 }
 
-Outcome<ContentVerdict>
+Outcome<QuarantineVerdict>
 FromWire(const wire::Verdict& aWire)
 {
   if (aWire.cause() > kLastCause) {
     return Malformed("verdict: unknown cause");
   }
-  ContentVerdict verdict;
+  QuarantineVerdict verdict;
   verdict.m_content = { aWire.content_high(), aWire.content_low() };
   verdict.m_service = aWire.service();
   verdict.m_generation = aWire.generation();
-  verdict.m_isHeld = aWire.is_held();
+  verdict.m_isQuarantined = aWire.is_held();
   verdict.m_cause = static_cast<VerdictCause>(aWire.cause());
   verdict.m_ends = aWire.ends();
   verdict.m_age = FromMs(aWire.age_ms());
@@ -217,7 +217,7 @@
   for (const EndReport& each : aMessage.m_quarantine.m_ends) {
     ToWire(each, *out.add_ends());
   }
-  for (const ContentVerdict& each : aMessage.m_quarantine.m_verdicts) {
+  for (const QuarantineVerdict& each : aMessage.m_quarantine.m_verdicts) {
     ToWire(each, *out.add_verdicts());
   }
   out.set_verdicts_digest(aMessage.m_verdicts);
@@ -266,7 +266,7 @@
   auto updates = AllFromWire<MemberRecord>(in.updates());
   auto entries = AllFromWire<VersionEntry>(in.entries());
   auto ends = AllFromWire<EndReport>(in.ends());
-  auto verdicts = AllFromWire<ContentVerdict>(in.verdicts());
+  auto verdicts = AllFromWire<QuarantineVerdict>(in.verdicts());
   auto rollouts = AllFromWire<RolloutRecord>(in.rollouts());
   auto counts = FromWire(in.counts());
   if (!sender || !head || !updates || !entries || !ends || !verdicts ||
--- a/src/transport/rollout_wire.cpp
+++ b/src/transport/rollout_wire.cpp
@@ -40,7 +40,8 @@
   counts.m_lost = aWire.lost();
   const std::size_t first = aWire.first_bucket();
   const auto count = static_cast<std::size_t>(aWire.times_size());
-  if (first > TimeCounts::kBuckets || count > TimeCounts::kBuckets - first) {
+  if (first > RunTimeHistogram::kBuckets ||
+      count > RunTimeHistogram::kBuckets - first) {
     return Malformed("route counts: times exceed the last bucket");
   }
   for (std::size_t i = 0; i < count; ++i) {
@@ -63,13 +64,13 @@
   aOut.set_is_written(aRecord.m_isWritten);
   aOut.set_cause(static_cast<std::uint32_t>(aRecord.m_cause));
   aOut.set_step(aRecord.m_step);
-  aOut.set_permille(aRecord.m_leave.m_permille);
-  aOut.set_workers(aRecord.m_leave.m_workers);
-  aOut.set_runs(aRecord.m_grounds.m_runs);
-  aOut.set_harmed(aRecord.m_grounds.m_harmed);
-  aOut.set_harmed_expected(aRecord.m_grounds.m_expected);
-  aOut.set_first_worker(aRecord.m_leave.m_first);
-  aOut.set_leave_left_ms(ToMs(aRecord.m_leave.m_left));
+  aOut.set_permille(aRecord.m_permit.m_permille);
+  aOut.set_workers(aRecord.m_permit.m_workers);
+  aOut.set_runs(aRecord.m_evidence.m_runs);
+  aOut.set_harmed(aRecord.m_evidence.m_badRuns);
+  aOut.set_harmed_expected(aRecord.m_evidence.m_expected);
+  aOut.set_first_worker(aRecord.m_permit.m_first);
+  aOut.set_leave_left_ms(ToMs(aRecord.m_permit.m_left));
   aOut.set_age_ms(ToMs(aRecord.m_age));
 }
 
@@ -92,12 +93,12 @@
   record.m_state = static_cast<RolloutState>(aWire.state());
   record.m_isWritten = aWire.is_written();
   record.m_cause = static_cast<RollbackCause>(aWire.cause());
-  record.m_grounds = { aWire.runs(), aWire.harmed(), aWire.harmed_expected() };
+  record.m_evidence = { aWire.runs(), aWire.harmed(), aWire.harmed_expected() };
   record.m_step = aWire.step();
-  record.m_leave = { aWire.permille(),
-                     aWire.workers(),
-                     aWire.first_worker(),
-                     FromMs(aWire.leave_left_ms()) };
+  record.m_permit = { aWire.permille(),
+                      aWire.workers(),
+                      aWire.first_worker(),
+                      FromMs(aWire.leave_left_ms()) };
   record.m_age = FromMs(aWire.age_ms());
   return record;
 }
@@ -108,7 +109,7 @@
   aOut.set_service(aCounts.m_service);
   aOut.set_version(aCounts.m_version);
   aOut.set_process(aCounts.m_process);
-  aOut.set_at_work(aCounts.m_atWork);
+  aOut.set_at_work(aCounts.m_pendingCalls);
   aOut.set_arrived(aCounts.m_arrived);
   for (const RouteCounts& each : aCounts.m_routes) {
     ToWire(each, *aOut.add_routes());
@@ -129,7 +130,7 @@
   counts.m_service = aWire.service();
   counts.m_version = aWire.version();
   counts.m_process = aWire.process();
-  counts.m_atWork = aWire.at_work();
+  counts.m_pendingCalls = aWire.at_work();
   counts.m_arrived = aWire.arrived();
   return counts;
 }
--- a/tests/calls/held_contents.cpp
+++ b/tests/calls/held_contents.cpp
@@ -62,7 +62,7 @@
     CallAnswer answer =
       Refuse(0, CallOutcome::Unknown, RefusalReason::WorkerEnded);
     answer.m_reachedWorker = true;
-    answer.m_ends = m_quarantine.EndsUnder(kFingerprint);
+    answer.m_ends = m_quarantine.CrashCount(kFingerprint);
     return answer;
   }
 
--- a/tests/calls/trial_routing.cpp
+++ b/tests/calls/trial_routing.cpp
@@ -19,7 +19,7 @@
   record.m_generation = 1;
   record.m_base = "v1";
   record.m_step = 1;
-  record.m_leave = { aPermille, aWorkers, aFirst, 1500ms };
+  record.m_permit = { aPermille, aWorkers, aFirst, 1500ms };
   return record;
 }
 
@@ -122,7 +122,7 @@
 
   RolloutRecord next = CanaryRecord(100, 1, 1);
   next.m_step = 2;
-  REQUIRE(fleet.m_rollouts.Take(kStart, next) == RolloutTable::Change::Leave);
+  REQUIRE(fleet.m_rollouts.Take(kStart, next) == RolloutTable::Change::Permit);
   std::set<std::string> second;
   static_cast<void>(fleet.CountByVersion(&second));
   CHECK(second.size() == 1);
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -87,10 +87,10 @@
   /// Reports the fingerprint as quarantined by another daemon.
   void QuarantineRequests(Fingerprint aFingerprint)
   {
-    ContentVerdict verdict;
+    QuarantineVerdict verdict;
     verdict.m_content = aFingerprint;
     verdict.m_generation = 1;
-    verdict.m_isHeld = true;
+    verdict.m_isQuarantined = true;
     static_cast<void>(m_quarantine.OnNews(Clock::now(), { {}, { verdict } }));
   }
 
--- a/tests/quarantine/crash_detector.cpp
+++ b/tests/quarantine/crash_detector.cpp
@@ -19,17 +19,17 @@
 {
   // Several connections close before the first probe returns.
   CrashDetector detector;
-  CHECK(detector.OnLost(Run(1)));
-  CHECK_FALSE(detector.OnLost(Run(2)));
-  CHECK_FALSE(detector.OnLost(Run(3)));
-  const auto crash = detector.OnLooked(true);
+  CHECK(detector.OnConnectionLost(Run(1)));
+  CHECK_FALSE(detector.OnConnectionLost(Run(2)));
+  CHECK_FALSE(detector.OnConnectionLost(Run(3)));
+  const auto crash = detector.OnProbed(true);
   REQUIRE(crash);
   CHECK(crash->m_runs.size() == 3);
 
   SUBCASE("a run lost later belongs to the same crash")
   {
-    CHECK(detector.OnLost(Run(4)));
-    const auto more = detector.OnLooked(true);
+    CHECK(detector.OnConnectionLost(Run(4)));
+    const auto more = detector.OnProbed(true);
     REQUIRE(more);
     CHECK(more->m_number == crash->m_number);
     CHECK(more->m_runs.size() == 1);
@@ -37,8 +37,8 @@
   SUBCASE("a loss after the restarted server has answered is a new crash")
   {
     detector.OnAlive();
-    CHECK(detector.OnLost(Run(4)));
-    const auto next = detector.OnLooked(true);
+    CHECK(detector.OnConnectionLost(Run(4)));
+    const auto next = detector.OnProbed(true);
     REQUIRE(next);
     CHECK(next->m_number == crash->m_number + 1);
   }
@@ -48,11 +48,11 @@
 {
   // Resets and aborted answers would otherwise count against requests.
   CrashDetector detector;
-  CHECK(detector.OnLost(Run(1)));
-  CHECK_FALSE(detector.OnLooked(false));
+  CHECK(detector.OnConnectionLost(Run(1)));
+  CHECK_FALSE(detector.OnProbed(false));
   // The earlier loss does not count in a later crash.
-  CHECK(detector.OnLost(Run(2)));
-  const auto crash = detector.OnLooked(true);
+  CHECK(detector.OnConnectionLost(Run(2)));
+  const auto crash = detector.OnProbed(true);
   REQUIRE(crash);
   CHECK(crash->m_runs.size() == 1);
   CHECK(crash->m_runs.front().m_content == Fingerprint{ 0, 2 });
--- a/tests/quarantine/crash_replay.hpp
+++ b/tests/quarantine/crash_replay.hpp
@@ -247,7 +247,7 @@
     }
     const Fingerprint fingerprint = found->m_content;
     worker.m_running.erase(found);
-    Broadcast(aWorker, worker.m_quarantine.OnRanWell(m_now, fingerprint));
+    Broadcast(aWorker, worker.m_quarantine.OnSuccess(m_now, fingerprint));
   }
 
   void Kill(double aShare)
@@ -273,7 +273,8 @@
       report.m_ran.push_back(
         { each.m_content, m_now - each.m_started, std::nullopt });
     }
-    Broadcast(aWorker, worker.m_quarantine.OnOwnEnd(m_now, std::move(report)));
+    Broadcast(aWorker,
+              worker.m_quarantine.OnLocalCrash(m_now, std::move(report)));
     ScheduleAt(m_now + RandomDuration(3s, 3500ms),
                [&worker] { worker.m_isUp = true; });
     for (const Running& each : lost) {
@@ -292,15 +293,16 @@
 
   void Broadcast(std::size_t aSender, const QuarantineChanges& aChanges)
   {
-    if (aChanges.m_news.IsEmpty()) {
+    if (aChanges.m_update.IsEmpty()) {
       return;
     }
     for (std::size_t i = 0; i < m_workers.size(); ++i) {
       if (i != aSender) {
-        ScheduleAt(
-          m_now + RandomDuration(1ms, 20ms), [this, i, news = aChanges.m_news] {
-            static_cast<void>(m_workers[i].m_quarantine.OnNews(m_now, news));
-          });
+        ScheduleAt(m_now + RandomDuration(1ms, 20ms),
+                   [this, i, news = aChanges.m_update] {
+                     static_cast<void>(
+                       m_workers[i].m_quarantine.OnNews(m_now, news));
+                   });
       }
     }
   }
--- a/tests/quarantine/quarantine.cpp
+++ b/tests/quarantine/quarantine.cpp
@@ -46,8 +46,9 @@
   "a request is quarantined after its third crash, whichever daemon reports it")
 {
   Quarantine quarantine;
-  const auto first = quarantine.OnOwnEnd(kStart, MakeReport(1, { kCrashing }));
-  CHECK(first.m_news.m_ends.size() == 1);
+  const auto first =
+    quarantine.OnLocalCrash(kStart, MakeReport(1, { kCrashing }));
+  CHECK(first.m_update.m_ends.size() == 1);
   CHECK_FALSE(quarantine.IsSuspect(kCrashing));
   static_cast<void>(
     quarantine.OnNews(kStart + 1s, { { MakeReport(2, { kCrashing }) }, {} }));
@@ -57,8 +58,8 @@
     quarantine.OnNews(kStart + 2s, { { MakeReport(3, { kCrashing }) }, {} });
   CHECK(quarantine.IsQuarantined(kStart + 2s, kCrashing));
   CHECK(third.m_verdicts.size() == 1);
-  CHECK(third.m_own.size() == 1);
-  CHECK(quarantine.CountHeld() == 1);
+  CHECK(third.m_ownVerdicts.size() == 1);
+  CHECK(quarantine.CountQuarantined() == 1);
 }
 
 TEST_CASE("a crash that is reported twice counts once")
@@ -67,9 +68,9 @@
   for (int i = 0; i < 5; ++i) {
     const auto changes = quarantine.OnNews(
       kStart + i * 1s, { { MakeReport(1, { kCrashing }) }, {} });
-    CHECK(changes.m_news.IsEmpty() == (i > 0));
+    CHECK(changes.m_update.IsEmpty() == (i > 0));
   }
-  CHECK(quarantine.EndsUnder(kCrashing) == 1);
+  CHECK(quarantine.CrashCount(kCrashing) == 1);
 }
 
 TEST_CASE("an outage of many workers counts as one crash")
@@ -83,7 +84,7 @@
       { { MakeReport(i, { kOther }, std::chrono::milliseconds{ 20 + 10 * i }) },
         {} }));
   }
-  CHECK(quarantine.EndsUnder(kOther) == 1);
+  CHECK(quarantine.CrashCount(kOther) == 1);
   CHECK_FALSE(quarantine.IsQuarantined(kStart + 1s, kOther));
 }
 
@@ -105,14 +106,14 @@
 {
   Quarantine quarantine;
   ReportCrashes(quarantine, kStart, 2, { kOther });
-  const auto changes = quarantine.OnRanWell(kStart + 2s, kOther);
-  CHECK(quarantine.EndsUnder(kOther) == 0);
+  const auto changes = quarantine.OnSuccess(kStart + 2s, kOther);
+  CHECK(quarantine.CrashCount(kOther) == 0);
   // The other daemons counted two crashes and must clear them too.
-  REQUIRE(changes.m_news.m_verdicts.size() == 1);
+  REQUIRE(changes.m_update.m_verdicts.size() == 1);
   Quarantine elsewhere;
   ReportCrashes(elsewhere, kStart, 2, { kOther });
-  static_cast<void>(elsewhere.OnNews(kStart + 2s, changes.m_news));
-  CHECK(elsewhere.EndsUnder(kOther) == 0);
+  static_cast<void>(elsewhere.OnNews(kStart + 2s, changes.m_update));
+  CHECK(elsewhere.CrashCount(kOther) == 0);
 }
 
 TEST_CASE("a recent success doubles the number of crashes to quarantine")
@@ -120,7 +121,7 @@
   // Guards against quarantining a frequent lookup that is running during most
   // crashes.
   Quarantine quarantine;
-  static_cast<void>(quarantine.OnRanWell(kStart, kOther));
+  static_cast<void>(quarantine.OnSuccess(kStart, kOther));
   ReportCrashes(quarantine, kStart + 1s, 3, { kOther });
   CHECK_FALSE(quarantine.IsQuarantined(kStart + 3s, kOther));
   // A request that starts to crash later is still quarantined.
@@ -135,7 +136,7 @@
   ReportCrashes(quarantine, kStart, 3, { kCrashing });
   CHECK(quarantine.IsQuarantined(kStart + 2s, kCrashing));
   ReportCrashes(quarantine, kStart + 3s, 5, { kCrashing, kOther });
-  CHECK(quarantine.EndsUnder(kOther) == 0);
+  CHECK(quarantine.CrashCount(kOther) == 0);
   CHECK_FALSE(quarantine.IsQuarantined(kStart + 6s, kOther));
 }
 
@@ -150,15 +151,15 @@
     elsewhere.OnNews(kStart + 2s, { {}, quarantine.Verdicts(kStart + 2s) }));
   REQUIRE(elsewhere.IsQuarantined(kStart + 2s, kOther));
 
-  const auto lifted = quarantine.OnRanWell(kStart + 3s, kOther);
+  const auto lifted = quarantine.OnSuccess(kStart + 3s, kOther);
   CHECK_FALSE(quarantine.IsQuarantined(kStart + 3s, kOther));
-  static_cast<void>(elsewhere.OnNews(kStart + 3s, lifted.m_news));
+  static_cast<void>(elsewhere.OnNews(kStart + 3s, lifted.m_update));
   CHECK_FALSE(elsewhere.IsQuarantined(kStart + 3s, kOther));
   // The superseded verdict arrives late.
-  ContentVerdict late;
+  QuarantineVerdict late;
   late.m_content = kOther;
   late.m_generation = 1;
-  late.m_isHeld = true;
+  late.m_isQuarantined = true;
   static_cast<void>(elsewhere.OnNews(kStart + 4s, { {}, { late } }));
   CHECK_FALSE(elsewhere.IsQuarantined(kStart + 4s, kOther));
   CHECK(elsewhere.Summary() == quarantine.Summary());
@@ -181,10 +182,10 @@
 {
   Quarantine quarantine;
   ReportCrashes(quarantine, kStart, 3, { kCrashing });
-  const TimePoint over = kStart + 2s + Quarantine::kHoldTime;
+  const TimePoint over = kStart + 2s + Quarantine::kQuarantineTime;
   const auto lifted = quarantine.OnTick(over);
   CHECK(lifted.m_verdicts.size() == 1);
-  CHECK(lifted.m_news.IsEmpty());
+  CHECK(lifted.m_update.IsEmpty());
   CHECK_FALSE(quarantine.IsQuarantined(over, kCrashing));
   CHECK(quarantine.IsSuspect(kCrashing));
   ReportCrashes(quarantine, over + 1s, 1, { kCrashing });
@@ -193,7 +194,7 @@
   const auto late = quarantine.OnTick(over + 2 * Quarantine::kRetention);
   static_cast<void>(late);
   static_cast<void>(quarantine.OnTick(over + 4 * Quarantine::kRetention));
-  CHECK(quarantine.EndsUnder(kCrashing) == 0);
+  CHECK(quarantine.CrashCount(kCrashing) == 0);
   CHECK(quarantine.Summary() == 0);
 }
 
@@ -207,9 +208,9 @@
       kStart + 10s, { { MakeReport(i, { Fingerprint{ i, i } }) }, {} }));
   }
   CHECK(quarantine.IsQuarantined(kStart + 11s, kCrashing));
-  std::vector<ContentVerdict> lifted;
+  std::vector<QuarantineVerdict> lifted;
   for (std::uint64_t i = 1; i <= 2 * Quarantine::kMaxVerdicts; ++i) {
-    ContentVerdict verdict;
+    QuarantineVerdict verdict;
     verdict.m_content = { i, 0 };
     verdict.m_generation = 1;
     lifted.push_back(verdict);
@@ -221,17 +222,17 @@
 
 TEST_CASE("a crash with many runs is split into datagrams")
 {
-  QuarantineNews news;
+  QuarantineUpdate news;
   news.m_ends.push_back(MakeReport(1, std::vector<Fingerprint>(100, kOther)));
   for (std::uint64_t i = 0; i < 100; ++i) {
     news.m_ends[0].m_ran[i].m_content = { i, i };
   }
   Quarantine quarantine;
-  for (const QuarantineNews& each : SplitNews(news)) {
+  for (const QuarantineUpdate& each : SplitIntoDatagrams(news)) {
     REQUIRE(each.m_ends.size() == 1);
     CHECK(each.m_ends[0].m_ran.size() <= 30);
     static_cast<void>(quarantine.OnNews(kStart, each));
   }
-  CHECK(quarantine.EndsUnder({ 99, 99 }) == 1);
-  CHECK(quarantine.EndsUnder({ 0, 0 }) == 1);
+  CHECK(quarantine.CrashCount({ 99, 99 }) == 1);
+  CHECK(quarantine.CrashCount({ 0, 0 }) == 1);
 }
--- a/tests/quarantine/verdict_writer.cpp
+++ b/tests/quarantine/verdict_writer.cpp
@@ -11,14 +11,14 @@
 
 const TimePoint kStart{ 1h };
 
-ContentVerdict
+QuarantineVerdict
 MakeVerdict(std::uint32_t aGeneration = 1)
 {
-  ContentVerdict verdict;
+  QuarantineVerdict verdict;
   verdict.m_content = { 1, 2 };
   verdict.m_service = "locker-app";
   verdict.m_generation = aGeneration;
-  verdict.m_isHeld = true;
+  verdict.m_isQuarantined = true;
   verdict.m_ends = 3;
   return verdict;
 }
@@ -44,7 +44,7 @@
   REQUIRE(read);
   CHECK(read.value().m_content == MakeVerdict().m_content);
   CHECK(read.value().m_generation == 4);
-  CHECK(read.value().m_isHeld);
+  CHECK(read.value().m_isQuarantined);
   CHECK_FALSE(ParseVerdict(key + "0", value));
   CHECK_FALSE(ParseVerdict("other/" + key, value));
   for (const char* bad :
--- a/tests/rollout/rollout_table.cpp
+++ b/tests/rollout/rollout_table.cpp
@@ -20,7 +20,7 @@
   record.m_base = "v1";
   record.m_state = aState;
   record.m_step = aStep;
-  record.m_leave = { 500, 0, 0, RolloutTable::kPermitTime };
+  record.m_permit = { 500, 0, 0, RolloutTable::kPermitTime };
   return record;
 }
 
@@ -53,7 +53,7 @@
   CHECK(Allowed(table, kNow, true) == Versions{ "v1" });
   CHECK_FALSE(table.MayRun(kNow, "lockers", "v2"));
 
-  CHECK(table.Take(kNow, Record(RolloutState::Running)) == Change::Leave);
+  CHECK(table.Take(kNow, Record(RolloutState::Running)) == Change::Permit);
   CHECK(Allowed(table, kNow, true) == Versions{ "v2", "v1" });
   CHECK(Allowed(table, kNow, false) == Versions{ "v1" });
   CHECK(table.MayRun(kNow, "lockers", "v2"));
@@ -63,8 +63,8 @@
   CHECK_FALSE(table.MayRun(later, "lockers", "v2"));
   CHECK(table.MayRun(later, "lockers", "v1"));
 
-  CHECK(table.Take(later, Record(RolloutState::Running, 2)) == Change::Leave);
-  table.DropLeaves();
+  CHECK(table.Take(later, Record(RolloutState::Running, 2)) == Change::Permit);
+  table.RevokePermits();
   CHECK(Allowed(table, later, true) == Versions{ "v1" });
 }
 
@@ -144,7 +144,7 @@
         Change::State);
   CHECK(first.Summary() == second.Summary());
   // A renewed permit does not change the digest.
-  CHECK(first.Take(kNow, Record(RolloutState::Running)) == Change::Leave);
+  CHECK(first.Take(kNow, Record(RolloutState::Running)) == Change::Permit);
   CHECK(first.Summary() == second.Summary());
   CHECK(first.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
   CHECK(first.Summary() != second.Summary());
