--- a/include/greengagehub/calls/answer_sizes.hpp
+++ b/include/greengagehub/calls/answer_sizes.hpp
@@ -11,7 +11,7 @@
 class AnswerSizes
 {
 public:
-  void Note(CallKind aKind, std::size_t aBytes);
+  void Record(CallKind aKind, std::size_t aBytes);
   /// \returns Average in bytes; 0 before the first answer of the kind.
   [[nodiscard]] std::size_t Of(CallKind aKind) const;
 
--- a/include/greengagehub/calls/call.hpp
+++ b/include/greengagehub/calls/call.hpp
@@ -50,14 +50,14 @@
   /// All slots are in use and the request asked not to be queued.
   Busy,
   /// The worker's process crashed while it executed the call.
-  WorkerEnded,
+  WorkerCrashed,
   /// The request's fingerprint is quarantined.
   Held,
   /// The worker runs a version that receives no calls at present.
   NotInService,
   /// A retry whose execution would call a service that has used up its retry
   /// budget.
-  NoRepeats,
+  RetryBudgetExhausted,
   /// The caller sent no API key, or one that belongs to no workspace.
   UnknownKey,
   /// The workspace has used up its quota.
@@ -107,9 +107,9 @@
   /// Number of hops so far, checked against the depth limit.
   std::uint32_t m_depth{ 0 };
   /// Retries left for the call and for the calls made on its behalf.
-  std::uint32_t m_triesLeft{ 0 };
+  std::uint32_t m_retriesLeft{ 0 };
   /// Whether an earlier attempt of the call has reached a worker.
-  bool m_isRepeat{ false };
+  bool m_isRetry{ false };
   /// Whether to refuse the request instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
@@ -133,7 +133,7 @@
   std::chrono::microseconds m_serviceTime{ 0 };
   /// Expected queueing delay of another such call at the worker.
   std::chrono::microseconds m_wait{ 0 };
-  /// WorkerEnded: crashes counted so far for the request's fingerprint.
+  /// WorkerCrashed: crashes counted so far for the request's fingerprint.
   std::uint32_t m_ends{ 0 };
 };
 
--- a/include/greengagehub/calls/call_age.hpp
+++ b/include/greengagehub/calls/call_age_estimator.hpp
@@ -13,7 +13,7 @@
 /// show a retry. Retries come on new connections: requests on a reused
 /// connection are taken as samples of first attempts, and a request on a new
 /// connection counts as a retry if it has less time than every sample.
-class CallAge
+class CallAgeEstimator
 {
 public:
   /// \param aAsked remaining time that the caller stated.
@@ -23,7 +23,7 @@
                                              bool aIsFirstOnConnection) const;
 
   /// \brief Adds a sample, unless the connection is new.
-  void Note(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection);
+  void Record(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection);
 
 private:
   /// Size of the sample window; outliers leave it after as many samples.
--- a/include/greengagehub/calls/call_dialect.hpp
+++ b/include/greengagehub/calls/call_dialect.hpp
@@ -30,7 +30,7 @@
   /// whole seconds.
   bool m_fractionalRetryAfter{ false };
   /// Whether to send depth, remaining retries and trace context as headers.
-  bool m_tracesHops{ true };
+  bool m_sendsHopHeaders{ true };
 };
 
 }
--- a/include/greengagehub/calls/calls.hpp
+++ b/include/greengagehub/calls/calls.hpp
@@ -4,7 +4,7 @@
 /// \brief Includes the public headers of the calls library.
 
 #include "greengagehub/calls/call.hpp"
-#include "greengagehub/calls/call_age.hpp"
+#include "greengagehub/calls/call_age_estimator.hpp"
 #include "greengagehub/calls/call_kind.hpp"
 #include "greengagehub/calls/decision_settings.hpp"
 #include "greengagehub/calls/dispatcher.hpp"
@@ -12,6 +12,6 @@
 #include "greengagehub/calls/retry_budget.hpp"
 #include "greengagehub/calls/route_table.hpp"
 #include "greengagehub/calls/run_table.hpp"
-#include "greengagehub/calls/running_age.hpp"
+#include "greengagehub/calls/slowness_detector.hpp"
 #include "greengagehub/calls/work_order.hpp"
 #include "greengagehub/calls/worker_table.hpp"
--- a/include/greengagehub/calls/dispatcher.hpp
+++ b/include/greengagehub/calls/dispatcher.hpp
@@ -22,7 +22,7 @@
   /// Latency target; an earlier answer has no more value.
   TimePoint m_target{ TimePoint::max() };
   /// Retries that the call and the calls made for it may still use.
-  std::uint32_t m_triesLeft{ 2 };
+  std::uint32_t m_retriesLeft{ 2 };
   /// Cost of crossing between failure domains, as a share of the call's value.
   double m_crossing{ 0.0 };
   /// Rank of the call's route, 0 highest.
@@ -40,9 +40,9 @@
   std::string m_slot;
   std::chrono::microseconds m_timeLeft{ 0 };
   std::chrono::microseconds m_targetLeft{ 0 };
-  std::uint32_t m_triesLeft{ 0 };
+  std::uint32_t m_retriesLeft{ 0 };
   /// Whether an earlier attempt reached a worker.
-  bool m_isRepeat{ false };
+  bool m_isRetry{ false };
   /// Whether the daemon must refuse the call instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
@@ -86,7 +86,7 @@
 ///
 /// Busy workers in the own failure domain are asked to refuse a call instead of
 /// queueing it, as load reports are often older than the queue they describe.
-/// After `m_maxBusy` such refusals the call may wait at any worker.
+/// After `m_maxBusyReplies` such refusals the call may wait at any worker.
 ///
 /// During a roll-out, a call is assigned at random to the canary or to the
 /// version in service. An attempt that failed at the canary is retried at the
--- a/include/greengagehub/calls/retry_budget.hpp
+++ b/include/greengagehub/calls/retry_budget.hpp
@@ -49,7 +49,7 @@
 class RepeatShare
 {
 public:
-  void Note(TimePoint aNow, bool aIsRetry);
+  void Record(TimePoint aNow, bool aIsRetry);
   /// \returns The share, in [0, 1]; 0 if there were no runs.
   [[nodiscard]] double At(TimePoint aNow) const;
 
--- a/include/greengagehub/calls/run_table.hpp
+++ b/include/greengagehub/calls/run_table.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "greengagehub/calls/call.hpp"
-#include "greengagehub/calls/running_age.hpp"
+#include "greengagehub/calls/slowness_detector.hpp"
 #include "greengagehub/calls/work_order.hpp"
 
 #include <boost/intrusive/list.hpp>
@@ -38,7 +38,7 @@
     Queued,
     Refused,
     /// The attempt is already known; no action is needed.
-    Repeated,
+    Duplicate,
   };
   Kind m_kind{ Kind::Refused };
   RefusalReason m_reason{ RefusalReason::None };
@@ -53,7 +53,7 @@
   Running,
   Finished,
   /// No longer recorded; it may have been executed.
-  Forgotten,
+  Evicted,
 };
 
 /// \brief A queued attempt that was refused; its caller is to be informed.
@@ -96,7 +96,7 @@
   {
     return m_ended.size();
   }
-  [[nodiscard]] bool IsLeaving() const noexcept { return m_draining; }
+  [[nodiscard]] bool IsDraining() const noexcept { return m_draining; }
   /// \returns Expected queueing delay of a call of the lowest rank.
   [[nodiscard]] std::chrono::milliseconds ExpectedWait(TimePoint aNow) const;
 
@@ -121,7 +121,7 @@
                    std::uint64_t aBelowEpoch);
   [[nodiscard]] RunActions OnTick(TimePoint aNow);
   /// \brief Refuses all queued and new attempts; running ones may finish.
-  [[nodiscard]] RunActions StartLeaving(TimePoint aNow);
+  [[nodiscard]] RunActions StartDraining(TimePoint aNow);
   /// \brief Accepts attempts again, for a new incarnation of the worker.
   void Reopen() noexcept { m_draining = false; }
   /// \brief Discards the service times of the previous incarnation. Queued
--- a/include/greengagehub/calls/worker_presence.hpp
+++ b/include/greengagehub/calls/worker_presence.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "greengagehub/calls/worker_start.hpp"
+#include "greengagehub/calls/worker_incarnation.hpp"
 
 #include <chrono>
 #include <cstdint>
@@ -13,7 +13,7 @@
 /// \brief Content of a backend server's heartbeat.
 struct WorkerReport
 {
-  WorkerStart m_start{};
+  WorkerIncarnation m_start{};
   std::string m_service{};
   std::string m_address{};
   /// Software version; empty: not reported.
@@ -22,7 +22,7 @@
   std::uint32_t m_slots{ 0 };
   bool m_leaving{ false };
   /// Time left until the end of its warm-up.
-  std::chrono::milliseconds m_coldLeft{ 0 };
+  std::chrono::milliseconds m_warmUpLeft{ 0 };
   /// Increases with each report of an incarnation.
   std::uint64_t m_sequence{ 0 };
 };
@@ -67,7 +67,7 @@
     return m_current && !m_current->m_leaving;
   }
   /// \returns When the previous incarnation last reported.
-  [[nodiscard]] TimePoint FormerHeardAt() const noexcept
+  [[nodiscard]] TimePoint PreviousLastReportAt() const noexcept
   {
     return m_previousLastReportAt;
   }
@@ -79,13 +79,13 @@
   /// used until the first heartbeat.
   [[nodiscard]] Change OnProbed(TimePoint aNow, WorkerReport aReport);
   /// \brief Handles a leave message; the backend server may still be serving.
-  [[nodiscard]] Change OnLeft(TimePoint aNow, const WorkerStart& aStart);
+  [[nodiscard]] Change OnLeft(TimePoint aNow, const WorkerIncarnation& aStart);
 
 private:
   /// A replaced incarnation, or one that left before its first report.
   struct PastIncarnation
   {
-    WorkerStart m_start;
+    WorkerIncarnation m_start;
     /// Sequence number of its last report.
     std::uint64_t m_sequence{ 0 };
     TimePoint m_since{};
@@ -93,7 +93,7 @@
 
   [[nodiscard]] const PastIncarnation* FindPast(
     TimePoint aNow,
-    const WorkerStart& aStart) const;
+    const WorkerIncarnation& aStart) const;
   /// \returns Whether the incarnation is accepted at its first report.
   [[nodiscard]] bool IsSuccessor(TimePoint aNow,
                                  const WorkerReport& aReport) const;
--- a/include/greengagehub/calls/worker_table.hpp
+++ b/include/greengagehub/calls/worker_table.hpp
@@ -2,7 +2,7 @@
 
 #include "greengagehub/calls/call.hpp"
 #include "greengagehub/calls/decision_settings.hpp"
-#include "greengagehub/calls/worker_start.hpp"
+#include "greengagehub/calls/worker_incarnation.hpp"
 #include "greengagehub/core/random.hpp"
 #include "greengagehub/core/table.hpp"
 #include "greengagehub/rollout/rollout_table.hpp"
@@ -26,7 +26,7 @@
   std::uint64_t m_slotHash{ 0 };
   std::uint32_t m_slots{ 1 };
   /// Tag of its current incarnation; 0: not reported.
-  StartTag m_start{ 0 };
+  IncarnationTag m_start{ 0 };
   /// Attempts in flight from this daemon.
   std::uint32_t m_inFlight{ 0 };
   /// Calls queued and running, and the time of the report.
--- a/include/greengagehub/daemon/call_gateway.hpp
+++ b/include/greengagehub/daemon/call_gateway.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "greengagehub/calls/call_age.hpp"
+#include "greengagehub/calls/call_age_estimator.hpp"
 #include "greengagehub/calls/dispatcher.hpp"
 #include "greengagehub/calls/route_table.hpp"
 #include "greengagehub/config/config_holder.hpp"
@@ -86,7 +86,7 @@
   /// data is as old as the pause.
   void OnProcessResumed();
   void OnTick(TimePoint aNow);
-  void StartLeaving();
+  void StartDraining();
   /// \brief Stops accepting requests from callers.
   void FinishCallers();
   /// \returns Whether answers wait for capacity on this machine's network link.
@@ -121,7 +121,7 @@
   /// Measurements of the calls of one route.
   struct RouteStatistics
   {
-    CallAge m_age;
+    CallAgeEstimator m_age;
     /// Hash of the key.
     std::uint64_t m_routeHash{ 0 };
     /// Moving mean of the size of answer bodies.
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -64,7 +64,7 @@
   /// delivered again; Finished means that the answer is lost.
   [[nodiscard]] CancelResult OnCancel(CallKey aKey, bool aAbandon);
   void OnEpoch(std::uint64_t aProcess, std::uint64_t aEpoch);
-  void StartLeaving();
+  void StartDraining();
   /// \brief Refuses queued runs whose wait has become too long.
   void OnTick(TimePoint aNow);
   /// \brief Handles a heartbeat of the worker. Runs start only after the first
@@ -143,7 +143,7 @@
   void Deliver(CallKey aKey, const CallRequest& aRequest, CallAnswer aAnswer);
   /// \brief Discards the connections and run times of the previous incarnation
   /// if this is another one.
-  void OnIncarnation(const WorkerStart& aIncarnation,
+  void OnIncarnation(const WorkerIncarnation& aIncarnation,
                      TimePoint aPreviousLastReport);
   /// \brief The worker closed the connection of a run: checks whether its
   /// process has exited.
@@ -174,7 +174,7 @@
   /// Runs that wait for the result of the listen check.
   std::vector<CallKey> m_lostRuns;
   /// Incarnation of the worker that requests are sent to; without id: any.
-  WorkerStart m_incarnation;
+  WorkerIncarnation m_incarnation;
   bool m_hasWorker;
   std::map<CallKey, ActiveRun> m_activeRuns;
   AnswerSizes m_answerSizes;
--- a/src/calls/answer_sizes.cpp
+++ b/src/calls/answer_sizes.cpp
@@ -3,7 +3,7 @@
 namespace greengagehub {
 
 void
-AnswerSizes::Note(CallKind aKind, std::size_t aBytes)
+AnswerSizes::Record(CallKind aKind, std::size_t aBytes)
 {
   const auto bytes = static_cast<double>(aBytes);
   const auto found = m_means.find(aKind);
--- a/src/calls/call.cpp
+++ b/src/calls/call.cpp
@@ -40,13 +40,13 @@
       return "busy";
     case RefusalReason::WorkerReplaced:
       return "worker-replaced";
-    case RefusalReason::WorkerEnded:
+    case RefusalReason::WorkerCrashed:
       return "worker-ended";
     case RefusalReason::Held:
       return "held";
     case RefusalReason::NotInService:
       return "not-in-service";
-    case RefusalReason::NoRepeats:
+    case RefusalReason::RetryBudgetExhausted:
       return "no-repeats";
     case RefusalReason::UnknownKey:
       return "unknown-key";
--- a/src/calls/call_age.cpp
+++ b/src/calls/call_age_estimator.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/calls/call_age.hpp"
+#include "greengagehub/calls/call_age_estimator.hpp"
 
 #include <algorithm>
 #include <numeric>
@@ -6,7 +6,8 @@
 namespace greengagehub {
 
 std::chrono::milliseconds
-CallAge::Of(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection) const
+CallAgeEstimator::Of(std::chrono::milliseconds aAsked,
+                     bool aIsFirstOnConnection) const
 {
   using std::chrono::milliseconds;
   if (!aIsFirstOnConnection || m_sampleCount < kMinSamples) {
@@ -23,7 +24,8 @@
 }
 
 void
-CallAge::Note(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection)
+CallAgeEstimator::Record(std::chrono::milliseconds aAsked,
+                         bool aIsFirstOnConnection)
 {
   if (!aIsFirstOnConnection) {
     m_samples[m_sampleCount % kMaxSamples] = aAsked;
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -79,7 +79,7 @@
     case RefusalReason::Busy:
     case RefusalReason::Held:
     case RefusalReason::NotInService:
-    case RefusalReason::NoRepeats:
+    case RefusalReason::RetryBudgetExhausted:
       return WorkerTable::Verdict::None;
     default:
       return WorkerTable::Verdict::Good;
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -97,7 +97,7 @@
     return m_workers.Choose(
       pinned, aCall.m_plan.m_service, aCall.m_tried, context, m_random, aRule);
   }
-  if (aCall.m_busySlots.size() < m_decisions.m_maxBusy) {
+  if (aCall.m_busySlots.size() < m_decisions.m_maxBusyReplies) {
     std::vector<std::string> exclude = aCall.m_tried;
     exclude.insert(
       exclude.end(), aCall.m_busySlots.begin(), aCall.m_busySlots.end());
@@ -118,7 +118,7 @@
                                          const Call& aCall) const
 {
   const Duration left = std::max<Duration>(aCall.m_plan.m_target - aNow, {});
-  return m_busyReplyTime <= left / m_decisions.m_busyPart;
+  return m_busyReplyTime <= left / m_decisions.m_busyWaitDivisor;
 }
 
 template<RoutingPolicy Policy>
@@ -150,8 +150,9 @@
     std::find(aCall.m_busySlots.begin(),
               aCall.m_busySlots.end(),
               m_workers.At(*chosen).m_slot) != aCall.m_busySlots.end();
-  const bool mayRefuse = aCall.m_busySlots.size() < m_decisions.m_maxBusy &&
-                         !wasBusy && IsNear(m_policy, m_workers.At(*chosen));
+  const bool mayRefuse =
+    aCall.m_busySlots.size() < m_decisions.m_maxBusyReplies && !wasBusy &&
+    IsNear(m_policy, m_workers.At(*chosen));
   const bool refuseIfBusy = mayRefuse && IsBusyReplyFast(aNow, aCall);
   if (mayRefuse && !refuseIfBusy) {
     // Decays without samples, so that busy replies are requested again.
@@ -172,7 +173,7 @@
     aCall.m_slot,
     TimeLeft(aNow, aCall.m_plan.m_deadline),
     TimeLeft(aNow, std::min(aCall.m_plan.m_target, aCall.m_plan.m_deadline)),
-    aCall.m_plan.m_triesLeft,
+    aCall.m_plan.m_retriesLeft,
     aCall.m_hasReachedWorker,
     refuseIfBusy });
 }
@@ -237,11 +238,11 @@
     return true;
   }
   if (aAnswer.m_reason == RefusalReason::Held ||
-      aAnswer.m_reason == RefusalReason::NoRepeats) {
+      aAnswer.m_reason == RefusalReason::RetryBudgetExhausted) {
     return false;
   }
   // Another attempt may crash the next worker and fail all calls there.
-  if (aAnswer.m_reason == RefusalReason::WorkerEnded &&
+  if (aAnswer.m_reason == RefusalReason::WorkerCrashed &&
       !IsFirstCrash(aCall, aAnswer)) {
     return false;
   }
@@ -259,12 +260,12 @@
     // Adds no load to workers, so the retry budget doesn't apply.
     return ++aCall.m_redirects <= m_decisions.m_maxRedirects;
   }
-  if (aCall.m_plan.m_triesLeft == 0 ||
+  if (aCall.m_plan.m_retriesLeft == 0 ||
       !m_budget.Withdraw(
         aNow, aCall.m_plan.m_service, aCall.m_plan.m_priority)) {
     return false;
   }
-  --aCall.m_plan.m_triesLeft;
+  --aCall.m_plan.m_retriesLeft;
   aCall.m_hasReachedWorker = true;
   return true;
 }
@@ -296,7 +297,7 @@
   // A retry is useful if the cause is local to the worker and an answer can
   // still meet the target.
   const bool isCommonFailure =
-    failed && m_decisions.m_seesCommonCause &&
+    failed && m_decisions.m_detectsCommonCause &&
     m_workers.MeanFailures(aCall.m_plan.m_service) > kCommonFailures;
   const bool shouldRetry =
     failed && !isCommonFailure && aCall.m_plan.m_idempotent &&
--- a/src/calls/placing.cpp
+++ b/src/calls/placing.cpp
@@ -127,7 +127,7 @@
   const double excessLoad = std::max(0.0, load - 1.0);
   const double slowdown = kLoadSlowdown * std::min(1.0, load);
   Seconds expected = service * (1.0 + excessLoad + slowdown) + wait;
-  if (aDecisions.m_pushesBack) {
+  if (aDecisions.m_penalizesFailures) {
     expected += aRow.m_refusals * kRefusalCost;
   }
   return std::chrono::duration_cast<Duration>(expected);
@@ -168,7 +168,7 @@
     LatenessProbability(expected, aContext.m_targetLeft);
   const double deadlineProbability =
     LatenessProbability(expected, aContext.m_deadlineLeft);
-  const double failed = aDecisions.m_pushesBack ? aRow.m_failures : 0.0;
+  const double failed = aDecisions.m_penalizesFailures ? aRow.m_failures : 0.0;
   const double answered = 1.0 - failed;
   return failed +
          answered * (aDecisions.m_lateLoss * lateProbability +
@@ -200,7 +200,7 @@
                                   ? std::chrono::duration_cast<Duration>(
                                       meanService * kUnreportedSlowdown)
                                   : meanService,
-                                m_decisions.m_sharesNews
+                                m_decisions.m_usesDomainReports
                                   ? waits.ExpectedWait(aRow.m_domain)
                                   : Duration{ 0 } };
     return ExpectedLoss(m_decisions, aRow, aContext, assumed) + probePenalty +
--- a/src/calls/retry_budget.cpp
+++ b/src/calls/retry_budget.cpp
@@ -54,7 +54,7 @@
 }
 
 void
-RepeatShare::Note(TimePoint aNow, bool aIsRetry)
+RepeatShare::Record(TimePoint aNow, bool aIsRetry)
 {
   m_runs.Add(aNow, kRunsWindow);
   if (aIsRetry) {
--- a/src/calls/run_table.cpp
+++ b/src/calls/run_table.cpp
@@ -100,12 +100,12 @@
   if (known != m_runs.end()) {
     // Refused or cancelled before: "not run" was reported already.
     const bool isRefused = known->second->m_state == State::Refused;
-    return { isRefused ? Admission::Kind::Refused : Admission::Kind::Repeated,
+    return { isRefused ? Admission::Kind::Refused : Admission::Kind::Duplicate,
              RefusalReason::Cancelled,
              {} };
   }
   if (IsEvicted(aKey)) {
-    return { Admission::Kind::Repeated, RefusalReason::None, {} };
+    return { Admission::Kind::Duplicate, RefusalReason::None, {} };
   }
   if (m_draining) {
     return RefuseArrival(aNow, aKey, RefusalReason::Leaving);
@@ -169,7 +169,7 @@
     aRun.m_deadline - m_settings.m_margin - ServiceTime(aNow, aRun.m_kind);
   const TimePoint waitUntil = std::max(
     aRun.m_target,
-    aNow + (aRun.m_deadline - aNow) / m_settings.m_decisions.m_latePart);
+    aNow + (aRun.m_deadline - aNow) / m_settings.m_decisions.m_lateWaitDivisor);
   return std::max(aNow, std::min(latestStart, waitUntil));
 }
 
@@ -201,7 +201,7 @@
 {
   const auto known = m_runs.find(aKey);
   if (known == m_runs.end() && IsEvicted(aKey)) {
-    return CancelResult::Forgotten;
+    return CancelResult::Evicted;
   }
   if (known == m_runs.end()) {
     // The cancellation arrived first: record it, so that the request is not
@@ -367,7 +367,7 @@
 }
 
 RunActions
-RunTable::StartLeaving(TimePoint aNow)
+RunTable::StartDraining(TimePoint aNow)
 {
   RunActions out;
   m_draining = true;
--- a/src/calls/run_table_waits.cpp
+++ b/src/calls/run_table_waits.cpp
@@ -27,8 +27,8 @@
 double
 RunTable::SlownessAt(TimePoint aNow) const
 {
-  return m_settings.m_decisions.m_seesSlowness ? m_slowness.SlownessAt(aNow)
-                                               : 1.0;
+  return m_settings.m_decisions.m_detectsSlowness ? m_slowness.SlownessAt(aNow)
+                                                  : 1.0;
 }
 
 std::uint32_t
@@ -120,7 +120,7 @@
 {
   const double share =
     m_onTimeLoad.ShareAbove(aNow, aRank.m_gain, m_settings.m_slots);
-  if (share >= m_settings.m_decisions.m_nothingLeft) {
+  if (share >= m_settings.m_decisions.m_saturatedShare) {
     return std::nullopt;
   }
   return std::chrono::duration_cast<Duration>(EstimateWait(aNow, aRank) /
@@ -138,7 +138,7 @@
 {
   const Duration left = std::max<Duration>(aRun.m_target - aNow, {});
   return EstimateWait(aNow, Rank(aNow, aRun)) >
-         left / m_settings.m_decisions.m_busyPart;
+         left / m_settings.m_decisions.m_busyWaitDivisor;
 }
 
 std::optional<RefusalReason>
@@ -162,7 +162,7 @@
   const auto lateWait = PredictedWait(aNow, lateRank);
   const Duration left = aRun.m_deadline - aNow;
   const bool waitsTooLong =
-    !lateWait || *lateWait > left / decisions.m_latePart;
+    !lateWait || *lateWait > left / decisions.m_lateWaitDivisor;
   return waitsTooLong ? std::optional{ RefusalReason::Overloaded }
                       : std::nullopt;
 }
--- a/src/calls/work_order.cpp
+++ b/src/calls/work_order.cpp
@@ -94,7 +94,7 @@
   const double credit =
     std::pow(aDecisions.m_nextRankCredit, std::min(aPriority, kLowestRank)) *
     (aIsLate ? aDecisions.m_lateCredit : 1.0);
-  return aDecisions.m_countsTime ? credit / service.count() : credit;
+  return aDecisions.m_ranksPerSlotTime ? credit / service.count() : credit;
 }
 
 WorkRank
--- a/src/calls/worker_presence.cpp
+++ b/src/calls/worker_presence.cpp
@@ -28,12 +28,12 @@
 }
 
 const WorkerPresence::PastIncarnation*
-WorkerPresence::FindPast(TimePoint aNow, const WorkerStart& aStart) const
+WorkerPresence::FindPast(TimePoint aNow, const WorkerIncarnation& aStart) const
 {
   const auto found = std::find_if(
     m_past.begin(), m_past.end(), [&](const PastIncarnation& aEach) {
       const bool isExpired =
-        !aEach.m_start.m_born && aNow - aEach.m_since > kIdMatchLife;
+        !aEach.m_start.m_startedAt && aNow - aEach.m_since > kIdMatchLife;
       return !isExpired && MayBeSame(aEach.m_start, aStart);
     });
   return found == m_past.end() ? nullptr : &*found;
@@ -48,9 +48,9 @@
   if (!m_current || IsSilent(aNow)) {
     return true;
   }
-  const WorkerStart& known = m_current->m_start;
-  if (known.m_born && aReport.m_start.m_born) {
-    return *aReport.m_start.m_born > *known.m_born;
+  const WorkerIncarnation& known = m_current->m_start;
+  if (known.m_startedAt && aReport.m_start.m_startedAt) {
+    return *aReport.m_start.m_startedAt > *known.m_startedAt;
   }
   // Without start times: a delayed report of an earlier incarnation has a
   // higher sequence number than one of a new process.
@@ -63,8 +63,8 @@
   const PastIncarnation* past = FindPast(aNow, aReport.m_start);
   const bool isOld =
     past != nullptr &&
-    (!past->m_start.m_born || aReport.m_sequence <= past->m_sequence);
-  if (!m_current || !aReport.m_start.m_born || isOld) {
+    (!past->m_start.m_startedAt || aReport.m_sequence <= past->m_sequence);
+  if (!m_current || !aReport.m_start.m_startedAt || isOld) {
     return false;
   }
   const bool isRepeated =
@@ -124,10 +124,10 @@
 WorkerPresence::Change
 WorkerPresence::OnReport(TimePoint aNow, const WorkerReport& aReport)
 {
-  if (m_reportsStartTime && !aReport.m_start.m_born) {
+  if (m_reportsStartTime && !aReport.m_start.m_startedAt) {
     return Change::None;
   }
-  m_reportsStartTime = aReport.m_start.m_born.has_value();
+  m_reportsStartTime = aReport.m_start.m_startedAt.has_value();
   if (m_current && MayBeSame(m_current->m_start, aReport.m_start)) {
     return UpdateCurrent(aNow, aReport);
   }
@@ -148,7 +148,7 @@
 }
 
 WorkerPresence::Change
-WorkerPresence::OnLeft(TimePoint aNow, const WorkerStart& aStart)
+WorkerPresence::OnLeft(TimePoint aNow, const WorkerIncarnation& aStart)
 {
   if (!m_current || !MayBeSame(m_current->m_start, aStart)) {
     AddPast({ aStart, 0, aNow });
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -129,7 +129,7 @@
 /// Sets the incarnation and resets the statistics if it changed. Attempts in
 /// flight stay counted until they end.
 void
-UpdateIncarnation(WorkerRow& aRow, StartTag aStart)
+UpdateIncarnation(WorkerRow& aRow, IncarnationTag aStart)
 {
   const bool isNewIncarnation = aRow.m_start != 0 && aRow.m_start != aStart;
   aRow.m_start = aStart;
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -189,8 +189,8 @@
   request.m_call = aAttempt.m_attempt;
   request.m_timeLeft = aAttempt.m_timeLeft;
   request.m_targetLeft = aAttempt.m_targetLeft;
-  request.m_triesLeft = aAttempt.m_triesLeft;
-  request.m_isRepeat = aAttempt.m_isRepeat;
+  request.m_retriesLeft = aAttempt.m_retriesLeft;
+  request.m_isRetry = aAttempt.m_isRetry;
   request.m_refuseIfBusy = aAttempt.m_refuseIfBusy;
   if (aAttempt.m_slot == m_parts.m_settings.m_slot) {
     m_dispatcher.SentTo(aAttempt.m_attempt, m_parts.m_process);
@@ -326,11 +326,11 @@
 }
 
 void
-CallGateway::StartLeaving()
+CallGateway::StartDraining()
 {
   m_draining = true;
   m_dispatcher.Workers().SetLeaving(m_parts.m_settings.m_slot);
-  m_service.StartLeaving();
+  m_service.StartDraining();
   m_server.Broadcast(LinkLeaving{});
 }
 
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -250,10 +250,10 @@
   RouteStatistics& statistics = StatisticsOf(routeKey);
   if (aRoute.m_targetLatency.count() > 0) {
     const bool isFirst = aRequest.m_isFirstOnConnection;
-    const auto callAge = decisions.m_weighsAge
+    const auto callAge = decisions.m_usesCallAge
                            ? statistics.m_age.Of(requestedDeadline, isFirst)
                            : std::chrono::milliseconds::zero();
-    statistics.m_age.Note(requestedDeadline, isFirst);
+    statistics.m_age.Record(requestedDeadline, isFirst);
     plan.m_target = aReceivedAt + aRoute.m_targetLatency - callAge;
   }
   plan.m_kind = { aRoute.m_targetLatency, statistics.m_routeHash };
@@ -268,7 +268,7 @@
     // The caller may be the local worker, in one of its retried runs.
     plan.m_inherited = m_service.RetriedRunShareAt(now);
   }
-  plan.m_triesLeft = static_cast<std::uint32_t>(std::min<std::uint64_t>(
+  plan.m_retriesLeft = static_cast<std::uint32_t>(std::min<std::uint64_t>(
     retries, ParseNumberHeader(headers, kRetriesHeader, retries)));
 
   PendingCall call{ .m_responder = std::move(aResponder),
@@ -291,7 +291,7 @@
     static_cast<std::uint32_t>(ParseNumberHeader(headers, kDepthHeader, 0));
   request.m_headers =
     HeadersFromCaller(m_parts.m_dialect, std::move(aRequest.m_headers));
-  if (m_parts.m_dialect.m_tracesHops) {
+  if (m_parts.m_dialect.m_sendsHopHeaders) {
     request.m_headers.push_back(HttpHeader{ std::string{ kTraceparentHeader },
                                             FormatTraceparent(call.m_span) });
   }
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -52,7 +52,7 @@
   return { aCall,
            aResult != CancelResult::NotStarted,
            aResult == CancelResult::Finished ||
-             aResult == CancelResult::Forgotten };
+             aResult == CancelResult::Evicted };
 }
 
 }
--- a/src/daemon/call_headers.cpp
+++ b/src/daemon/call_headers.cpp
@@ -119,11 +119,11 @@
   if (!aInstance.empty()) {
     headers.push_back(Header(aDialect.m_expectInstance, aInstance));
   }
-  if (aDialect.m_tracesHops) {
+  if (aDialect.m_sendsHopHeaders) {
     headers.push_back(Header(kTraceparentHeader, FormatTraceparent(aSpan)));
     headers.push_back(Header(kDepthHeader, std::to_string(aCall.m_depth + 1)));
     headers.push_back(
-      Header(kRetriesHeader, std::to_string(aCall.m_triesLeft)));
+      Header(kRetriesHeader, std::to_string(aCall.m_retriesLeft)));
   }
   return headers;
 }
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -364,7 +364,7 @@
   }
   m_isWorkerDraining = true;
   m_control.Announce(MemberState::Leaving);
-  m_calls.StartLeaving();
+  m_calls.StartDraining();
 }
 
 void
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -284,7 +284,7 @@
                { "domain", self.m_domain },
                { "version", control.Holder().GetVersion().m_number },
                { "ready", control.IsReady() },
-               { "leaving", runs.IsLeaving() },
+               { "leaving", runs.IsDraining() },
                { "watching", control.IsWatching() },
                { "store_behind", control.IsStoreBehind() },
                { "running", runs.Running() },
--- a/src/daemon/platform_endpoints.cpp
+++ b/src/daemon/platform_endpoints.cpp
@@ -134,17 +134,18 @@
     return;
   }
   const WorkerReport& worker = *m_worker.Current();
-  m_parts.m_log.Info("worker",
-                     "worker_changed",
-                     { { "change", NameOf(aChange) },
-                       { "instance", worker.m_start.m_id },
-                       { "version", worker.m_version },
-                       { "born_ms",
-                         worker.m_start.m_born
-                           ? worker.m_start.m_born->time_since_epoch().count()
-                           : 0 },
-                       { "slots", std::uint64_t{ worker.m_slots } },
-                       { "sequence", worker.m_sequence } });
+  m_parts.m_log.Info(
+    "worker",
+    "worker_changed",
+    { { "change", NameOf(aChange) },
+      { "instance", worker.m_start.m_id },
+      { "version", worker.m_version },
+      { "born_ms",
+        worker.m_start.m_startedAt
+          ? worker.m_start.m_startedAt->time_since_epoch().count()
+          : 0 },
+      { "slots", std::uint64_t{ worker.m_slots } },
+      { "sequence", worker.m_sequence } });
   m_parts.m_onWorker(m_worker);
 }
 
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -77,8 +77,8 @@
             Refuse(aKey.m_call, CallOutcome::NotRun, RefusalReason::NoWorker));
     return;
   }
-  if (aRequest.m_isRepeat && !m_parts.m_mayRunRetry(now)) {
-    const auto reason = RefusalReason::NoRepeats;
+  if (aRequest.m_isRetry && !m_parts.m_mayRunRetry(now)) {
+    const auto reason = RefusalReason::RetryBudgetExhausted;
     m_parts.m_metrics.CountRun(NameOf(reason));
     Deliver(aKey, aRequest, Refuse(aKey.m_call, CallOutcome::NotRun, reason));
     return;
@@ -113,7 +113,7 @@
                    CallOutcome::NotRun,
                    admission.m_reason,
                    admission.m_retryAfter));
-  } else if (admission.m_kind != Admission::Kind::Repeated) {
+  } else if (admission.m_kind != Admission::Kind::Duplicate) {
     ActiveRun run;
     run.m_deadline = now + aRequest.m_timeLeft;
     run.m_fingerprint = fingerprint;
@@ -144,7 +144,7 @@
   const auto left =
     std::chrono::duration_cast<std::chrono::milliseconds>(run.m_deadline - now);
   run.m_startedAt = now;
-  m_retriedRuns.Note(now, call.m_isRepeat);
+  m_retriedRuns.Record(now, call.m_isRetry);
   run.m_wallStart = WallNanos();
   run.m_parent =
     ParseTraceparent(HeaderValue(call.m_headers, kTraceparentHeader));
@@ -315,7 +315,8 @@
     m_parts.m_onSuccess(run.m_fingerprint);
   }
   if (aAnswer.m_outcome == CallOutcome::Answered) {
-    m_answerSizes.Note(run.m_request.m_kind, aAnswer.m_response.m_body.size());
+    m_answerSizes.Record(run.m_request.m_kind,
+                         aAnswer.m_response.m_body.size());
   }
   if (!run.m_request.m_idempotent) {
     KeepAnswer(aKey, aAnswer);
@@ -425,9 +426,9 @@
 }
 
 void
-RunService::StartLeaving()
+RunService::StartDraining()
 {
-  Execute(m_runs.StartLeaving(Clock::now()));
+  Execute(m_runs.StartDraining(Clock::now()));
 }
 
 std::string_view
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -53,11 +53,11 @@
   auto end = m_crashDetector.OnProbed(aIsPortClosed);
   if (end) {
     m_parts.m_requests.OnWorkerExit(
-      m_incarnation.m_id, m_runs.IsLeaving(), *end);
+      m_incarnation.m_id, m_runs.IsDraining(), *end);
     m_parts.m_metrics.CountWorkerEnd();
   }
   // A draining worker exits on its own.
-  const bool isCrash = end && !m_runs.IsLeaving();
+  const bool isCrash = end && !m_runs.IsDraining();
   if (isCrash) {
     const std::string name = fmt::format(
       "{}/{}/{}", m_parts.m_settings.m_slot, m_parts.m_seed, end->m_number);
@@ -80,7 +80,7 @@
   }
   CallAnswer answer = Refuse(aKey.m_call,
                              CallOutcome::Unknown,
-                             aWorkerCrashed ? RefusalReason::WorkerEnded
+                             aWorkerCrashed ? RefusalReason::WorkerCrashed
                                             : RefusalReason::AnswerLost);
   answer.m_reachedWorker = true;
   if (aWorkerCrashed) {
@@ -117,13 +117,13 @@
   const auto& worker = aPresence.Current();
   if (!aPresence.TakesCalls()) {
     if (m_hasWorker) {
-      StartLeaving();
+      StartDraining();
     }
     return;
   }
-  OnIncarnation(worker->m_start, aPresence.FormerHeardAt());
+  OnIncarnation(worker->m_start, aPresence.PreviousLastReportAt());
   m_version = worker->m_version;
-  m_warmUpEnd = Clock::now() + worker->m_coldLeft;
+  m_warmUpEnd = Clock::now() + worker->m_warmUpLeft;
   m_hasWorker = true;
   m_runs.Reopen();
   m_runs.SetLimits(worker->m_slots, kQueuePerSlot * worker->m_slots);
@@ -168,7 +168,7 @@
 }
 
 void
-RunService::OnIncarnation(const WorkerStart& aIncarnation,
+RunService::OnIncarnation(const WorkerIncarnation& aIncarnation,
                           TimePoint aPreviousLastReport)
 {
   if (!MayBeSame(m_incarnation, aIncarnation)) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -317,24 +317,24 @@
     DecisionSettings& target = m_settings.m_runs.m_decisions;
     reader.Number("late_credit", target.m_lateCredit, 0.0, 1.0);
     reader.Number("next_rank_credit", target.m_nextRankCredit, 0.0, 1.0);
-    reader.Flag("counts_time", target.m_countsTime);
+    reader.Flag("counts_time", target.m_ranksPerSlotTime);
     reader.Flag("refuses_early", target.m_refusesEarly);
-    reader.Count("late_part", target.m_latePart, 1, 1000);
-    reader.Number("nothing_left", target.m_nothingLeft, 0.0, 1.0);
-    reader.Count("max_busy", target.m_maxBusy, 0, 16);
-    reader.Count("busy_part", target.m_busyPart, 1, 1000);
+    reader.Count("late_part", target.m_lateWaitDivisor, 1, 1000);
+    reader.Number("nothing_left", target.m_saturatedShare, 0.0, 1.0);
+    reader.Count("max_busy", target.m_maxBusyReplies, 0, 16);
+    reader.Count("busy_part", target.m_busyWaitDivisor, 1, 1000);
     reader.Count("max_redirects", target.m_maxRedirects, 0, 16);
     reader.Count("choices", target.m_choices, 0, 1000);
     reader.Number("late_loss", target.m_lateLoss, 0.0, 1.0);
     reader.Number("crossing_per_kib", target.m_crossingPerKib, 0.0, 100.0);
     reader.Flag("counts_request_body", target.m_countsRequestBody);
     reader.Flag("explores", target.m_explores);
-    reader.Flag("shares_news", target.m_sharesNews);
-    reader.Flag("sees_slowness", target.m_seesSlowness);
-    reader.Flag("pushes_back", target.m_pushesBack);
+    reader.Flag("shares_news", target.m_usesDomainReports);
+    reader.Flag("sees_slowness", target.m_detectsSlowness);
+    reader.Flag("pushes_back", target.m_penalizesFailures);
     reader.Flag("ejects", target.m_ejects);
-    reader.Flag("weighs_age", target.m_weighsAge);
-    reader.Flag("sees_common_cause", target.m_seesCommonCause);
+    reader.Flag("weighs_age", target.m_usesCallAge);
+    reader.Flag("sees_common_cause", target.m_detectsCommonCause);
     reader.ReportUnknownKeys();
   }
 
--- a/src/transport/link_codec.cpp
+++ b/src/transport/link_codec.cpp
@@ -51,11 +51,11 @@
 CompatibleReason(RefusalReason aReason)
 {
   switch (aReason) {
-    case RefusalReason::WorkerEnded:
+    case RefusalReason::WorkerCrashed:
       return RefusalReason::AnswerLost;
     case RefusalReason::Held:
       return RefusalReason::Cancelled;
-    case RefusalReason::NoRepeats:
+    case RefusalReason::RetryBudgetExhausted:
       return RefusalReason::Overloaded;
     case RefusalReason::NotInService:
       // A worker out of service is equivalent to no worker.
@@ -119,8 +119,8 @@
     out.set_call_class(static_cast<std::uint32_t>(aRequest.m_class));
     out.set_idempotent(aRequest.m_idempotent);
     out.set_depth(aRequest.m_depth);
-    out.set_tries(aRequest.m_triesLeft);
-    out.set_is_repeat(aRequest.m_isRepeat);
+    out.set_tries(aRequest.m_retriesLeft);
+    out.set_is_repeat(aRequest.m_isRetry);
     out.set_refuse_if_busy(aRequest.m_refuseIfBusy);
     out.set_priority(aRequest.m_priority);
     out.set_kind_target_ms(
@@ -137,8 +137,8 @@
     out.set_reason(
       static_cast<std::uint32_t>(CompatibleReason(aAnswer.m_reason)));
     out.set_held(aAnswer.m_reason == RefusalReason::Held);
-    out.set_no_repeats(aAnswer.m_reason == RefusalReason::NoRepeats);
-    if (aAnswer.m_reason == RefusalReason::WorkerEnded) {
+    out.set_no_repeats(aAnswer.m_reason == RefusalReason::RetryBudgetExhausted);
+    if (aAnswer.m_reason == RefusalReason::WorkerCrashed) {
       out.set_ends(std::max(1U, aAnswer.m_ends));
     }
     out.set_status(aAnswer.m_response.m_status);
@@ -194,8 +194,8 @@
   request.m_class = static_cast<CallClass>(aWire.call_class());
   request.m_idempotent = aWire.idempotent();
   request.m_depth = aWire.depth();
-  request.m_triesLeft = aWire.tries();
-  request.m_isRepeat = aWire.is_repeat();
+  request.m_retriesLeft = aWire.tries();
+  request.m_isRetry = aWire.is_repeat();
   request.m_refuseIfBusy = aWire.refuse_if_busy();
   request.m_priority = aWire.priority();
   request.m_kind = { std::chrono::milliseconds{ aWire.kind_target_ms() },
@@ -220,9 +220,9 @@
   if (aWire.held()) {
     answer.m_reason = RefusalReason::Held;
   } else if (aWire.no_repeats()) {
-    answer.m_reason = RefusalReason::NoRepeats;
+    answer.m_reason = RefusalReason::RetryBudgetExhausted;
   } else if (aWire.ends() > 0) {
-    answer.m_reason = RefusalReason::WorkerEnded;
+    answer.m_reason = RefusalReason::WorkerCrashed;
   }
   answer.m_ends = aWire.ends();
   answer.m_response.m_status = static_cast<std::uint16_t>(aWire.status());
--- a/standins/platform_worker.cpp
+++ b/standins/platform_worker.cpp
@@ -265,7 +265,7 @@
   {
     m_isCrashing = false;
     ++m_incarnation;
-    m_born = NowMs();
+    m_startedAt = NowMs();
     m_sequence = 0;
     m_draining = false;
     if (!Listen()) {
@@ -324,7 +324,7 @@
              { "state", m_draining ? "draining" : "ready" },
              { "cold_left_ms", 0 },
              { "seq", ++m_sequence },
-             { "born", m_born } };
+             { "born", m_startedAt } };
   }
 
   /// Sends an additional report with some fields changed.
@@ -360,7 +360,7 @@
       m_abandonedRuns.push_back(std::move(each));
     }
     m_queued.clear();
-    m_born += aOffsetMs;
+    m_startedAt += aOffsetMs;
     m_sequence = 0;
     m_draining = false;
   }
@@ -390,7 +390,7 @@
       RestartUnderSameId(wanted["restart_same_id"].get<std::int64_t>());
     }
     if (wanted.value("restart", false)) {
-      ++m_born;
+      ++m_startedAt;
       ++m_incarnation;
       m_sequence = 0;
       m_draining = false;
@@ -412,7 +412,7 @@
       { "turned_away", m_rejected },
       { "misdirected", m_misdirected },
       { "broken_off", m_cancelled },
-      { "born", m_born },
+      { "born", m_startedAt },
       { "sequence", m_sequence },
       { "others_answered", m_extraReportsAnswered },
       { "others_refused", m_extraReportsRejected },
@@ -442,7 +442,7 @@
   std::uint64_t m_sequence{ 0 };
   std::uint64_t m_incarnation{ 1 };
   /// Start of this incarnation, in Unix milliseconds.
-  std::int64_t m_born{ NowMs() };
+  std::int64_t m_startedAt{ NowMs() };
   std::uint64_t m_extraReportsAnswered{ 0 };
   std::uint64_t m_extraReportsRejected{ 0 };
   std::uint64_t m_arrivals{ 0 };
--- a/tests/calls/call_age.cpp
+++ b/tests/calls/call_age_estimator.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/calls/call_age.hpp"
+#include "greengagehub/calls/call_age_estimator.hpp"
 #include "greengagehub/core/random.hpp"
 
 #include <doctest/doctest.h>
@@ -9,12 +9,13 @@
 namespace {
 
 /// Samples of first attempts with timeouts between 3.4 and 4 s.
-CallAge
+CallAgeEstimator
 EstimatorWithSamples(Random& aRandom)
 {
-  CallAge age;
+  CallAgeEstimator age;
   for (int i = 0; i < 200; ++i) {
-    age.Note(3400ms + std::chrono::milliseconds{ Below(aRandom, 600) }, false);
+    age.Record(3400ms + std::chrono::milliseconds{ Below(aRandom, 600) },
+               false);
   }
   return age;
 }
@@ -26,7 +27,7 @@
   // Measured from the longest timeout, first attempts of callers with shorter
   // ones would seem late and be queued behind the others.
   Random random{ 1 };
-  const CallAge age = EstimatorWithSamples(random);
+  const CallAgeEstimator age = EstimatorWithSamples(random);
   for (int i = 0; i < 200; ++i) {
     const auto asked = 3400ms + std::chrono::milliseconds{ Below(random, 600) };
     CHECK(age.Of(asked, false) == 0ms);
@@ -40,7 +41,7 @@
 {
   // The caller retried after one second, so its target has passed.
   Random random{ 1 };
-  const CallAge age = EstimatorWithSamples(random);
+  const CallAgeEstimator age = EstimatorWithSamples(random);
   CHECK(age.Of(2700ms, true) >= 900ms);
   CHECK(age.Of(2700ms, true) <= 1100ms);
   // Requests on a reused connection are first attempts, however little time
@@ -51,10 +52,10 @@
 TEST_CASE("without samples of first attempts no call counts as a retry")
 {
   // After a start the first requests may all be retries.
-  CallAge age;
+  CallAgeEstimator age;
   CHECK(age.Of(100ms, true) == 0ms);
   for (int i = 0; i < 100; ++i) {
-    age.Note(100ms, true);
+    age.Record(100ms, true);
   }
   CHECK(age.Of(50ms, true) == 0ms);
 }
@@ -63,11 +64,11 @@
 {
   // One call with a timeout of 10 ms must not hide retries for good.
   Random random{ 1 };
-  CallAge age = EstimatorWithSamples(random);
-  age.Note(10ms, false);
+  CallAgeEstimator age = EstimatorWithSamples(random);
+  age.Record(10ms, false);
   CHECK(age.Of(2700ms, true) == 0ms);
   for (int i = 0; i < 32; ++i) {
-    age.Note(3700ms, false);
+    age.Record(3700ms, false);
   }
   CHECK(age.Of(2700ms, true) == 1000ms);
 }
--- a/tests/calls/dispatcher.cpp
+++ b/tests/calls/dispatcher.cpp
@@ -155,7 +155,7 @@
     CallPlan plan;
     plan.m_service = "s";
     plan.m_deadline = kStart + 1s;
-    plan.m_triesLeft = 5;
+    plan.m_retriesLeft = 5;
     DispatchActions actions = dispatcher.Begin(kStart, id, std::move(plan));
     while (const auto* send = std::get_if<SendAttempt>(&actions.front())) {
       ++sends;
@@ -194,7 +194,7 @@
     plan.m_idempotent = true;
     plan.m_deadline = kStart + 1s;
     plan.m_target = kStart + 500ms;
-    plan.m_triesLeft = 3;
+    plan.m_retriesLeft = 3;
     int attempts = 0;
     auto actions = m_dispatcher.Begin(kStart, ++m_lastCall, std::move(plan));
     while (const auto* send = std::get_if<SendAttempt>(&actions.front())) {
--- a/tests/calls/held_contents.cpp
+++ b/tests/calls/held_contents.cpp
@@ -39,7 +39,7 @@
     plan.m_service = "locker-app";
     plan.m_idempotent = true;
     plan.m_deadline = kStart + 1s;
-    plan.m_triesLeft = 3;
+    plan.m_retriesLeft = 3;
     plan.m_content = kFingerprint;
     m_sends.clear();
     auto actions = m_dispatcher.Begin(kStart, ++m_lastCall, std::move(plan));
@@ -60,7 +60,7 @@
     const TimePoint at = kStart + std::chrono::seconds{ m_lastCrash };
     static_cast<void>(m_quarantine.OnNews(at, { { report }, {} }));
     CallAnswer answer =
-      Refuse(0, CallOutcome::Unknown, RefusalReason::WorkerEnded);
+      Refuse(0, CallOutcome::Unknown, RefusalReason::WorkerCrashed);
     answer.m_reachedWorker = true;
     answer.m_ends = m_quarantine.CrashCount(kFingerprint);
     return answer;
--- a/tests/calls/many_callers.cpp
+++ b/tests/calls/many_callers.cpp
@@ -19,9 +19,9 @@
   test::ReplaySetup setup;
   setup.m_domains[0].m_load = aLoad;
   setup.m_decisions.m_choices = aChoices;
-  setup.m_decisions.m_sharesNews = false;
+  setup.m_decisions.m_usesDomainReports = false;
   if (!aRefuseIfBusy) {
-    setup.m_decisions.m_maxBusy = 0;
+    setup.m_decisions.m_maxBusyReplies = 0;
   }
   return Replay{ setup }.Run().Missed();
 }
--- a/tests/calls/retry_budget.cpp
+++ b/tests/calls/retry_budget.cpp
@@ -106,7 +106,7 @@
   RepeatShare share;
   CHECK(share.At(kStart) == 0.0);
   for (int i = 0; i < 100; ++i) {
-    share.Note(kStart + i * 5ms, i % 4 == 0);
+    share.Record(kStart + i * 5ms, i % 4 == 0);
   }
   CHECK(share.At(kStart + 500ms) == doctest::Approx(0.25));
   CHECK(share.At(kStart + 5s) == 0.0);
@@ -165,7 +165,7 @@
 
   void StartRun(bool aIsRetry)
   {
-    m_retryShare.Note(m_now, aIsRetry);
+    m_retryShare.Record(m_now, aIsRetry);
     bool fails = false;
     for (int i = 0; i < 2; ++i) {
       fails = CallService(aIsRetry) || fails;
--- a/tests/calls/run_table.cpp
+++ b/tests/calls/run_table.cpp
@@ -44,7 +44,7 @@
 {
   RunTable table{ {} };
   CHECK(Admit(table, 7).m_kind == Admission::Kind::Start);
-  CHECK(Admit(table, 7).m_kind == Admission::Kind::Repeated);
+  CHECK(Admit(table, 7).m_kind == Admission::Kind::Duplicate);
   CHECK(table.Running() == 1);
 }
 
@@ -106,7 +106,7 @@
   RunTable table{ { .m_slots = 1 } };
   REQUIRE(Admit(table, 1).m_kind == Admission::Kind::Start);
   REQUIRE(Admit(table, 2).m_kind == Admission::Kind::Queued);
-  CHECK(table.StartLeaving(kStart).m_refused.size() == 1);
+  CHECK(table.StartDraining(kStart).m_refused.size() == 1);
   CHECK(Admit(table, 3).m_reason == RefusalReason::Leaving);
   CHECK(table.Running() == 1);
 }
@@ -133,12 +133,12 @@
   CHECK(table.Cancel(kStart, { 1, 5 }) == CancelResult::Finished);
   static_cast<void>(table.OnTick(kStart + 11s));
   CHECK(table.RetainedCount() == 0);
-  CHECK(table.Cancel(kStart + 11s, { 1, 5 }) == CancelResult::Forgotten);
+  CHECK(table.Cancel(kStart + 11s, { 1, 5 }) == CancelResult::Evicted);
   // A duplicate of its request is not executed either.
   RunActions out;
   const auto duplicate = table.Admit(
     kStart + 11s, { 1, 5 }, 1, Demand(CallClass::Critical, 1s), out);
-  CHECK(duplicate.m_kind == Admission::Kind::Repeated);
+  CHECK(duplicate.m_kind == Admission::Kind::Duplicate);
   // Later attempts and other processes are not affected.
   CHECK(Admit(table, 6).m_kind == Admission::Kind::Start);
   CHECK(table.Cancel(kStart + 11s, { 2, 5 }) == CancelResult::NotStarted);
--- a/tests/calls/slow_worker.cpp
+++ b/tests/calls/slow_worker.cpp
@@ -24,7 +24,7 @@
   explicit FullWorker(bool aSeesSlowness = true)
     : m_table({ .m_slots = kSlots,
                 .m_queue = 4 * kSlots,
-                .m_decisions = { .m_seesSlowness = aSeesSlowness } })
+                .m_decisions = { .m_detectsSlowness = aSeesSlowness } })
   {
     for (std::uint32_t i = 0; i < kSlots; ++i) {
       SendCall(kTarget);
--- a/tests/calls/trace_replay.cpp
+++ b/tests/calls/trace_replay.cpp
@@ -50,7 +50,7 @@
     if (verb == "tick") {
       return Describe("ticked", m_runs.OnTick(m_now));
     }
-    return Describe("left", m_runs.StartLeaving(m_now));
+    return Describe("left", m_runs.StartDraining(m_now));
   }
 
 private:
@@ -84,7 +84,7 @@
         return Describe("started", out);
       case Admission::Kind::Queued:
         return Describe("queued", out);
-      case Admission::Kind::Repeated:
+      case Admission::Kind::Duplicate:
         return "repeated";
       case Admission::Kind::Refused:
         return fmt::format("refused {}", NameOf(admission.m_reason));
@@ -101,7 +101,7 @@
         return "running";
       case CancelResult::Finished:
         return "finished";
-      case CancelResult::Forgotten:
+      case CancelResult::Evicted:
         return "forgotten";
     }
     return "?";
--- a/tests/calls/unequal_domains.cpp
+++ b/tests/calls/unequal_domains.cpp
@@ -19,7 +19,7 @@
                       { 60, 12, 0.6 },
                       { 60, 12, 0.6 } };
   setup.m_crossing = 0.06;
-  setup.m_decisions.m_sharesNews = aSharesNews;
+  setup.m_decisions.m_usesDomainReports = aSharesNews;
   return Replay{ setup }.Run();
 }
 
--- a/tests/calls/worker_restart.cpp
+++ b/tests/calls/worker_restart.cpp
@@ -34,7 +34,7 @@
 IsServing(const WorkerPresence& aWorker, WallTime aStartTime)
 {
   return aWorker.TakesCalls() &&
-         aWorker.Current()->m_start.m_born == aStartTime;
+         aWorker.Current()->m_start.m_startedAt == aStartTime;
 }
 
 }
@@ -142,7 +142,7 @@
 {
   WorkerPresence worker{ kPeriod };
   WorkerReport probed = Report(kWorkerStart, 0);
-  probed.m_start.m_born.reset();
+  probed.m_start.m_startedAt.reset();
   CHECK(worker.OnProbed(kStart, probed) == Change::Arrived);
   CHECK(worker.OnReport(kStart + 1s, Report(kWorkerStart, 7)) ==
         Change::Updated);
@@ -156,7 +156,7 @@
   WorkerPresence worker{ kPeriod };
   CHECK(worker.OnReport(kStart, Report(kWorkerStart, 1)) == Change::Arrived);
   WorkerReport untimed = Report(kWorkerStart, 2, true);
-  untimed.m_start.m_born.reset();
+  untimed.m_start.m_startedAt.reset();
   CHECK(worker.OnReport(kStart + 1s, untimed) == Change::None);
   CHECK(IsServing(worker, kWorkerStart));
 }
@@ -175,7 +175,7 @@
 
 TEST_CASE("an incarnation's tag depends on its id and its start time")
 {
-  const WorkerStart start{ "a", kWorkerStart };
+  const WorkerIncarnation start{ "a", kWorkerStart };
   CHECK(TagOf(start) == TagOf({ "a", kWorkerStart }));
   CHECK(TagOf(start) != TagOf({ "a", kWorkerStart + 1ms }));
   CHECK(TagOf(start) != TagOf({ "b", kWorkerStart }));
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -16,7 +16,7 @@
                                 .m_expectInstance = "Expect",
                                 .m_notExecuted = "Not-Executed",
                                 .m_seal = "Seal",
-                                .m_tracesHops = false };
+                                .m_sendsHopHeaders = false };
 
 /// A run service beside an HTTP server that plays the worker.
 class RunServiceFixture
@@ -83,7 +83,7 @@
     m_service.OnRequest({ 1, ++m_lastCall }, 0, std::move(aRequest));
   }
 
-  void DrainWorker() { m_service.StartLeaving(); }
+  void DrainWorker() { m_service.StartDraining(); }
   /// Reports the fingerprint as quarantined by another daemon.
   void QuarantineRequests(Fingerprint aFingerprint)
   {
@@ -217,7 +217,7 @@
     fixture.CallAll({ RunServiceFixture::ReleaseRequest(), other });
   for (const CallAnswer& each : answers) {
     CHECK(each.m_outcome == CallOutcome::Unknown);
-    CHECK(each.m_reason == RefusalReason::WorkerEnded);
+    CHECK(each.m_reason == RefusalReason::WorkerCrashed);
     CHECK(each.m_reachedWorker);
   }
   REQUIRE(fixture.CrashReports().size() == 1);
--- a/tests/platform/heartbeat.cpp
+++ b/tests/platform/heartbeat.cpp
@@ -35,7 +35,7 @@
   CHECK(report.m_service == "lockers");
   CHECK(report.m_slots == 18);
   CHECK(report.m_leaving);
-  CHECK(report.m_coldLeft == std::chrono::milliseconds{ 250 });
+  CHECK(report.m_warmUpLeft == std::chrono::milliseconds{ 250 });
   CHECK(report.m_sequence == 4);
 
   const auto left = platform::ParseNotice(Request("DELETE", "/instances/i-7f"));
@@ -56,12 +56,13 @@
     platform::ParseNotice(Request("PUT", "/instances/i-7f", body.dump()));
   REQUIRE(beat);
   const WallTime born{ std::chrono::milliseconds{ 1'764'000'000'123 } };
-  CHECK(std::get<WorkerReport>(beat.value()).m_start.m_born == born);
+  CHECK(std::get<WorkerReport>(beat.value()).m_start.m_startedAt == born);
 
   const auto left = platform::ParseNotice(
     Request("DELETE", "/instances/i-7f", R"({"born":1764000000123})"));
   REQUIRE(left);
-  CHECK(std::get<platform::WorkerLeft>(left.value()).m_start.m_born == born);
+  CHECK(std::get<platform::WorkerLeft>(left.value()).m_start.m_startedAt ==
+        born);
 }
 
 TEST_CASE("a report with a missing or invalid field is rejected")
--- a/tests/settings/settings.cpp
+++ b/tests/settings/settings.cpp
@@ -42,9 +42,9 @@
                                       "good.toml");
   REQUIRE(settings);
   const DecisionSettings& decisions = settings.value().m_runs.m_decisions;
-  CHECK_FALSE(decisions.m_countsTime);
+  CHECK_FALSE(decisions.m_ranksPerSlotTime);
   CHECK(decisions.m_crossingPerKib == 0.2);
-  CHECK(decisions.m_maxBusy == 0);
+  CHECK(decisions.m_maxBusyReplies == 0);
   CHECK(decisions.m_refusesEarly);
 
   const auto bad = ParseSettings(std::string{ kValid } + R"([decisions]
