--- a/include/greengagehub/calls/dispatcher.hpp
+++ b/include/greengagehub/calls/dispatcher.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "greengagehub/calls/placing.hpp"
+#include "greengagehub/calls/placement.hpp"
 #include "greengagehub/calls/retry_budget.hpp"
 #include "greengagehub/quarantine/quarantine.hpp"
 
@@ -24,11 +24,11 @@
   /// Retries that the call and the calls made for it may still use.
   std::uint32_t m_retriesLeft{ 2 };
   /// Cost of crossing between failure domains, as a share of the call's value.
-  double m_crossing{ 0.0 };
+  double m_crossingCost{ 0.0 };
   /// Rank of the call's route, 0 highest.
   std::uint32_t m_priority{ 0 };
   /// Probability that the call is made by a retried run.
-  double m_inherited{ 0.0 };
+  double m_retriedRunProbability{ 0.0 };
   Fingerprint m_content{};
 };
 
@@ -110,7 +110,7 @@
 
   /// \returns Whether the retry budget of another service, one called by
   /// retried runs, is nearly used up.
-  [[nodiscard]] bool AreRepeatsUsedUp(TimePoint aNow,
+  [[nodiscard]] bool AreRetriesUsedUp(TimePoint aNow,
                                       const std::string& aOwnService) const
   {
     return m_budget.IsOtherServiceExhausted(aNow, aOwnService);
@@ -164,18 +164,18 @@
                                          const std::string& aSlot,
                                          std::uint64_t aProcess);
   /// \brief Handles a request that no connection could accept.
-  [[nodiscard]] DispatchActions OnNotSent(TimePoint aNow,
-                                          std::uint64_t aAttempt);
+  [[nodiscard]] DispatchActions OnSendFailed(TimePoint aNow,
+                                             std::uint64_t aAttempt);
   /// \brief Handles a caller that disconnected.
-  [[nodiscard]] DispatchActions OnCallerGone(TimePoint aNow,
-                                             std::uint64_t aCall);
+  [[nodiscard]] DispatchActions OnCallerDisconnected(TimePoint aNow,
+                                                     std::uint64_t aCall);
   /// \returns When OnTick() must be called next; nothing if no call is in
   /// flight.
   [[nodiscard]] std::optional<TimePoint> NextDeadline() const;
   /// \brief Finishes calls whose deadline has passed.
   [[nodiscard]] DispatchActions OnTick(TimePoint aNow);
   /// \brief Records the daemon process that an attempt was sent to.
-  void SentTo(std::uint64_t aAttempt, std::uint64_t aProcess);
+  void RecordProcess(std::uint64_t aAttempt, std::uint64_t aProcess);
 
 private:
   struct Call
--- a/include/greengagehub/calls/placing.hpp
+++ b/include/greengagehub/calls/placement.hpp
@@ -69,7 +69,7 @@
   std::string m_domain{};
   DecisionSettings m_decisions{};
 
-  [[nodiscard]] bool IsFar(const WorkerRow& aRow) const
+  [[nodiscard]] bool IsInOtherDomain(const WorkerRow& aRow) const
   {
     return !m_domain.empty() && aRow.m_domain != m_domain;
   }
@@ -104,8 +104,8 @@
 /// \returns Cost of crossing between failure domains, as a share of the call's
 /// value.
 [[nodiscard]] double
-CrossingPrice(const DecisionSettings& aDecisions,
-              double aRequestBytes,
-              double aAnswerBytes) noexcept;
+CrossingCost(const DecisionSettings& aDecisions,
+             double aRequestBytes,
+             double aAnswerBytes) noexcept;
 
 }
--- a/include/greengagehub/calls/retry_budget.hpp
+++ b/include/greengagehub/calls/retry_budget.hpp
@@ -46,7 +46,7 @@
 ///
 /// Calls made by a retried run are repeated work for the services called, even
 /// though each of them is sent for the first time.
-class RepeatShare
+class RetriedRunShare
 {
 public:
   void Record(TimePoint aNow, bool aIsRetry);
--- a/include/greengagehub/calls/worker_table.hpp
+++ b/include/greengagehub/calls/worker_table.hpp
@@ -72,7 +72,7 @@
   /// Time left to the call's latency target.
   Duration m_targetLeft{ std::chrono::seconds{ 1 } };
   /// Cost of crossing between failure domains, as a share of the call's value.
-  double m_crossing{ 0.0 };
+  double m_crossingCost{ 0.0 };
   /// Time left to the call's deadline.
   Duration m_deadlineLeft{ std::chrono::seconds{ 10 } };
 };
@@ -157,7 +157,7 @@
   }
   [[nodiscard]] std::optional<Index> Find(const std::string& aSlot) const;
   /// \returns Whether the service has a worker that accepts calls.
-  [[nodiscard]] bool HasUsable(const std::string& aService) const;
+  [[nodiscard]] bool HasAvailableWorker(const std::string& aService) const;
 
   /// \brief Adds or updates a worker. Statistics are kept unless its service or
   /// its incarnation changed.
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -164,7 +164,7 @@
   Parts m_parts;
   Random m_random;
   RunTable m_runs;
-  RepeatShare m_retriedRuns;
+  RetriedRunShare m_retriedRuns;
   BackendClient m_client;
   CrashDetector m_crashDetector;
   RunCounter m_runCounter;
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -90,10 +90,10 @@
 /// policy does not distinguish domains.
 template<RoutingPolicy Policy>
 bool
-IsNear(const Policy& aPolicy, const WorkerRow& aRow)
+IsInOwnDomain(const Policy& aPolicy, const WorkerRow& aRow)
 {
-  if constexpr (requires { aPolicy.IsFar(aRow); }) {
-    return !aPolicy.IsFar(aRow);
+  if constexpr (requires { aPolicy.IsInOtherDomain(aRow); }) {
+    return !aPolicy.IsInOtherDomain(aRow);
   } else {
     return false;
   }
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -88,7 +88,7 @@
     aNow,
     aCall.m_plan.m_kind,
     std::min(aCall.m_plan.m_target, aCall.m_plan.m_deadline) - aNow,
-    aCall.m_plan.m_crossing,
+    aCall.m_plan.m_crossingCost,
     aCall.m_plan.m_deadline - aNow
   };
   const Fingerprint content = aCall.m_plan.m_content;
@@ -104,7 +104,7 @@
     const auto chosen = m_workers.Choose(
       m_policy, aCall.m_plan.m_service, exclude, context, m_random, aRule);
     // Otherwise waiting at a busy worker may cost less than crossing.
-    if (chosen && IsNear(m_policy, m_workers.At(*chosen))) {
+    if (chosen && IsInOwnDomain(m_policy, m_workers.At(*chosen))) {
       return chosen;
     }
   }
@@ -152,7 +152,7 @@
               m_workers.At(*chosen).m_slot) != aCall.m_busySlots.end();
   const bool mayRefuse =
     aCall.m_busySlots.size() < m_decisions.m_maxBusyReplies && !wasBusy &&
-    IsNear(m_policy, m_workers.At(*chosen));
+    IsInOwnDomain(m_policy, m_workers.At(*chosen));
   const bool refuseIfBusy = mayRefuse && IsBusyReplyFast(aNow, aCall);
   if (mayRefuse && !refuseIfBusy) {
     // Decays without samples, so that busy replies are requested again.
@@ -185,7 +185,8 @@
                                CallPlan aPlan)
 {
   DispatchActions out;
-  m_budget.Deposit(aNow, aPlan.m_service, aPlan.m_priority, aPlan.m_inherited);
+  m_budget.Deposit(
+    aNow, aPlan.m_service, aPlan.m_priority, aPlan.m_retriedRunProbability);
   Call call;
   call.m_id = aCall;
   call.m_plan = std::move(aPlan);
@@ -421,7 +422,7 @@
 
 template<RoutingPolicy Policy>
 DispatchActions
-BasicDispatcher<Policy>::OnNotSent(TimePoint aNow, std::uint64_t aAttempt)
+BasicDispatcher<Policy>::OnSendFailed(TimePoint aNow, std::uint64_t aAttempt)
 {
   DispatchActions out;
   if (Call* call = FindByAttempt(aAttempt)) {
@@ -436,7 +437,8 @@
 
 template<RoutingPolicy Policy>
 DispatchActions
-BasicDispatcher<Policy>::OnCallerGone(TimePoint aNow, std::uint64_t aCall)
+BasicDispatcher<Policy>::OnCallerDisconnected(TimePoint aNow,
+                                              std::uint64_t aCall)
 {
   DispatchActions out;
   const auto found = m_calls.find(aCall);
@@ -484,7 +486,8 @@
 
 template<RoutingPolicy Policy>
 void
-BasicDispatcher<Policy>::SentTo(std::uint64_t aAttempt, std::uint64_t aProcess)
+BasicDispatcher<Policy>::RecordProcess(std::uint64_t aAttempt,
+                                       std::uint64_t aProcess)
 {
   if (Call* call = FindByAttempt(aAttempt)) {
     call->m_process = aProcess;
--- a/src/calls/placing.cpp
+++ b/src/calls/placement.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/calls/placing.hpp"
+#include "greengagehub/calls/placement.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -134,9 +134,9 @@
 }
 
 double
-CrossingPrice(const DecisionSettings& aDecisions,
-              double aRequestBytes,
-              double aAnswerBytes) noexcept
+CrossingCost(const DecisionSettings& aDecisions,
+             double aRequestBytes,
+             double aAnswerBytes) noexcept
 {
   constexpr double kKib = 1024.0;
   const double request = aDecisions.m_countsRequestBody ? aRequestBytes : 0.0;
@@ -185,7 +185,7 @@
       const bool isUnreported =
         FindStats(*aRows[i], aContext.m_kind) == nullptr &&
         aRows[i]->m_inFlight == 0;
-      if (isUnreported && !IsFar(*aRows[i])) {
+      if (isUnreported && !IsInOtherDomain(*aRows[i])) {
         return i;
       }
     }
@@ -204,7 +204,7 @@
                                   ? waits.ExpectedWait(aRow.m_domain)
                                   : Duration{ 0 } };
     return ExpectedLoss(m_decisions, aRow, aContext, assumed) + probePenalty +
-           (IsFar(aRow) ? aContext.m_crossing : 0.0);
+           (IsInOtherDomain(aRow) ? aContext.m_crossingCost : 0.0);
   };
   std::size_t best = 0;
   double lowest = std::numeric_limits<double>::infinity();
@@ -234,7 +234,7 @@
   std::uint32_t near = 0;
   std::uint32_t far = 0;
   std::erase_if(candidates, [&](std::size_t aIndex) {
-    std::uint32_t& count = IsFar(*aRows[aIndex]) ? far : near;
+    std::uint32_t& count = IsInOtherDomain(*aRows[aIndex]) ? far : near;
     return ++count > m_decisions.m_choices;
   });
   return candidates;
--- a/src/calls/retry_budget.cpp
+++ b/src/calls/retry_budget.cpp
@@ -54,7 +54,7 @@
 }
 
 void
-RepeatShare::Record(TimePoint aNow, bool aIsRetry)
+RetriedRunShare::Record(TimePoint aNow, bool aIsRetry)
 {
   m_runs.Add(aNow, kRunsWindow);
   if (aIsRetry) {
@@ -63,7 +63,7 @@
 }
 
 double
-RepeatShare::At(TimePoint aNow) const
+RetriedRunShare::At(TimePoint aNow) const
 {
   const double runs = m_runs.Sum(aNow, kRunsWindow);
   return runs > 0.0 ? m_retries.Sum(aNow, kRunsWindow) / runs : 0.0;
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -158,7 +158,7 @@
 }
 
 bool
-WorkerTable::HasUsable(const std::string& aService) const
+WorkerTable::HasAvailableWorker(const std::string& aService) const
 {
   const auto group = m_byService.find(aService);
   return group != m_byService.end() &&
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -59,7 +59,7 @@
                   },
                 .m_mayRunRetry =
                   [this](TimePoint aNow) {
-                    return !m_dispatcher.AreRepeatsUsedUp(
+                    return !m_dispatcher.AreRetriesUsedUp(
                       aNow, m_parts.m_settings.m_service);
                   },
                 .m_pacer = &m_pacer })
@@ -127,10 +127,10 @@
     Execute(m_dispatcher.OnLinkUp(Clock::now(), aSlot, 0));
   };
   handlers.m_onSent = [this](std::uint64_t aAttempt, std::uint64_t aProcess) {
-    m_dispatcher.SentTo(aAttempt, aProcess);
+    m_dispatcher.RecordProcess(aAttempt, aProcess);
   };
   handlers.m_onNotSent = [this](std::uint64_t aAttempt) {
-    Execute(m_dispatcher.OnNotSent(Clock::now(), aAttempt));
+    Execute(m_dispatcher.OnSendFailed(Clock::now(), aAttempt));
   };
   return handlers;
 }
@@ -193,14 +193,14 @@
   request.m_isRetry = aAttempt.m_isRetry;
   request.m_refuseIfBusy = aAttempt.m_refuseIfBusy;
   if (aAttempt.m_slot == m_parts.m_settings.m_slot) {
-    m_dispatcher.SentTo(aAttempt.m_attempt, m_parts.m_process);
+    m_dispatcher.RecordProcess(aAttempt.m_attempt, m_parts.m_process);
     m_service.OnRequest(
       { m_parts.m_process, aAttempt.m_attempt }, 0, std::move(request));
     return;
   }
   const auto address = m_addresses.find(aAttempt.m_slot);
   if (address == m_addresses.end()) {
-    Execute(m_dispatcher.OnNotSent(Clock::now(), aAttempt.m_attempt));
+    Execute(m_dispatcher.OnSendFailed(Clock::now(), aAttempt.m_attempt));
     return;
   }
   m_pool.Send(aAttempt.m_slot, address->second, std::move(request));
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -82,7 +82,7 @@
   }
   const std::string service = SelectService(*route);
   TrackService(service);
-  const bool hasNoWorker = !m_dispatcher.Workers().HasUsable(service);
+  const bool hasNoWorker = !m_dispatcher.Workers().HasAvailableWorker(service);
   if (hasNoWorker &&
       m_startBuffer.Add(Clock::now(), aReceivedAt, aRequest, aResponder)) {
     return;
@@ -257,16 +257,17 @@
     plan.m_target = aReceivedAt + aRoute.m_targetLatency - callAge;
   }
   plan.m_kind = { aRoute.m_targetLatency, statistics.m_routeHash };
-  plan.m_crossing = CrossingPrice(decisions,
-                                  static_cast<double>(aRequest.m_body.size()),
-                                  statistics.m_answerBytes);
+  plan.m_crossingCost =
+    CrossingCost(decisions,
+                 static_cast<double>(aRequest.m_body.size()),
+                 statistics.m_answerBytes);
   plan.m_priority =
     aWorkspace != nullptr
       ? m_parts.m_workspaces.Table().RankOf(*aWorkspace, aRoute.m_priority)
       : aRoute.m_priority;
   if (plan.m_service != m_parts.m_settings.m_service) {
     // The caller may be the local worker, in one of its retried runs.
-    plan.m_inherited = m_service.RetriedRunShareAt(now);
+    plan.m_retriedRunProbability = m_service.RetriedRunShareAt(now);
   }
   plan.m_retriesLeft = static_cast<std::uint32_t>(std::min<std::uint64_t>(
     retries, ParseNumberHeader(headers, kRetriesHeader, retries)));
@@ -366,7 +367,7 @@
   }
   const std::uint64_t call = found->second;
   m_callByConnection.erase(found);
-  Execute(m_dispatcher.OnCallerGone(Clock::now(), call));
+  Execute(m_dispatcher.OnCallerDisconnected(Clock::now(), call));
 }
 
 }
--- a/tests/calls/dispatcher.cpp
+++ b/tests/calls/dispatcher.cpp
@@ -26,7 +26,7 @@
     plan.m_idempotent = aIdempotent;
     plan.m_deadline = kStart + 1s;
     Apply(m_dispatcher.Begin(kStart, 1, std::move(plan)));
-    m_dispatcher.SentTo(m_attempt, kProcess);
+    m_dispatcher.RecordProcess(m_attempt, kProcess);
   }
 
   static constexpr std::uint64_t kProcess = 77;
@@ -280,7 +280,7 @@
     plan.m_deadline = kStart + 2s;
     plan.m_target = kStart + 400ms;
     plan.m_kind = 400ms;
-    plan.m_crossing = 0.5;
+    plan.m_crossingCost = 0.5;
     Apply(m_dispatcher.Begin(kStart, 1, std::move(plan)));
   }
 
@@ -361,7 +361,7 @@
       static_cast<void>(dispatcher.OnAnswer(
         now, Refuse(send.m_attempt, CallOutcome::NotRun, RefusalReason::Busy)));
     }
-    static_cast<void>(dispatcher.OnCallerGone(now, aCall));
+    static_cast<void>(dispatcher.OnCallerDisconnected(now, aCall));
     return send.m_refuseIfBusy;
   };
   CHECK(requestsRefusal(1, 80ms));
--- a/tests/calls/placing.cpp
+++ b/tests/calls/placement.cpp
@@ -86,7 +86,7 @@
   // Guards against calls with large request bodies that cross for a small gain
   // in time.
   const DecisionSettings decisions;
-  const double crossingCost = CrossingPrice(decisions, 4000.0, 1500.0);
+  const double crossingCost = CrossingCost(decisions, 4000.0, 1500.0);
   CHECK(crossingCost > 0.5);
   std::vector<WorkerRow> rows{ Row("home", "solna"), Row("away", "kista") };
   AddStats(rows[0], 250ms, 160ms, 60ms);
--- a/tests/calls/replay.hpp
+++ b/tests/calls/replay.hpp
@@ -27,7 +27,7 @@
   std::vector<ReplayDomain> m_domains{ {} };
   DecisionSettings m_decisions{};
   /// Cost of a crossing as a fraction of a call's value.
-  double m_crossing{ 0.0 };
+  double m_crossingCost{ 0.0 };
   Duration m_span{ 20s };
 };
 
@@ -174,7 +174,7 @@
     plan.m_deadline = m_now + 2s;
     plan.m_target = m_now + kTarget;
     plan.m_kind = kTarget;
-    plan.m_crossing = m_setup.m_crossing;
+    plan.m_crossingCost = m_setup.m_crossingCost;
     m_arrivals[aId] = m_now;
     Execute(aCaller, m_callers[aCaller]->Begin(m_now, aId, std::move(plan)));
   }
--- a/tests/calls/retry_budget.cpp
+++ b/tests/calls/retry_budget.cpp
@@ -103,7 +103,7 @@
 
 TEST_CASE("the share of retried runs covers the last second")
 {
-  RepeatShare share;
+  RetriedRunShare share;
   CHECK(share.At(kStart) == 0.0);
   for (int i = 0; i < 100; ++i) {
     share.Record(kStart + i * 5ms, i % 4 == 0);
@@ -209,7 +209,7 @@
   bool m_sheds{ false };
   Random m_random{ 3 };
   RetryBudget m_budget{ { kUsedShare * kShare, kUsedShare* kSlack, kWindow } };
-  RepeatShare m_retryShare;
+  RetriedRunShare m_retryShare;
   WindowCounter m_calls;
   WindowCounter m_repeatedCalls;
   std::deque<Run> m_runs;
--- a/tests/calls/unequal_domains.cpp
+++ b/tests/calls/unequal_domains.cpp
@@ -18,7 +18,7 @@
   setup.m_domains = { { 60, 12, aFirstLoad },
                       { 60, 12, 0.6 },
                       { 60, 12, 0.6 } };
-  setup.m_crossing = 0.06;
+  setup.m_crossingCost = 0.06;
   setup.m_decisions.m_usesDomainReports = aSharesNews;
   return Replay{ setup }.Run();
 }
