--- a/bench/hot_path.cpp
+++ b/bench/hot_path.cpp
@@ -177,7 +177,7 @@
 {
   Membership membership = MakeMembership(aState.range(0));
   PullAnswer answer;
-  answer.m_members = membership.RecordsFor(MemberDigests{});
+  answer.m_members = membership.DifferingRecords(MemberDigests{});
   std::size_t bytes = 0;
   for (auto _ : aState) {
     const std::string encoded = Compress(EncodePullAnswer(answer));
--- a/include/greengagehub/daemon/control_plane.hpp
+++ b/include/greengagehub/daemon/control_plane.hpp
@@ -8,11 +8,11 @@
 #include "greengagehub/daemon/store_sync.hpp"
 #include "greengagehub/daemon/workspace_service.hpp"
 #include "greengagehub/dissemination/disseminator.hpp"
-#include "greengagehub/membership/domain_finder.hpp"
+#include "greengagehub/membership/domain_discovery.hpp"
 #include "greengagehub/membership/member_sync.hpp"
 #include "greengagehub/membership/membership.hpp"
-#include "greengagehub/membership/seed_keeper.hpp"
-#include "greengagehub/membership/watch_role.hpp"
+#include "greengagehub/membership/seed_publisher.hpp"
+#include "greengagehub/membership/watch_lease.hpp"
 #include "greengagehub/observe/log.hpp"
 #include "greengagehub/settings/settings.hpp"
 #include "greengagehub/transport/bulk_channel.hpp"
@@ -98,7 +98,7 @@
   void Start(std::uint16_t aLinkPort);
   void Announce(MemberState aState);
   /// \brief Publishes the state of this daemon and of the local worker.
-  void Announce(MemberState aState, WorkerFigures aWorker);
+  void Announce(MemberState aState, WorkerDescription aWorker);
   /// \brief Refreshes state that may be out of date after a pause of the
   /// process.
   void OnProcessResumed();
@@ -168,8 +168,8 @@
   BulkChannel m_bulk;
   Membership m_membership;
   Disseminator m_disseminator;
-  WatchRole m_watchRole;
-  SeedKeeper m_seedKeeper;
+  WatchLease m_watchLease;
+  SeedPublisher m_seedPublisher;
   StoreSync<platform::KvStore> m_sync;
   ConfigFeed<platform::KvStore> m_feed;
   DecisionService<platform::KvStore> m_decisions;
@@ -194,7 +194,7 @@
   std::string m_compressedSnapshot;
   Version m_compressedVersion;
   MemberSync m_memberSync;
-  DomainFinder m_domainFinder;
+  DomainDiscovery m_domainDiscovery;
   ReadyGate m_gate;
   TimePoint m_nextRank{};
   bool m_hasFallbackRead{ false };
--- a/include/greengagehub/dissemination/disseminator.hpp
+++ b/include/greengagehub/dissemination/disseminator.hpp
@@ -20,7 +20,7 @@
   std::chrono::milliseconds m_pullDelay{ 150 };
   /// Additional delay before a pull from another failure domain, in which a
   /// peer of the own domain may get the version.
-  std::chrono::milliseconds m_farDelay{ 0 };
+  std::chrono::milliseconds m_otherDomainDelay{ 0 };
   /// Time after which a pull without a result is given up.
   std::chrono::milliseconds m_pullTimeout{ 1000 };
 };
@@ -45,21 +45,23 @@
   }
 
   /// \returns Entries to push after the holder advanced from `aBefore`.
-  [[nodiscard]] std::vector<VersionEntry> ToPush(const ConfigHolder& aHolder,
-                                                 Version aBefore) const;
+  [[nodiscard]] std::vector<VersionEntry> EntriesToPush(
+    const ConfigHolder& aHolder,
+    Version aBefore) const;
   /// \returns Entries to add to a probe of a peer that lags behind.
-  [[nodiscard]] std::vector<VersionEntry> ToRepair(const ConfigHolder& aHolder,
-                                                   Version aTheirs) const;
+  [[nodiscard]] std::vector<VersionEntry> EntriesToRepair(
+    const ConfigHolder& aHolder,
+    Version aTheirs) const;
   /// \brief Schedules a pull if a peer has a higher version.
   void OnDigest(TimePoint aNow,
                 const ConfigHolder& aHolder,
                 const VersionDigest& aHead,
                 const MemberPeer& aPeer);
   /// \returns The peer to pull from now, if a pull is due.
-  [[nodiscard]] std::optional<MemberPeer> DuePull(TimePoint aNow,
-                                                  const ConfigHolder& aHolder);
+  [[nodiscard]] std::optional<MemberPeer> NextPull(TimePoint aNow,
+                                                   const ConfigHolder& aHolder);
   /// \brief The pending pull has ended, with or without a result.
-  void PullEnded() noexcept;
+  void OnPullEnded() noexcept;
 
 private:
   [[nodiscard]] std::vector<VersionEntry> EntriesThatFit(
--- a/include/greengagehub/membership/domain_finder.hpp
+++ b/include/greengagehub/membership/domain_discovery.hpp
@@ -13,7 +13,7 @@
 ///
 /// Needed when all daemons restart at once: each joins through the seeds of its
 /// own domain, so without discovery the domains would stay separate groups.
-class DomainFinder
+class DomainDiscovery
 {
 public:
   struct Seed
@@ -28,11 +28,12 @@
 
   /// \returns Seeds to contact now, of domains with no known member; empty
   /// between two contact intervals.
-  [[nodiscard]] std::vector<MemberPeer> ToAsk(TimePoint aNow,
-                                              const Membership& aMembership);
+  [[nodiscard]] std::vector<MemberPeer> PeersToContact(
+    TimePoint aNow,
+    const Membership& aMembership);
   /// \returns Whether the seeds are to be read from the store again; if so,
   /// schedules the next read.
-  [[nodiscard]] bool ReadIsDue(TimePoint aNow);
+  [[nodiscard]] bool IsReadDue(TimePoint aNow);
 
 private:
   /// Bounds of the interval between two reads of the seeds.
--- a/include/greengagehub/membership/gossip_message.hpp
+++ b/include/greengagehub/membership/gossip_message.hpp
@@ -44,7 +44,7 @@
   std::vector<VersionEntry> m_entries{};
   /// Highest version observed at the receiver's slot; the receiver must not run
   /// an older one.
-  Version m_floor{};
+  Version m_minimumVersion{};
   bool m_watching{ false };
   /// MemberDigests::Summary() of the sender's view, itself included.
   std::uint64_t m_members{ 0 };
--- a/include/greengagehub/membership/member.hpp
+++ b/include/greengagehub/membership/member.hpp
@@ -38,17 +38,17 @@
 struct MemberPeer
 {
   MemberAddress m_address;
-  bool m_isFar{ false };
+  bool m_crossesDomains{ false };
 
   [[nodiscard]] bool operator==(const MemberPeer&) const = default;
 };
 
 /// \brief Properties of the backend server that a daemon announces.
-struct WorkerFigures
+struct WorkerDescription
 {
   /// Number of concurrent calls.
   std::uint32_t m_slots{ 0 };
-  /// Same as MemberRecord::m_workerStart.
+  /// Same as MemberRecord::m_workerIncarnation.
   std::uint32_t m_start{ 0 };
   /// Version of the backend server's software; empty if unknown.
   std::string m_version{};
@@ -71,7 +71,7 @@
   std::uint32_t m_slots{ 0 };
   /// Identifies the incarnation of the backend server; 0 if unknown.
   /// Statistics of one incarnation don't apply to another.
-  std::uint32_t m_workerStart{ 0 };
+  std::uint32_t m_workerIncarnation{ 0 };
   /// Version of the backend server's software, empty if unknown.
   std::string m_workerVersion{};
   /// Rate of the daemon's network link in Mbit/s; members are ranked by it.
--- a/include/greengagehub/membership/member_sync.hpp
+++ b/include/greengagehub/membership/member_sync.hpp
@@ -28,7 +28,7 @@
   {
     /// The digest of its member table differs.
     bool m_differs{ false };
-    bool m_isFar{ false };
+    bool m_crossesDomains{ false };
   };
 
   [[nodiscard]] bool HasJoined() const noexcept { return m_joined; }
@@ -37,14 +37,14 @@
 
   /// \returns Whether to exchange members with this peer now; if so, schedules
   /// the next exchange.
-  [[nodiscard]] bool Begins(TimePoint aNow, Peer aPeer, bool aIsDomainRelay)
+  [[nodiscard]] bool TryBegin(TimePoint aNow, Peer aPeer, bool aIsDomainRelay)
   {
     const bool mayCross = !m_joined || aIsDomainRelay;
     if (!aPeer.m_differs || aNow < m_next ||
-        (aPeer.m_isFar && (!mayCross || aNow < m_nextCrossDomain))) {
+        (aPeer.m_crossesDomains && (!mayCross || aNow < m_nextCrossDomain))) {
       return false;
     }
-    if (aPeer.m_isFar) {
+    if (aPeer.m_crossesDomains) {
       m_nextCrossDomain = aNow + Jittered(m_random, kCrossDomainInterval);
     }
     m_next = aNow + Jittered(m_random, m_interval);
--- a/include/greengagehub/membership/member_table.hpp
+++ b/include/greengagehub/membership/member_table.hpp
@@ -18,7 +18,7 @@
   /// RankKey() of the slot.
   std::uint64_t m_rankKey{ 0 };
   /// Highest version observed at its slot, across restarts.
-  Version m_floor{};
+  Version m_minimumVersion{};
   /// Highest version observed at its current process.
   Version m_version{};
   /// When a suspect is declared dead.
--- a/include/greengagehub/membership/membership.hpp
+++ b/include/greengagehub/membership/membership.hpp
@@ -30,7 +30,7 @@
   /// Maximum number of updates in one datagram.
   std::uint32_t m_maxUpdates{ 6 };
   /// Interval in periods between probes of lost members, dead or left.
-  std::uint32_t m_lostEvery{ 5 };
+  std::uint32_t m_lostProbePeriods{ 5 };
   /// How long a lost member is kept and probed.
   std::chrono::milliseconds m_forgetAfter{ std::chrono::hours{ 24 } };
 };
@@ -71,22 +71,20 @@
   /// \returns Up to `aCount` distinct present members, drawn at random.
   [[nodiscard]] std::vector<MemberPeer> Sample(std::size_t aCount);
   /// \returns Same, only from the own failure domain.
-  [[nodiscard]] std::vector<MemberPeer> SampleNear(std::size_t aCount);
+  [[nodiscard]] std::vector<MemberPeer> SampleOwnDomain(std::size_t aCount);
   /// \returns Same, from other domains only if the own has too few; those may
   /// be repeated.
-  [[nodiscard]] std::vector<MemberPeer> SampleNearFirst(std::size_t aCount);
+  [[nodiscard]] std::vector<MemberPeer> SampleOwnDomainFirst(
+    std::size_t aCount);
   /// \returns One present member of each other failure domain, drawn at random.
-  [[nodiscard]] std::vector<MemberPeer> SampleEachDomain();
+  [[nodiscard]] std::vector<MemberPeer> SampleOtherDomains();
   /// \returns Failure domains with a present member, the own included.
   [[nodiscard]] std::set<std::string, std::less<>> DomainsPresent() const;
   /// \returns Whether this member is a relay of its failure domain, which
   /// exchanges probes, members and versions with other domains. The first
   /// kRelaysPerDomain by RankInDomain() are; a suspected relay is replaced
   /// within a period.
-  [[nodiscard]] bool SpeaksForDomain() const noexcept
-  {
-    return m_isDomainRelay;
-  }
+  [[nodiscard]] bool IsDomainRelay() const noexcept { return m_isDomainRelay; }
   /// Two, so that updates survive the loss of one.
   static constexpr std::size_t kRelaysPerDomain = 2;
   /// \returns Rank of this daemon among the live members of its failure domain,
@@ -94,18 +92,18 @@
   [[nodiscard]] std::size_t RankInDomain() const;
   /// \returns Whether it is the first of the live members of all domains in the
   /// same order.
-  [[nodiscard]] bool IsFirstOfAll() const;
+  [[nodiscard]] bool IsHighestRanked() const;
   /// \returns The first member in that order; nothing if it is this one.
-  [[nodiscard]] std::optional<MemberPeer> FirstOfAll() const;
+  [[nodiscard]] std::optional<MemberPeer> HighestRanked() const;
   /// \returns The destination for messages to the member.
   [[nodiscard]] MemberPeer PeerOf(const MemberRecord& aRecord) const;
-  [[nodiscard]] Version FloorOf(std::string_view aSlot) const;
+  [[nodiscard]] Version MinimumVersionOf(std::string_view aSlot) const;
   /// \returns Digests of all present members, this one included.
   [[nodiscard]] MemberDigests Digests() const;
   /// \returns Records of the buckets whose digests differ, starting at a random
   /// bucket. About kMaxSyncRecords at most, since after the loss of a failure
   /// domain all buckets differ; a joining daemon gets all records.
-  [[nodiscard]] std::vector<MemberRecord> RecordsFor(
+  [[nodiscard]] std::vector<MemberRecord> DifferingRecords(
     const MemberDigests& aTheirs);
   static constexpr std::size_t kMaxSyncRecords = 512;
 
@@ -124,7 +122,7 @@
   /// \brief Same, with new properties of the worker; increments the incarnation
   /// to override all earlier records.
   [[nodiscard]] MembershipActions Announce(MemberState aState,
-                                           WorkerFigures aWorker);
+                                           WorkerDescription aWorker);
   /// \brief Records that a version was observed at a slot.
   void RecordVersion(std::string_view aSlot, Version aVersion);
 
--- a/include/greengagehub/membership/seed_keeper.hpp
+++ b/include/greengagehub/membership/seed_publisher.hpp
@@ -16,13 +16,13 @@
 /// The first daemons of each failure domain by rank publish theirs. The keys
 /// have no lease, so that seeds are available after all daemons have stopped;
 /// a stale address costs its reader one lost datagram.
-class SeedKeeper
+class SeedPublisher
 {
 public:
   /// Number of seeds of a failure domain.
   static constexpr std::size_t kPlacesPerDomain = 2;
 
-  SeedKeeper(MemberRecord aSelf, std::uint64_t aSeed);
+  SeedPublisher(MemberRecord aSelf, std::uint64_t aSeed);
 
   /// \param aRank RankInDomain(); nothing before this daemon has joined.
   /// \returns The next request to the store, if any; at most one is pending.
--- a/include/greengagehub/membership/watch_role.hpp
+++ b/include/greengagehub/membership/watch_lease.hpp
@@ -13,7 +13,7 @@
 
 /// \brief Number of daemons of a failure domain that watch the store, and the
 /// times of their leases.
-struct WatchRoleSettings
+struct WatchLeaseSettings
 {
   std::uint32_t m_watchers{ 2 };
   std::chrono::milliseconds m_leaseTime{ std::chrono::seconds{ 6 } };
@@ -31,12 +31,12 @@
 /// The lease only limits the number of watchers: a daemon that resumes with an
 /// expired lease causes one superfluous read and no inconsistency. Joining
 /// daemons use the addresses in the keys.
-class WatchRole
+class WatchLease
 {
 public:
-  WatchRole(WatchRoleSettings aSettings,
-            MemberRecord aSelf,
-            std::uint64_t aSeed);
+  WatchLease(WatchLeaseSettings aSettings,
+             MemberRecord aSelf,
+             std::uint64_t aSeed);
 
   [[nodiscard]] bool Holds(TimePoint aNow) const noexcept
   {
@@ -44,7 +44,7 @@
   }
 
   /// \brief Delays the next attempt, since all places of the domain are taken.
-  void NoteAllTaken(TimePoint aNow);
+  void OnAllPlacesTaken(TimePoint aNow);
   /// \returns Whether the next OnTick() uses the rank, which takes a pass over
   /// all members to compute.
   [[nodiscard]] bool NeedsRank(TimePoint aNow) const noexcept;
@@ -72,7 +72,7 @@
     TimePoint aNow,
     const StoreReply& aReply);
 
-  WatchRoleSettings m_settings;
+  WatchLeaseSettings m_settings;
   MemberRecord m_self;
   Random m_random;
   State m_state{ State::Idle };
--- a/include/greengagehub/settings/settings.hpp
+++ b/include/greengagehub/settings/settings.hpp
@@ -4,7 +4,7 @@
 #include "greengagehub/core/outcome.hpp"
 #include "greengagehub/dissemination/disseminator.hpp"
 #include "greengagehub/membership/membership.hpp"
-#include "greengagehub/membership/watch_role.hpp"
+#include "greengagehub/membership/watch_lease.hpp"
 #include "greengagehub/workspaces/quota_terms.hpp"
 
 #include <cstdint>
@@ -134,7 +134,7 @@
   MembershipSettings m_membership{};
   /// Gossip addresses contacted to join, in addition to those in the store.
   std::vector<MemberAddress> m_seeds{};
-  WatchRoleSettings m_watch{};
+  WatchLeaseSettings m_watch{};
   DisseminationSettings m_dissemination{};
   CallSettings m_calls{};
   LogSettings m_log{};
--- a/include/greengagehub/transport/bulk_message.hpp
+++ b/include/greengagehub/transport/bulk_message.hpp
@@ -32,7 +32,7 @@
   /// Records that differ from the request's digests, if members are wanted.
   std::vector<MemberRecord> m_members{};
   /// Highest version that the requester's slot is known to have run.
-  Version m_floor{};
+  Version m_minimumVersion{};
   /// Active version of the answering daemon.
   VersionDigest m_head{};
   /// Sent with m_members.
--- a/include/greengagehub/transport/link_connection.hpp
+++ b/include/greengagehub/transport/link_connection.hpp
@@ -94,7 +94,7 @@
   std::string m_readBuffer;
   std::size_t m_unparsedBytes{ 0 };
   TrafficMeter& m_meter;
-  bool m_isFar{ false };
+  bool m_crossesDomains{ false };
   std::unique_ptr<LinkDeflater> m_deflater;
   std::unique_ptr<LinkInflater> m_inflater;
   /// Encoded frames for the next write.
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -166,7 +166,7 @@
   row.m_service = aRecord.m_service;
   row.m_domain = aRecord.m_domain;
   row.m_slots = std::max(1U, aRecord.m_slots);
-  row.m_start = aRecord.m_workerStart;
+  row.m_start = aRecord.m_workerIncarnation;
   row.m_version = aRecord.m_workerVersion;
   row.m_leaving = !TakesCalls(aRecord.m_state) || aRecord.m_slots == 0;
   m_dispatcher.Workers().Put(std::move(row));
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -83,8 +83,8 @@
                  aSettings.m_membership,
                  m_random())
   , m_disseminator(aSettings.m_dissemination, m_random())
-  , m_watchRole(aSettings.m_watch, m_membership.Self(), m_random())
-  , m_seedKeeper(m_membership.Self(), m_random())
+  , m_watchLease(aSettings.m_watch, m_membership.Self(), m_random())
+  , m_seedPublisher(m_membership.Self(), m_random())
   , m_sync(aLoop,
            m_store,
            m_holder,
@@ -128,7 +128,7 @@
                           QuarantineKeeper::Scope aScope) {
                      PublishQuarantine(aUpdate, aScope);
                    },
-                   [this] { return m_membership.IsFirstOfAll(); } })
+                   [this] { return m_membership.IsHighestRanked(); } })
   , m_rollouts(RolloutParts())
   , m_workspaces(WorkspaceParts(aLoop), aProcess, m_random())
   , m_tick(aLoop)
@@ -145,7 +145,7 @@
 ControlPlane::IsWatching() const
 {
   return m_settings.m_platform.m_enabled ? m_feed.IsWatching()
-                                         : m_watchRole.Holds(Clock::now());
+                                         : m_watchLease.Holds(Clock::now());
 }
 
 bool
@@ -210,8 +210,8 @@
   MemberRecord self = m_membership.Self();
   self.m_address.m_linkPort = aLinkPort;
   m_membership = Membership{ self, m_settings.m_membership, m_random() };
-  m_watchRole = WatchRole{ m_settings.m_watch, self, m_random() };
-  m_seedKeeper = SeedKeeper{ self, m_random() };
+  m_watchLease = WatchLease{ m_settings.m_watch, self, m_random() };
+  m_seedPublisher = SeedPublisher{ self, m_random() };
   m_started = Clock::now();
   // Jitter spreads the first store requests of daemons that restart together.
   m_nextJoin = m_started + Jittered(m_random, m_joinBackoff);
@@ -242,7 +242,7 @@
   const bool joined = m_memberSync.HasJoined();
   const bool isJoinOverdue = !joined && now - m_started >= kStandaloneAfter;
   const bool readsStore =
-    isJoinOverdue || (joined && m_membership.SpeaksForDomain());
+    isJoinOverdue || (joined && m_membership.IsDomainRelay());
   m_quarantine.OnTick(now, readsStore);
   m_rollouts.OnTick(now, readsStore && m_settings.m_platform.m_enabled);
   m_workspaces.OnTick();
@@ -279,7 +279,7 @@
 }
 
 void
-ControlPlane::Announce(MemberState aState, WorkerFigures aWorker)
+ControlPlane::Announce(MemberState aState, WorkerDescription aWorker)
 {
   Carry(m_membership.Announce(aState, aWorker));
 }
@@ -333,8 +333,9 @@
     return;
   }
   const TimePoint now = Clock::now();
-  m_gate.HeardPeer(
-    aMessage.m_sender.m_slot, aMessage.m_head.m_version, aMessage.m_floor);
+  m_gate.HeardPeer(aMessage.m_sender.m_slot,
+                   aMessage.m_head.m_version,
+                   aMessage.m_minimumVersion);
   StageAll(aMessage.m_entries);
   if (!aMessage.m_quarantine.IsEmpty()) {
     m_quarantine.OnNews(aMessage.m_quarantine);
@@ -354,7 +355,7 @@
     for (GossipSend& each : actions.m_sends) {
       if (each.m_message.m_kind == GossipMessage::Kind::Ack) {
         each.m_message.m_entries =
-          m_disseminator.ToRepair(m_holder, peerVersion);
+          m_disseminator.EntriesToRepair(m_holder, peerVersion);
       }
     }
   }
@@ -384,11 +385,11 @@
     return;
   }
   const std::size_t rank =
-    m_watchRole.NeedsRank(aNow) ? m_membership.RankInDomain() : 0;
-  if (auto request = m_watchRole.OnTick(aNow, rank)) {
+    m_watchLease.NeedsRank(aNow) ? m_membership.RankInDomain() : 0;
+  if (auto request = m_watchLease.OnTick(aNow, rank)) {
     ExecuteWatchRequest(std::move(*request));
   }
-  m_sync.SetWatching(m_watchRole.Holds(aNow));
+  m_sync.SetWatching(m_watchLease.Holds(aNow));
 }
 
 void
@@ -404,14 +405,14 @@
   }
   if (m_memberSync.HasJoined() || aNow - m_started >= kStandaloneAfter) {
     m_feed.SetWatching(rank.value_or(0) < kWatchersPerDomain);
-    // IsFirstOfAll() scans all members, so the rank is checked first.
+    // IsHighestRanked() scans all members, so the rank is checked first.
     m_feed.SetMaintainsCopy(rank.value_or(0) == 0 &&
-                            m_membership.IsFirstOfAll());
+                            m_membership.IsHighestRanked());
   }
-  auto request = m_seedKeeper.OnTick(aNow, rank);
+  auto request = m_seedPublisher.OnTick(aNow, rank);
   if (request) {
     m_store.Carry(std::move(*request), [this](const StoreReply& aReply) {
-      m_seedKeeper.OnReply(Clock::now(), aReply);
+      m_seedPublisher.OnReply(Clock::now(), aReply);
     });
   }
 }
@@ -420,7 +421,7 @@
 ControlPlane::OnStoreRestored()
 {
   m_log.Warning("store", "store_restored");
-  m_seedKeeper.OnStoreRestored();
+  m_seedPublisher.OnStoreRestored();
   m_nextRank = TimePoint{};
   m_quarantine.OnStoreRestored();
   m_rollouts.OnStoreRestored();
@@ -458,7 +459,7 @@
 ControlPlane::ExecuteWatchRequest(StoreRequest aRequest)
 {
   m_store.Carry(std::move(aRequest), [this](const StoreReply& aReply) {
-    if (auto next = m_watchRole.OnReply(Clock::now(), aReply)) {
+    if (auto next = m_watchLease.OnReply(Clock::now(), aReply)) {
       ExecuteWatchRequest(std::move(*next));
     }
   });
--- a/src/daemon/control_plane_joining.cpp
+++ b/src/daemon/control_plane_joining.cpp
@@ -32,7 +32,7 @@
     return;
   }
   m_nextContact = aNow + Jittered(m_random, kContactInterval);
-  std::vector<MemberPeer> targets = m_membership.SampleNear(1);
+  std::vector<MemberPeer> targets = m_membership.SampleOwnDomain(1);
   if (targets.empty()) {
     targets = m_membership.Sample(1);
   }
@@ -47,13 +47,14 @@
 void
 ControlPlane::DiscoverDomains(TimePoint aNow)
 {
-  if (!m_memberSync.HasJoined() || !m_membership.SpeaksForDomain()) {
+  if (!m_memberSync.HasJoined() || !m_membership.IsDomainRelay()) {
     return;
   }
-  for (const MemberPeer& each : m_domainFinder.ToAsk(aNow, m_membership)) {
+  for (const MemberPeer& each :
+       m_domainDiscovery.PeersToContact(aNow, m_membership)) {
     Contact(each);
   }
-  if (m_domainFinder.ReadIsDue(aNow)) {
+  if (m_domainDiscovery.IsReadDue(aNow)) {
     m_store.Carry(MakeOldList(std::string{ kSeedPrefix }),
                   [this](const StoreReply& aReply) { OnSeeds(aReply); });
   }
@@ -91,7 +92,7 @@
   const std::string domain = SeedPrefix(m_settings.m_domain);
   std::uint32_t ownDomainSeeds = 0;
   std::vector<MemberPeer> otherDomainPeers;
-  std::vector<DomainFinder::Seed> otherDomainSeeds;
+  std::vector<DomainDiscovery::Seed> otherDomainSeeds;
   m_knownSeeds.clear();
   for (const StoreItem& each : aReply.m_items) {
     const bool isOwnDomain = each.m_key.starts_with(domain);
@@ -107,7 +108,7 @@
         .push_back({ *address, !isOwnDomain });
     }
   }
-  m_domainFinder.OnSeeds(std::move(otherDomainSeeds));
+  m_domainDiscovery.OnSeeds(std::move(otherDomainSeeds));
   if (m_memberSync.HasJoined()) {
     return;
   }
@@ -127,9 +128,9 @@
   // By kStandaloneAfter, running peers would have answered; later, the seeds
   // are treated as stale.
   const bool isStarting = now - m_started < kStandaloneAfter;
-  m_seedKeeper.OnSeeds(now, isStarting && hasOwnDomainPeer);
+  m_seedPublisher.OnSeeds(now, isStarting && hasOwnDomainPeer);
   if (ownDomainSeeds >= m_settings.m_watch.m_watchers) {
-    m_watchRole.NoteAllTaken(now);
+    m_watchLease.OnAllPlacesTaken(now);
   }
 }
 
@@ -143,7 +144,7 @@
   m_gate.Joined();
   // Contacts enough peers to become ready.
   for (const MemberPeer& each :
-       m_membership.SampleNearFirst(ReadyGate::kPeers)) {
+       m_membership.SampleOwnDomainFirst(ReadyGate::kPeers)) {
     Contact(each);
   }
 }
@@ -156,8 +157,9 @@
   if (!differs) {
     SetJoined();
   }
-  if (m_memberSync.Begins(
-        aNow, { differs, peer.m_isFar }, m_membership.SpeaksForDomain())) {
+  if (m_memberSync.TryBegin(aNow,
+                            { differs, peer.m_crossesDomains },
+                            m_membership.IsDomainRelay())) {
     PullFrom(peer, true);
   }
 }
--- a/src/daemon/control_plane_quarantine.cpp
+++ b/src/daemon/control_plane_quarantine.cpp
@@ -34,13 +34,14 @@
 ControlPlane::PublishQuarantine(const QuarantineUpdate& aUpdate,
                                 QuarantineKeeper::Scope aScope)
 {
-  SendQuarantine(m_membership.SampleNear(kUpdateFanout), aUpdate);
+  SendQuarantine(m_membership.SampleOwnDomain(kUpdateFanout), aUpdate);
   if (aScope == QuarantineKeeper::Scope::AllDomains) {
-    SendQuarantine(m_membership.SampleEachDomain(), aUpdate);
+    SendQuarantine(m_membership.SampleOtherDomains(), aUpdate);
     // Sends the verdicts twice to compensate for datagram loss: a domain that
     // misses both runs the request until a probe shows a different digest.
     // Crash reports are sent once, because other domains count them too.
-    SendQuarantine(m_membership.SampleEachDomain(), { {}, aUpdate.m_verdicts });
+    SendQuarantine(m_membership.SampleOtherDomains(),
+                   { {}, aUpdate.m_verdicts });
   }
 }
 
--- a/src/daemon/control_plane_rollouts.cpp
+++ b/src/daemon/control_plane_rollouts.cpp
@@ -43,9 +43,9 @@
       [this](WorkerCounts aCounts) { SendCounts(std::move(aCounts)); },
     .m_isLeader =
       [this] {
-        return m_memberSync.HasJoined() && m_membership.IsFirstOfAll();
+        return m_memberSync.HasJoined() && m_membership.IsHighestRanked();
       },
-    .m_isBackupWriter = [this] { return m_membership.SpeaksForDomain(); },
+    .m_isBackupWriter = [this] { return m_membership.IsDomainRelay(); },
     .m_workers =
       [this](const RolloutRecord& aRecord) { return WorkersOf(aRecord); },
     .m_mostCommonVersion =
@@ -82,12 +82,13 @@
                               RolloutTable::Change aChange)
 {
   const bool isState = aChange == RolloutTable::Change::State;
-  SendRollouts(m_membership.SampleNear(isState ? kStateFanout : kPermitFanout),
-               aRecords);
+  SendRollouts(
+    m_membership.SampleOwnDomain(isState ? kStateFanout : kPermitFanout),
+    aRecords);
   if (aScope == RolloutKeeper::Scope::AllDomains) {
     // Sends the records twice to compensate for datagram loss.
-    SendRollouts(m_membership.SampleEachDomain(), aRecords);
-    SendRollouts(m_membership.SampleEachDomain(), aRecords);
+    SendRollouts(m_membership.SampleOtherDomains(), aRecords);
+    SendRollouts(m_membership.SampleOtherDomains(), aRecords);
   }
 }
 
@@ -106,7 +107,7 @@
 void
 ControlPlane::SendCounts(WorkerCounts aCounts)
 {
-  const auto leader = m_membership.FirstOfAll();
+  const auto leader = m_membership.HighestRanked();
   if (!leader) {
     return;
   }
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -58,7 +58,7 @@
 void
 ControlPlane::PushEntries(Version aBefore)
 {
-  const auto entries = m_disseminator.ToPush(m_holder, aBefore);
+  const auto entries = m_disseminator.EntriesToPush(m_holder, aBefore);
   const std::uint32_t fanout = m_disseminator.Settings().m_fanout;
   for (const MemberPeer& each : PushTargets(fanout)) {
     GossipMessage message;
@@ -77,9 +77,9 @@
   }
   // Each domain watches the store itself. Pushes of the relays cover for a
   // domain whose watchers have failed.
-  std::vector<MemberPeer> targets = m_membership.SampleNear(aFanout - 1);
-  if (m_membership.SpeaksForDomain()) {
-    const auto remote = m_membership.SampleEachDomain();
+  std::vector<MemberPeer> targets = m_membership.SampleOwnDomain(aFanout - 1);
+  if (m_membership.IsDomainRelay()) {
+    const auto remote = m_membership.SampleOtherDomains();
     targets.insert(targets.end(), remote.begin(), remote.end());
   }
   return targets;
@@ -96,7 +96,7 @@
   if (readsStore) {
     return;
   }
-  if (const auto peer = m_disseminator.DuePull(aNow, m_holder)) {
+  if (const auto peer = m_disseminator.NextPull(aNow, m_holder)) {
     PullFrom(*peer, false);
   }
 }
@@ -122,7 +122,7 @@
                   }
                   OnPulled(std::move(aAnswer));
                 });
-  m_traffic.Add(PurposeOf(request), aPeer.m_isFar, bytes);
+  m_traffic.Add(PurposeOf(request), aPeer.m_crossesDomains, bytes);
 }
 
 void
@@ -138,13 +138,13 @@
 void
 ControlPlane::OnPulled(std::optional<PullAnswer> aAnswer)
 {
-  m_disseminator.PullEnded();
+  m_disseminator.OnPullEnded();
   if (!aAnswer) {
     return;
   }
   // Permits must be known before the members whose versions they cover.
   m_rollouts.OnNews(aAnswer->m_rollouts);
-  m_gate.Raise(std::max(aAnswer->m_head.m_version, aAnswer->m_floor));
+  m_gate.Raise(std::max(aAnswer->m_head.m_version, aAnswer->m_minimumVersion));
   MembershipActions actions =
     m_membership.OnRecords(Clock::now(), aAnswer->m_members);
   m_memberSync.Ended(actions.m_events.size());
@@ -173,9 +173,9 @@
 {
   PullAnswer answer;
   answer.m_head = { m_holder.GetVersion(), m_holder.Active()->m_chain };
-  answer.m_floor = m_membership.FloorOf(aRequest.m_slot);
+  answer.m_minimumVersion = m_membership.MinimumVersionOf(aRequest.m_slot);
   if (aRequest.m_wantMembers) {
-    answer.m_members = m_membership.RecordsFor(aRequest.m_members);
+    answer.m_members = m_membership.DifferingRecords(aRequest.m_members);
     answer.m_rollouts = m_rollouts.Table().All(Clock::now());
   }
   bool complete = false;
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -148,7 +148,7 @@
     }
   }
   // Every daemon reports the coordinator that it knows.
-  if (auto first = members.FirstOfAll(); first && Below(m_random, 2) == 0) {
+  if (auto first = members.HighestRanked(); first && Below(m_random, 2) == 0) {
     return first;
   }
   auto any = members.Sample(1);
@@ -304,12 +304,11 @@
   const Membership& members = m_parts.m_members();
   if (aNow >= m_nextRankCheck) {
     m_nextRankCheck = aNow + kRankCheckInterval;
-    m_isHighestRanked = members.IsFirstOfAll();
+    m_isHighestRanked = members.IsHighestRanked();
   }
   const auto silence = aNow - m_lastCoordinatorReport;
   return m_isHighestRanked ||
-         (members.SpeaksForDomain() &&
-          silence >= kRelaySilence + m_claimDelay) ||
+         (members.IsDomainRelay() && silence >= kRelaySilence + m_claimDelay) ||
          silence >= kMemberSilence + m_claimDelay;
 }
 
--- a/src/dissemination/disseminator.cpp
+++ b/src/dissemination/disseminator.cpp
@@ -41,14 +41,15 @@
 }
 
 std::vector<VersionEntry>
-Disseminator::ToPush(const ConfigHolder& aHolder, Version aBefore) const
+Disseminator::EntriesToPush(const ConfigHolder& aHolder, Version aBefore) const
 {
   return EntriesThatFit(
     aHolder, aBefore, m_settings.m_maxDatagramBytes - kEntryOverhead);
 }
 
 std::vector<VersionEntry>
-Disseminator::ToRepair(const ConfigHolder& aHolder, Version aTheirs) const
+Disseminator::EntriesToRepair(const ConfigHolder& aHolder,
+                              Version aTheirs) const
 {
   return EntriesThatFit(aHolder, aTheirs, kMaxRepairBytes);
 }
@@ -63,7 +64,7 @@
   if (aHead.m_version <= aHolder.GetVersion()) {
     return;
   }
-  if (!aPeer.m_isFar) {
+  if (!aPeer.m_crossesDomains) {
     m_ownDomainSource = aPeer;
   }
   if (m_sources.size() < kMaxSources) {
@@ -71,18 +72,19 @@
   } else {
     m_sources[Below(m_random, kMaxSources)] = aPeer;
   }
-  const auto domainDelay =
-    aPeer.m_isFar ? m_settings.m_farDelay : std::chrono::milliseconds{ 0 };
+  const auto domainDelay = aPeer.m_crossesDomains
+                             ? m_settings.m_otherDomainDelay
+                             : std::chrono::milliseconds{ 0 };
   const TimePoint at =
     aNow + Jittered(m_random, m_settings.m_pullDelay) + domainDelay;
   m_pullAt = m_pullAt ? std::min(*m_pullAt, at) : at;
 }
 
 std::optional<MemberPeer>
-Disseminator::DuePull(TimePoint aNow, const ConfigHolder& aHolder)
+Disseminator::NextPull(TimePoint aNow, const ConfigHolder& aHolder)
 {
   if (m_pullUntil && aNow >= *m_pullUntil) {
-    PullEnded();
+    OnPullEnded();
   }
   if (m_highestKnownVersion <= aHolder.GetVersion()) {
     m_sources.clear();
@@ -108,7 +110,7 @@
 }
 
 void
-Disseminator::PullEnded() noexcept
+Disseminator::OnPullEnded() noexcept
 {
   m_pullUntil.reset();
   m_pullAt.reset();
--- a/src/membership/domain_finder.cpp
+++ b/src/membership/domain_discovery.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/membership/domain_finder.hpp"
+#include "greengagehub/membership/domain_discovery.hpp"
 
 #include <algorithm>
 
@@ -12,7 +12,7 @@
 }
 
 std::vector<MemberPeer>
-DomainFinder::ToAsk(TimePoint aNow, const Membership& aMembership)
+DomainDiscovery::PeersToContact(TimePoint aNow, const Membership& aMembership)
 {
   std::vector<MemberPeer> peers;
   if (aNow < m_nextContact) {
@@ -32,7 +32,7 @@
 }
 
 bool
-DomainFinder::ReadIsDue(TimePoint aNow)
+DomainDiscovery::IsReadDue(TimePoint aNow)
 {
   if (aNow < m_nextRead) {
     return false;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -54,7 +54,8 @@
 Membership::DomainScope
 Membership::ScopeOf(const MemberPeer& aPeer)
 {
-  return aPeer.m_isFar ? DomainScope::OtherDomain : DomainScope::OwnDomain;
+  return aPeer.m_crossesDomains ? DomainScope::OtherDomain
+                                : DomainScope::OwnDomain;
 }
 
 std::vector<MemberTable::Index>&
@@ -261,7 +262,7 @@
 {
   GossipMessage ack = Make(Kind::Ack, ScopeOf(aMessage.m_sender));
   ack.m_sequence = aMessage.m_sequence;
-  ack.m_floor = FloorOf(aMessage.m_sender.m_slot);
+  ack.m_minimumVersion = MinimumVersionOf(aMessage.m_sender.m_slot);
   // A sender that is treated as lost receives its record, to refute it.
   const auto known = m_members.Find(aMessage.m_sender.m_slot);
   if (known && !IsPresent(m_members.At(*known).m_record.m_state)) {
@@ -323,7 +324,7 @@
 {
   if (const auto index = m_members.Find(aSlot)) {
     MemberRow& row = m_members.At(*index);
-    row.m_floor = std::max(row.m_floor, aVersion);
+    row.m_minimumVersion = std::max(row.m_minimumVersion, aVersion);
     row.m_version = std::max(row.m_version, aVersion);
   }
 }
--- a/src/membership/membership_time.cpp
+++ b/src/membership/membership_time.cpp
@@ -150,7 +150,7 @@
     return;
   }
   aProbe.m_indirect = true;
-  for (const MemberPeer& each : SampleNearFirst(m_settings.m_indirect)) {
+  for (const MemberPeer& each : SampleOwnDomainFirst(m_settings.m_indirect)) {
     GossipMessage request = Make(Kind::PingRequest, ScopeOf(each));
     request.m_sequence = aProbe.m_sequence;
     request.m_target = aProbe.m_slot;
@@ -190,7 +190,7 @@
 {
   m_nextProbe = aNow + m_settings.m_period;
   ++m_periods;
-  if (m_periods % m_settings.m_lostEvery == 0) {
+  if (m_periods % m_settings.m_lostProbePeriods == 0) {
     ForgetLost(aNow);
     ProbeLost(aOut);
   }
@@ -252,11 +252,11 @@
 }
 
 MembershipActions
-Membership::Announce(MemberState aState, WorkerFigures aWorker)
+Membership::Announce(MemberState aState, WorkerDescription aWorker)
 {
   ++m_self.m_incarnation;
   m_self.m_slots = aWorker.m_slots;
-  m_self.m_workerStart = aWorker.m_start;
+  m_self.m_workerIncarnation = aWorker.m_start;
   m_self.m_workerVersion = std::move(aWorker.m_version);
   return Announce(aState);
 }
@@ -269,7 +269,7 @@
   // Callers in other domains learn of it from rejected calls on their links and
   // from the relays.
   const std::size_t count = std::max<std::size_t>(8, TransmitLimit());
-  auto targets = SampleNear(count);
+  auto targets = SampleOwnDomain(count);
   if (targets.empty()) {
     targets = Sample(count);
   }
--- a/src/membership/membership_views.cpp
+++ b/src/membership/membership_views.cpp
@@ -23,7 +23,7 @@
 }
 
 std::vector<MemberPeer>
-Membership::SampleNear(std::size_t aCount)
+Membership::SampleOwnDomain(std::size_t aCount)
 {
   std::vector<MemberPeer> near;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
@@ -61,9 +61,9 @@
 }
 
 std::vector<MemberPeer>
-Membership::SampleNearFirst(std::size_t aCount)
+Membership::SampleOwnDomainFirst(std::size_t aCount)
 {
-  std::vector<MemberPeer> sampled = SampleNear(aCount);
+  std::vector<MemberPeer> sampled = SampleOwnDomain(aCount);
   if (sampled.size() < aCount) {
     // May repeat members of the own domain.
     const auto more = Sample(aCount - sampled.size());
@@ -73,7 +73,7 @@
 }
 
 std::vector<MemberPeer>
-Membership::SampleEachDomain()
+Membership::SampleOtherDomains()
 {
   struct Drawn
   {
@@ -129,7 +129,7 @@
 }
 
 bool
-Membership::IsFirstOfAll() const
+Membership::IsHighestRanked() const
 {
   const std::uint64_t own = RankKey(m_self.m_slot);
   bool isFirst = true;
@@ -141,7 +141,7 @@
 }
 
 std::optional<MemberPeer>
-Membership::FirstOfAll() const
+Membership::HighestRanked() const
 {
   const MemberRow* first = nullptr;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
@@ -164,10 +164,10 @@
 }
 
 Version
-Membership::FloorOf(std::string_view aSlot) const
+Membership::MinimumVersionOf(std::string_view aSlot) const
 {
   const auto index = m_members.Find(aSlot);
-  return index ? m_members.At(*index).m_floor : Version{};
+  return index ? m_members.At(*index).m_minimumVersion : Version{};
 }
 
 MemberDigests
@@ -179,7 +179,7 @@
 }
 
 std::vector<MemberRecord>
-Membership::RecordsFor(const MemberDigests& aTheirs)
+Membership::DifferingRecords(const MemberDigests& aTheirs)
 {
   const MemberDigests own = Digests();
   std::array<std::vector<const MemberRecord*>, MemberDigests::kBuckets> buckets;
--- a/src/membership/seed_keeper.cpp
+++ b/src/membership/seed_publisher.cpp
@@ -1,6 +1,6 @@
-#include "greengagehub/membership/seed_keeper.hpp"
+#include "greengagehub/membership/seed_publisher.hpp"
 
-#include "greengagehub/membership/watch_role.hpp"
+#include "greengagehub/membership/watch_lease.hpp"
 
 #include <cmath>
 #include <random>
@@ -31,14 +31,14 @@
 
 }
 
-SeedKeeper::SeedKeeper(MemberRecord aSelf, std::uint64_t aSeed)
+SeedPublisher::SeedPublisher(MemberRecord aSelf, std::uint64_t aSeed)
   : m_self(std::move(aSelf))
   , m_random(aSeed)
 {
 }
 
 StoreRequest
-SeedKeeper::Write()
+SeedPublisher::Write()
 {
   m_requestPending = true;
   return MakePut(SeedKey(m_self.m_domain, static_cast<std::uint32_t>(m_place)),
@@ -47,7 +47,7 @@
 }
 
 std::optional<StoreRequest>
-SeedKeeper::OnTick(TimePoint aNow, std::optional<std::size_t> aRank)
+SeedPublisher::OnTick(TimePoint aNow, std::optional<std::size_t> aRank)
 {
   if (m_requestPending || aNow < m_next) {
     return std::nullopt;
@@ -78,7 +78,7 @@
 }
 
 void
-SeedKeeper::OnSeeds(TimePoint aNow, bool aHasOthers)
+SeedPublisher::OnSeeds(TimePoint aNow, bool aHasOthers)
 {
   if (aHasOthers) {
     m_firstWriteAt.reset();
@@ -88,7 +88,7 @@
 }
 
 void
-SeedKeeper::OnStoreRestored() noexcept
+SeedPublisher::OnStoreRestored() noexcept
 {
   m_written = false;
   m_revision = 0;
@@ -96,7 +96,7 @@
 }
 
 void
-SeedKeeper::OnReply(TimePoint aNow, const StoreReply& aReply)
+SeedPublisher::OnReply(TimePoint aNow, const StoreReply& aReply)
 {
   m_requestPending = false;
   if (aReply.m_status == Status::Conflict) {
--- a/src/membership/watch_role.cpp
+++ b/src/membership/watch_lease.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/membership/watch_role.hpp"
+#include "greengagehub/membership/watch_lease.hpp"
 
 #include "greengagehub/config/store_layout.hpp"
 #include "greengagehub/core/field_reader.hpp"
@@ -29,9 +29,9 @@
 
 }
 
-WatchRole::WatchRole(WatchRoleSettings aSettings,
-                     MemberRecord aSelf,
-                     std::uint64_t aSeed)
+WatchLease::WatchLease(WatchLeaseSettings aSettings,
+                       MemberRecord aSelf,
+                       std::uint64_t aSeed)
   : m_settings(aSettings)
   , m_self(std::move(aSelf))
   , m_random(aSeed)
@@ -40,7 +40,7 @@
 }
 
 void
-WatchRole::BackOff(TimePoint aNow)
+WatchLease::BackOff(TimePoint aNow)
 {
   m_state = State::Idle;
   m_isQuarantined = false;
@@ -49,7 +49,7 @@
 }
 
 StoreRequest
-WatchRole::WriteSeed()
+WatchLease::WriteSeed()
 {
   StoreRequest request =
     MakePut(SeedKey(m_self.m_domain, m_place), SeedToJson(m_self.m_address), 0);
@@ -59,7 +59,7 @@
 }
 
 void
-WatchRole::NoteAllTaken(TimePoint aNow)
+WatchLease::OnAllPlacesTaken(TimePoint aNow)
 {
   if (m_state == State::Idle && !m_isQuarantined) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_maxRetry);
@@ -67,14 +67,14 @@
 }
 
 bool
-WatchRole::NeedsRank(TimePoint aNow) const noexcept
+WatchLease::NeedsRank(TimePoint aNow) const noexcept
 {
   return m_state == State::Idle && !Holds(aNow) && aNow >= m_nextTry &&
          m_nextTry != TimePoint{};
 }
 
 std::optional<StoreRequest>
-WatchRole::OnTick(TimePoint aNow, std::size_t aRank)
+WatchLease::OnTick(TimePoint aNow, std::size_t aRank)
 {
   if (m_nextTry == TimePoint{}) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_retry);
@@ -101,7 +101,7 @@
 }
 
 std::optional<StoreRequest>
-WatchRole::OnPlacesListed(TimePoint aNow, const StoreReply& aReply)
+WatchLease::OnPlacesListed(TimePoint aNow, const StoreReply& aReply)
 {
   std::vector<std::uint32_t> free;
   for (std::uint32_t place = 0; place < m_settings.m_watchers; ++place) {
@@ -116,7 +116,7 @@
   }
   if (free.empty()) {
     m_state = State::Idle;
-    NoteAllTaken(aNow);
+    OnAllPlacesTaken(aNow);
     return std::nullopt;
   }
   m_state = State::RequestingLease;
@@ -128,7 +128,7 @@
 }
 
 std::optional<StoreRequest>
-WatchRole::OnReply(TimePoint aNow, const StoreReply& aReply)
+WatchLease::OnReply(TimePoint aNow, const StoreReply& aReply)
 {
   const bool ok = aReply.m_status == Status::Ok;
   if (m_state == State::ListingPlaces && ok) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -241,7 +241,7 @@
     reader.Millis("ack_timeout_ms", membership.m_ackTimeout, 5, 60'000);
     reader.Count("indirect", membership.m_indirect, 0, 16);
     reader.Count("suspicion_factor", membership.m_suspicionFactor, 1, 1000);
-    reader.Count("lost_every", membership.m_lostEvery, 1, 1000);
+    reader.Count("lost_every", membership.m_lostProbePeriods, 1, 1000);
     reader.ReportUnknownKeys();
   }
 
@@ -262,7 +262,7 @@
     DisseminationSettings& target = m_settings.m_dissemination;
     reader.Count("fanout", target.m_fanout, 0, 64);
     reader.Millis("pull_delay_ms", target.m_pullDelay, 0, 60'000);
-    reader.Millis("far_delay_ms", target.m_farDelay, 0, 60'000);
+    reader.Millis("far_delay_ms", target.m_otherDomainDelay, 0, 60'000);
     reader.Millis("pull_timeout_ms", target.m_pullTimeout, 10, 60'000);
     reader.ReportUnknownKeys();
   }
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -33,7 +33,7 @@
   aOut.set_link_port(aRecord.m_address.m_linkPort);
   aOut.set_slots(aRecord.m_slots);
   aOut.set_link_mbps(aRecord.m_linkMbps);
-  aOut.set_worker_start(aRecord.m_workerStart);
+  aOut.set_worker_start(aRecord.m_workerIncarnation);
   aOut.set_worker_version(aRecord.m_workerVersion);
 }
 
@@ -61,7 +61,7 @@
                        static_cast<std::uint16_t>(aWire.link_port()) };
   record.m_slots = aWire.slots();
   record.m_linkMbps = aWire.link_mbps();
-  record.m_workerStart = aWire.worker_start();
+  record.m_workerIncarnation = aWire.worker_start();
   record.m_workerVersion = aWire.worker_version();
   return record;
 }
@@ -211,7 +211,7 @@
   for (const VersionEntry& each : aMessage.m_entries) {
     ToWire(each, *out.add_entries());
   }
-  out.set_floor(aMessage.m_floor.m_number);
+  out.set_floor(aMessage.m_minimumVersion.m_number);
   out.set_watching(aMessage.m_watching);
   out.set_members(aMessage.m_members);
   for (const EndReport& each : aMessage.m_quarantine.m_ends) {
@@ -281,7 +281,7 @@
   message.m_head = head.value();
   message.m_updates = std::move(updates.value());
   message.m_entries = std::move(entries.value());
-  message.m_floor = Version{ in.floor() };
+  message.m_minimumVersion = Version{ in.floor() };
   message.m_watching = in.watching();
   message.m_members = in.members();
   message.m_quarantine = { std::move(ends.value()),
@@ -355,7 +355,7 @@
   for (const RolloutRecord& each : aAnswer.m_rollouts) {
     ToWire(each, *out.add_rollouts());
   }
-  out.set_floor(aAnswer.m_floor.m_number);
+  out.set_floor(aAnswer.m_minimumVersion.m_number);
   ToWire(aAnswer.m_head, *out.mutable_head());
   return out.SerializeAsString();
 }
@@ -385,7 +385,7 @@
   }
   answer.m_entries = std::move(entries.value());
   answer.m_members = std::move(members.value());
-  answer.m_floor = Version{ in.floor() };
+  answer.m_minimumVersion = Version{ in.floor() };
   answer.m_head = head.value();
   answer.m_rollouts = std::move(rollouts.value());
   return answer;
--- a/src/transport/gossip_socket.cpp
+++ b/src/transport/gossip_socket.cpp
@@ -55,7 +55,8 @@
                    0,
                    error);
   // Send errors are ignored: the protocol tolerates lost datagrams.
-  m_meter.Add(PurposeOf(aSend.m_message), aSend.m_to.m_isFar, bytes.size());
+  m_meter.Add(
+    PurposeOf(aSend.m_message), aSend.m_to.m_crossesDomains, bytes.size());
   ++m_counts.m_sent;
   m_counts.m_bytesSent += bytes.size();
 }
--- a/src/transport/link_connection.cpp
+++ b/src/transport/link_connection.cpp
@@ -123,7 +123,7 @@
 void
 LinkConnection::SetCrossesDomains()
 {
-  m_isFar = true;
+  m_crossesDomains = true;
   m_deflater = std::make_unique<LinkDeflater>();
 }
 
@@ -132,7 +132,7 @@
 {
   const std::size_t before = m_encoded.size();
   AppendFrame(m_encoded, aFrame, m_deflater.get());
-  m_meter.Add(PurposeOf(aFrame), m_isFar, m_encoded.size() - before);
+  m_meter.Add(PurposeOf(aFrame), m_crossesDomains, m_encoded.size() - before);
 }
 
 void
--- a/tests/dissemination/disseminator.cpp
+++ b/tests/dissemination/disseminator.cpp
@@ -36,10 +36,10 @@
   ConfigHolder holder;
   Advance(holder, 3);
   const Disseminator disseminator{ {}, 1 };
-  CHECK(disseminator.ToPush(holder, Version{ 1 }).size() == 2);
+  CHECK(disseminator.EntriesToPush(holder, Version{ 1 }).size() == 2);
   ConfigHolder large;
   Advance(large, 3, 2000);
-  CHECK(disseminator.ToPush(large, Version{ 0 }).empty());
+  CHECK(disseminator.EntriesToPush(large, Version{ 0 }).empty());
 }
 
 TEST_CASE("a lagging peer receives the next versions in order")
@@ -47,7 +47,7 @@
   ConfigHolder holder;
   Advance(holder, 40);
   const Disseminator disseminator{ {}, 1 };
-  const auto repair = disseminator.ToRepair(holder, Version{ 10 });
+  const auto repair = disseminator.EntriesToRepair(holder, Version{ 10 });
   REQUIRE(repair.size() > 2);
   CHECK(repair.front().m_version.m_number == 11);
 }
@@ -58,8 +58,8 @@
   ConfigHolder holder;
   Disseminator disseminator{ {}, 1 };
   disseminator.OnDigest(kStart, holder, { Version{ 1 }, {} }, kPeer);
-  CHECK_FALSE(disseminator.DuePull(kStart, holder));
-  CHECK(disseminator.DuePull(kStart + 200ms, holder));
+  CHECK_FALSE(disseminator.NextPull(kStart, holder));
+  CHECK(disseminator.NextPull(kStart + 200ms, holder));
 }
 
 TEST_CASE("a pull without a result is retried from another peer")
@@ -67,11 +67,11 @@
   ConfigHolder holder;
   Disseminator disseminator{ {}, 1 };
   disseminator.OnDigest(kStart, holder, { Version{ 1 }, {} }, kPeer);
-  REQUIRE(disseminator.DuePull(kStart + 200ms, holder));
-  CHECK_FALSE(disseminator.DuePull(kStart + 300ms, holder));
-  disseminator.PullEnded();
+  REQUIRE(disseminator.NextPull(kStart + 200ms, holder));
+  CHECK_FALSE(disseminator.NextPull(kStart + 300ms, holder));
+  disseminator.OnPullEnded();
   disseminator.OnDigest(kStart + 1s, holder, { Version{ 1 }, {} }, kPeer);
-  CHECK(disseminator.DuePull(kStart + 2s, holder));
+  CHECK(disseminator.NextPull(kStart + 2s, holder));
 }
 
 TEST_CASE("a version that arrived by push is not pulled")
@@ -80,27 +80,27 @@
   Disseminator disseminator{ {}, 1 };
   disseminator.OnDigest(kStart, holder, { Version{ 1 }, {} }, kPeer);
   Advance(holder, 1);
-  CHECK_FALSE(disseminator.DuePull(kStart + 1s, holder));
+  CHECK_FALSE(disseminator.NextPull(kStart + 1s, holder));
 }
 
 TEST_CASE("a peer of the own domain is preferred over other domains")
 {
   // Otherwise each daemon transfers the configuration from another domain.
   ConfigHolder holder;
-  Disseminator disseminator{ { .m_farDelay = 400ms }, 1 };
+  Disseminator disseminator{ { .m_otherDomainDelay = 400ms }, 1 };
   const MemberPeer ownDomainPeer{ { "127.0.0.2", 1, 2, 3 }, false };
   disseminator.OnDigest(kStart, holder, { Version{ 1 }, {} }, kPeer);
-  CHECK_FALSE(disseminator.DuePull(kStart + 300ms, holder));
+  CHECK_FALSE(disseminator.NextPull(kStart + 300ms, holder));
   SUBCASE("a peer of the own domain has it")
   {
     disseminator.OnDigest(
       kStart + 100ms, holder, { Version{ 1 }, {} }, ownDomainPeer);
-    const auto source = disseminator.DuePull(kStart + 300ms, holder);
+    const auto source = disseminator.NextPull(kStart + 300ms, holder);
     REQUIRE(source);
     CHECK(*source == ownDomainPeer);
   }
   SUBCASE("no peer of the own domain has it")
   {
-    CHECK(disseminator.DuePull(kStart + 600ms, holder));
+    CHECK(disseminator.NextPull(kStart + 600ms, holder));
   }
 }
--- a/tests/membership/domains.cpp
+++ b/tests/membership/domains.cpp
@@ -53,7 +53,7 @@
   std::vector<std::uint16_t> relays;
   std::uint16_t other = 0;
   for (std::uint16_t i = kDomains; i <= kCount; i += kDomains) {
-    if (group.At(i).SpeaksForDomain()) {
+    if (group.At(i).IsDomainRelay()) {
       relays.push_back(i);
     } else {
       other = i;
@@ -71,7 +71,7 @@
   for (std::uint16_t i = kDomains; i <= kCount; i += kDomains) {
     const bool killed =
       std::find(relays.begin(), relays.end(), i) != relays.end();
-    successors += !killed && group.At(i).SpeaksForDomain() ? 1 : 0;
+    successors += !killed && group.At(i).IsDomainRelay() ? 1 : 0;
   }
   CHECK(successors == Membership::kRelaysPerDomain);
 }
@@ -96,8 +96,9 @@
 
 TEST_CASE("domains rejoin after all daemons restart at once")
 {
-  // Each daemon joins through its own domain. Without DomainFinder the domains
-  // stay separate, and one without a worker of a service rejects its calls.
+  // Each daemon joins through its own domain. Without DomainDiscovery the
+  // domains stay separate, and one without a worker of a service rejects its
+  // calls.
   constexpr std::uint16_t kCount = 30;
   Group group{ kCount, kDomains };
   group.RestartAll(2);
--- a/tests/membership/group.hpp
+++ b/tests/membership/group.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "greengagehub/membership/domain_finder.hpp"
+#include "greengagehub/membership/domain_discovery.hpp"
 #include "greengagehub/membership/member_sync.hpp"
 #include "greengagehub/membership/membership.hpp"
 
@@ -50,7 +50,7 @@
   void RestartAll(std::uint64_t aStart)
   {
     const auto count = static_cast<std::uint16_t>(m_members.size());
-    std::vector<DomainFinder::Seed> seeds;
+    std::vector<DomainDiscovery::Seed> seeds;
     for (std::uint16_t i = 1; i <= count; ++i) {
       Start(i, aStart);
       if (i <= m_domains) {
@@ -59,8 +59,8 @@
     }
     for (std::uint16_t i = 1; i <= count; ++i) {
       auto others = seeds;
-      std::erase_if(others, [&](DomainFinder::Seed& aSeed) {
-        aSeed.m_peer.m_isFar = true;
+      std::erase_if(others, [&](DomainDiscovery::Seed& aSeed) {
+        aSeed.m_peer.m_crossesDomains = true;
         return aSeed.m_domain == At(i).Self().m_domain;
       });
       m_finders[i].OnSeeds(std::move(others));
@@ -95,7 +95,7 @@
   void Send(std::uint16_t aFrom, const MembershipActions& aActions)
   {
     for (const GossipSend& each : aActions.m_sends) {
-      m_crossDomainSends += each.m_to.m_isFar ? 1 : 0;
+      m_crossDomainSends += each.m_to.m_crossesDomains ? 1 : 0;
       m_messages.push_back(
         { aFrom, each.m_to.m_address.m_gossipPort, each.m_message });
     }
@@ -158,10 +158,11 @@
   void DiscoverDomains(std::uint16_t aNumber, Membership& aMember)
   {
     const auto finder = m_finders.find(aNumber);
-    if (finder == m_finders.end() || !aMember.SpeaksForDomain()) {
+    if (finder == m_finders.end() || !aMember.IsDomainRelay()) {
       return;
     }
-    for (const MemberPeer& each : finder->second.ToAsk(m_now, aMember)) {
+    for (const MemberPeer& each :
+         finder->second.PeersToContact(m_now, aMember)) {
       Send(aNumber, aMember.Contact(each));
     }
   }
@@ -191,20 +192,20 @@
     Membership& here = At(aMessage.m_to);
     MemberSync& sync = m_syncs.at(aMessage.m_to);
     const bool crossesDomains =
-      here.PeerOf(aMessage.m_message.m_sender).m_isFar;
+      here.PeerOf(aMessage.m_message.m_sender).m_crossesDomains;
     const bool differs =
       aMessage.m_message.m_members != here.Digests().Summary();
     const bool isRunning = m_members.contains(aMessage.m_from);
     if (!differs) {
       sync.Joined();
     }
-    if (!isRunning || !sync.Begins(m_now,
-                                   { differs, crossesDomains },
-                                   here.SpeaksForDomain())) {
+    if (!isRunning || !sync.TryBegin(m_now,
+                                     { differs, crossesDomains },
+                                     here.IsDomainRelay())) {
       return;
     }
     m_crossDomainComparisons += crossesDomains ? 1 : 0;
-    const auto records = At(aMessage.m_from).RecordsFor(here.Digests());
+    const auto records = At(aMessage.m_from).DifferingRecords(here.Digests());
     const MembershipActions actions = here.OnRecords(m_now, records);
     sync.Ended(actions.m_events.size());
     if (!records.empty()) {
@@ -219,7 +220,7 @@
   TimePoint m_now{ 1h };
   std::map<std::uint16_t, Membership> m_members;
   std::map<std::uint16_t, MemberSync> m_syncs;
-  std::map<std::uint16_t, DomainFinder> m_finders;
+  std::map<std::uint16_t, DomainDiscovery> m_finders;
   std::set<std::uint16_t> m_paused;
   std::deque<Message> m_messages;
   std::function<bool(std::uint16_t, std::uint16_t)> m_cut;
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -120,16 +120,16 @@
   group.Start(3, 2);
   group.Send(3, group.At(3).Contact({ group.At(1).Self().m_address }));
   group.Run(5s);
-  CHECK(group.At(1).FloorOf("m3") == Version{ 7 });
+  CHECK(group.At(1).MinimumVersionOf("m3") == Version{ 7 });
 }
 
 TEST_CASE("digests select the records that two views do not share")
 {
   Group group{ 5 };
   CHECK(group.At(1).Digests() == group.At(2).Digests());
-  CHECK(group.At(1).RecordsFor(group.At(2).Digests()).empty());
+  CHECK(group.At(1).DifferingRecords(group.At(2).Digests()).empty());
   Membership stranger{ Record(9), {}, 9 };
-  CHECK(group.At(1).RecordsFor(stranger.Digests()).size() >= 5);
+  CHECK(group.At(1).DifferingRecords(stranger.Digests()).size() >= 5);
 }
 
 TEST_CASE("an exchange between entirely different views is bounded")
@@ -147,9 +147,9 @@
     each.m_incarnation += 1;
   }
   static_cast<void>(other.OnRecords(TimePoint{ 1h }, records));
-  const std::size_t part = one.RecordsFor(other.Digests()).size();
+  const std::size_t part = one.DifferingRecords(other.Digests()).size();
   CHECK(part >= Membership::kMaxSyncRecords);
   CHECK(part < Membership::kMaxSyncRecords + 200);
   Membership joiner{ Record(3), {}, 3 };
-  CHECK(one.RecordsFor(joiner.Digests()).size() > 20'000);
+  CHECK(one.DifferingRecords(joiner.Digests()).size() > 20'000);
 }
--- a/tests/membership/news_spread.cpp
+++ b/tests/membership/quarantine_spread.cpp
@@ -62,10 +62,10 @@
     }
     result.m_lastDelivery = now;
     Membership& here = members[member - 1U];
-    auto targets = here.SampleNear(kFanout);
+    auto targets = here.SampleOwnDomain(kFanout);
     if (isOrigin) {
       for (const auto& far :
-           { here.SampleEachDomain(), here.SampleEachDomain() }) {
+           { here.SampleOtherDomains(), here.SampleOtherDomains() }) {
         targets.insert(targets.end(), far.begin(), far.end());
       }
     }
--- a/tests/membership/seed_keeper.cpp
+++ b/tests/membership/seed_publisher.cpp
@@ -1,5 +1,5 @@
-#include "greengagehub/membership/seed_keeper.hpp"
-#include "greengagehub/membership/watch_role.hpp"
+#include "greengagehub/membership/seed_publisher.hpp"
+#include "greengagehub/membership/watch_lease.hpp"
 
 #include "support/damage.hpp"
 
@@ -42,7 +42,7 @@
              .m_revision = m_keys[aRequest.m_key].m_revision };
   }
 
-  void Run(SeedKeeper& aKeeper,
+  void Run(SeedPublisher& aKeeper,
            TimePoint aFrom,
            Duration aFor,
            std::optional<std::size_t> aRank)
@@ -78,14 +78,14 @@
   // Seeds under leases would have expired, and restarted daemons could not
   // join.
   FakeStore store;
-  SeedKeeper first{ Self("10.0.0.1"), 1 };
+  SeedPublisher first{ Self("10.0.0.1"), 1 };
   store.Run(first, kStart, 2s, 0);
   CHECK(store.HostAt(0) == "10.0.0.1");
   for (const auto& [key, value] : store.m_keys) {
     CHECK(value.m_revision > 0);
   }
   // After a restart its own address is still there and is not written again.
-  SeedKeeper again{ Self("10.0.0.1"), 2 };
+  SeedPublisher again{ Self("10.0.0.1"), 2 };
   store.Run(again, kStart + 10s, 5s, 0);
   CHECK(store.m_writes == 1);
 }
@@ -93,9 +93,9 @@
 TEST_CASE("the first two daemons of a domain and their successors write seeds")
 {
   FakeStore store;
-  SeedKeeper first{ Self("10.0.0.1"), 1 };
-  SeedKeeper second{ Self("10.0.0.2"), 2 };
-  SeedKeeper third{ Self("10.0.0.3"), 3 };
+  SeedPublisher first{ Self("10.0.0.1"), 1 };
+  SeedPublisher second{ Self("10.0.0.2"), 2 };
+  SeedPublisher third{ Self("10.0.0.3"), 3 };
   store.Run(first, kStart, 3s, 0);
   store.Run(second, kStart, 3s, 1);
   store.Run(third, kStart, 3s, 2);
@@ -110,7 +110,7 @@
 TEST_CASE("a daemon that finds no seed writes its address after a delay")
 {
   FakeStore store;
-  SeedKeeper keeper{ Self("10.0.0.1"), 1 };
+  SeedPublisher keeper{ Self("10.0.0.1"), 1 };
   store.Run(keeper, kStart, 2s, std::nullopt);
   CHECK(store.m_writes == 0);
   SUBCASE("seeds of other daemons exist")
@@ -131,7 +131,7 @@
 TEST_CASE("an address that is missing from the store is written again")
 {
   FakeStore store;
-  SeedKeeper keeper{ Self("10.0.0.1"), 1 };
+  SeedPublisher keeper{ Self("10.0.0.1"), 1 };
   store.Run(keeper, kStart, 2s, 0);
   store.m_keys.clear();
   store.Run(keeper, kStart + 2s, 62s, 0);
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -17,11 +17,11 @@
   GossipMessage message;
   message.m_kind = GossipMessage::Kind::Ack;
   message.m_sender.m_slot = "a";
-  message.m_sender.m_workerStart = 4'000'000'000U;
+  message.m_sender.m_workerIncarnation = 4'000'000'000U;
   message.m_sender.m_address = { "127.0.0.1", 1, 2, 3 };
   message.m_sequence = 77;
   message.m_head = { Version{ 9 }, HashOf("chain") };
-  message.m_floor = Version{ 8 };
+  message.m_minimumVersion = Version{ 8 };
   for (int i = 0; i < 6; ++i) {
     MemberRecord record = message.m_sender;
     record.m_slot = "member-" + std::to_string(i);
@@ -71,7 +71,7 @@
   REQUIRE(got);
   CHECK(got.value().m_kind == sent.m_kind);
   CHECK(got.value().m_sender.m_address == sent.m_sender.m_address);
-  CHECK(got.value().m_sender.m_workerStart == 4'000'000'000U);
+  CHECK(got.value().m_sender.m_workerIncarnation == 4'000'000'000U);
   CHECK(got.value().m_updates.size() == 6);
   CHECK(got.value().m_updates[3].m_state == MemberState::Suspect);
   CHECK(got.value().m_entries == sent.m_entries);
