--- a/include/greengagehub/daemon/workspace_service.hpp
+++ b/include/greengagehub/daemon/workspace_service.hpp
@@ -77,7 +77,7 @@
                                          bool aIsNew,
                                          bool aIsLate);
   /// \brief Ends the wait of one request for a token.
-  void GiveUp(WorkspaceId aWorkspace) { m_client.GiveUp(aWorkspace); }
+  void CancelWait(WorkspaceId aWorkspace) { m_client.CancelWait(aWorkspace); }
   /// \brief Sets the handler that is called when waiting requests are to be
   /// admitted again.
   void SetRetryHandler(std::function<void()> aHandler)
@@ -124,7 +124,7 @@
   Parts m_parts;
   Random m_random;
   WorkspaceTable m_table;
-  Freshness m_freshness;
+  ConfigFreshness m_freshness;
   QuotaClient m_client;
   QuotaCoordinator m_coordinator;
   CoordinatorRole m_role;
--- a/include/greengagehub/settings/settings.hpp
+++ b/include/greengagehub/settings/settings.hpp
@@ -5,7 +5,7 @@
 #include "greengagehub/dissemination/disseminator.hpp"
 #include "greengagehub/membership/membership.hpp"
 #include "greengagehub/membership/watch_lease.hpp"
-#include "greengagehub/workspaces/quota_terms.hpp"
+#include "greengagehub/workspaces/quota_allocation.hpp"
 
 #include <cstdint>
 #include <string>
@@ -98,7 +98,7 @@
   /// daemon accepts it, including daemons cut off from the store and their
   /// peers; 0: each daemon rejects the key when the change reaches it.
   std::chrono::milliseconds m_revokeWithin{ 0 };
-  QuotaRules m_quota{};
+  QuotaTolerance m_quota{};
 };
 
 struct LogSettings
--- a/include/greengagehub/workspaces/freshness.hpp
+++ b/include/greengagehub/workspaces/config_freshness.hpp
@@ -25,12 +25,12 @@
 /// newer version had been acknowledged before t. The proof counts once v or a
 /// later version is active in this daemon. All times are read from one clock
 /// that also advances while the process is suspended.
-class Freshness
+class ConfigFreshness
 {
 public:
   /// \param aBound maximum age of a proof for API keys to be accepted; 0: keys
   /// are accepted without a proof.
-  explicit Freshness(std::chrono::milliseconds aBound) noexcept
+  explicit ConfigFreshness(std::chrono::milliseconds aBound) noexcept
     : m_bound(aBound)
   {
   }
--- a/include/greengagehub/workspaces/coordinator_role.hpp
+++ b/include/greengagehub/workspaces/coordinator_role.hpp
@@ -41,12 +41,13 @@
     None,
     /// Read kCoordinatorKey.
     Read,
-    /// Write Value() to the key if it is still at revision Expected().
+    /// Write KeyValue() to the key if it is still at revision
+    /// ExpectedRevision().
     Claim,
-    /// Check that the key is at revision Expected().
+    /// Check that the key is at revision ExpectedRevision().
     Confirm,
-    /// Write an empty value if the key is at revision Expected(), so that a
-    /// successor need not wait.
+    /// Write an empty value if the key is at revision ExpectedRevision(), so
+    /// that a successor need not wait.
     Release,
   };
 
@@ -55,11 +56,11 @@
   [[nodiscard]] Step OnTick(TimePoint aNow, bool aIsCandidate, bool aIsSilent);
   void OnRead(TimePoint aNow, const StoreReply& aReply);
   void OnClaimed(TimePoint aNow, TimePoint aSent, const StoreReply& aReply);
-  /// \param aIsOurs whether the key was at revision Expected().
+  /// \param aIsOurs whether the key was at revision ExpectedRevision().
   void OnConfirmed(TimePoint aNow, TimePoint aSent, bool aIsOurs);
   /// \brief Records the term of a coordinator that sent a report. A term is the
   /// revision of the key that the coordinator wrote.
-  void OnTerm(Revision aTerm) noexcept
+  void OnTermReported(Revision aTerm) noexcept
   {
     m_newestTerm = std::max(m_newestTerm, aTerm);
   }
@@ -67,10 +68,11 @@
   void OnFailed(TimePoint aNow);
   /// \brief Stops leading after kMaxFailures consecutive failed confirmations,
   /// for example because the store rejects this daemon.
-  /// \returns Whether this daemon stood down; its ended term is Expected().
+  /// \returns Whether this daemon stood down; its ended term is
+  /// ExpectedRevision().
   [[nodiscard]] bool StandDownIfFailing(TimePoint aNow);
   /// \brief Records that the coordinator of a term has stopped granting tokens.
-  void OnStoodDown(Revision aTerm) noexcept
+  void OnTermEnded(Revision aTerm) noexcept
   {
     m_endedTerm = std::max(m_endedTerm, aTerm);
   }
@@ -85,16 +87,19 @@
   [[nodiscard]] bool IsLeading(TimePoint aNow) const noexcept;
   /// \returns Whether this daemon has claimed the key and waits for its
   /// predecessor's lease to expire.
-  [[nodiscard]] bool IsSettling(TimePoint aNow) const noexcept
+  [[nodiscard]] bool IsAwaitingPredecessor(TimePoint aNow) const noexcept
   {
     return m_holdsKey && aNow < m_predecessorLeaseEnd;
   }
   /// \returns Whether this daemon holds the key, as far as it knows.
   [[nodiscard]] bool HoldsKey() const noexcept { return m_holdsKey; }
   /// \returns The last known revision of the key.
-  [[nodiscard]] Revision Expected() const noexcept { return m_revision; }
+  [[nodiscard]] Revision ExpectedRevision() const noexcept
+  {
+    return m_revision;
+  }
   /// \returns What this process writes to the key: its slot and process id.
-  [[nodiscard]] std::string Value() const;
+  [[nodiscard]] std::string KeyValue() const;
   /// \returns true once for each time that this daemon starts to lead.
   [[nodiscard]] bool TakeStarted(TimePoint aNow) noexcept;
 
--- a/include/greengagehub/workspaces/quota_terms.hpp
+++ b/include/greengagehub/workspaces/quota_allocation.hpp
@@ -5,7 +5,7 @@
 namespace greengagehub {
 
 /// \brief How far the fleet as a whole may exceed a quota.
-struct QuotaRules
+struct QuotaTolerance
 {
   /// The allowance in any window of this length is
   /// (per_second * window + burst) * (1 + overage) + slack requests.
@@ -39,7 +39,7 @@
 /// \param aPerSecond requests per second, above 0.
 /// \param aBurst requests.
 [[nodiscard]] QuotaAllocation
-AllocateQuota(const QuotaRules& aTolerance,
+AllocateQuota(const QuotaTolerance& aTolerance,
               double aPerSecond,
               double aBurst) noexcept;
 
--- a/include/greengagehub/workspaces/quota_client.hpp
+++ b/include/greengagehub/workspaces/quota_client.hpp
@@ -2,8 +2,8 @@
 
 #include "greengagehub/core/clock.hpp"
 #include "greengagehub/core/random.hpp"
+#include "greengagehub/workspaces/quota_allocation.hpp"
 #include "greengagehub/workspaces/quota_message.hpp"
-#include "greengagehub/workspaces/quota_terms.hpp"
 
 #include <chrono>
 #include <cstdint>
@@ -41,18 +41,18 @@
 class QuotaClient
 {
 public:
-  QuotaClient(QuotaRules aTolerance, std::uint64_t aSeed);
+  QuotaClient(QuotaTolerance aTolerance, std::uint64_t aSeed);
 
   /// \brief Consumes a token, or part of the reserve, for one request.
-  /// \param aIsNew false for a retry of a waiting request, for which GiveUp has
-  /// been called.
-  /// \param aIsLate the response would exceed the route's target latency.
-  [[nodiscard]] QuotaDecision Take(TimePoint aNow,
-                                   WorkspaceId aWorkspace,
-                                   bool aIsNew,
-                                   bool aIsLate = false);
+  /// \param aIsNew false for a retry of a waiting request, for which CancelWait
+  /// has been called. \param aIsLate the response would exceed the route's
+  /// target latency.
+  [[nodiscard]] QuotaDecision TryAdmit(TimePoint aNow,
+                                       WorkspaceId aWorkspace,
+                                       bool aIsNew,
+                                       bool aIsLate = false);
   /// \brief Ends the wait of one request whose decision was Waiting.
-  void GiveUp(WorkspaceId aWorkspace);
+  void CancelWait(WorkspaceId aWorkspace);
 
   /// \returns The next query, if one is due.
   [[nodiscard]] std::optional<QuotaQuery> NextQuery(TimePoint aNow);
@@ -62,7 +62,7 @@
                                                   const QuotaReport& aReport);
   /// \brief A coordinator has announced that it grants tokens. Pending queries
   /// are dropped, so that the next one need not wait for their answers.
-  void OnGranting() noexcept;
+  void OnCoordinatorReady() noexcept;
   /// \returns Whether no coordinator has answered for kSilenceTimeout.
   [[nodiscard]] bool IsCoordinatorSilent(TimePoint aNow) const noexcept;
 
@@ -71,7 +71,7 @@
   static constexpr std::chrono::milliseconds kQueryInterval{ 400 };
   /// Time without an answer after which the next query may be sent. A later
   /// answer is still accepted until its tokens expire.
-  static constexpr std::chrono::milliseconds kAnswerTime{ 100 };
+  static constexpr std::chrono::milliseconds kAnswerTimeout{ 100 };
   /// Time without an answer after which the reserve is used.
   static constexpr std::chrono::milliseconds kSilenceTimeout{ 400 };
   /// Maximum number of demands per query, so that it fits in a datagram.
@@ -123,7 +123,7 @@
   /// \returns `aValue` rounded up or down at random, with `aValue` as mean.
   [[nodiscard]] std::uint32_t RoundStochastically(double aValue);
 
-  QuotaRules m_tolerance;
+  QuotaTolerance m_tolerance;
   Random m_random;
   std::unordered_map<WorkspaceId, WorkspaceState> m_workspaces;
   /// Waiting requests of all workspaces.
--- a/include/greengagehub/workspaces/quota_coordinator.hpp
+++ b/include/greengagehub/workspaces/quota_coordinator.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "greengagehub/core/clock.hpp"
+#include "greengagehub/workspaces/quota_allocation.hpp"
 #include "greengagehub/workspaces/quota_message.hpp"
-#include "greengagehub/workspaces/quota_terms.hpp"
 #include "greengagehub/workspaces/workspace_table.hpp"
 
 #include <chrono>
@@ -20,7 +20,7 @@
 class QuotaCoordinator
 {
 public:
-  explicit QuotaCoordinator(QuotaRules aTolerance) noexcept
+  explicit QuotaCoordinator(QuotaTolerance aTolerance) noexcept
     : m_tolerance(aTolerance)
   {
   }
@@ -68,7 +68,7 @@
                          TokenBucket& aBucket);
   static void RemoveSilentDaemons(TimePoint aNow, TokenBucket& aBucket);
 
-  QuotaRules m_tolerance;
+  QuotaTolerance m_tolerance;
   TimePoint m_startedAt{};
   std::unordered_map<WorkspaceId, TokenBucket> m_buckets;
 };
--- a/include/greengagehub/workspaces/workspace_table.hpp
+++ b/include/greengagehub/workspaces/workspace_table.hpp
@@ -36,7 +36,7 @@
 
   [[nodiscard]] bool IsEmpty() const noexcept { return m_rows.empty(); }
   /// \returns Number of API keys of all workspaces.
-  [[nodiscard]] std::size_t Keys() const noexcept { return m_keys.size(); }
+  [[nodiscard]] std::size_t KeyCount() const noexcept { return m_keys.size(); }
   /// \returns The workspace that has the key, or nullptr; valid until the next
   /// update.
   [[nodiscard]] const WorkspaceRow* FindByKey(std::string_view aKey) const;
--- a/include/greengagehub/workspaces/workspaces.hpp
+++ b/include/greengagehub/workspaces/workspaces.hpp
@@ -3,10 +3,10 @@
 /// \file
 /// \brief Workspaces: API keys, freshness proofs and fleet-wide quotas.
 
+#include "greengagehub/workspaces/config_freshness.hpp"
 #include "greengagehub/workspaces/coordinator_role.hpp"
-#include "greengagehub/workspaces/freshness.hpp"
+#include "greengagehub/workspaces/quota_allocation.hpp"
 #include "greengagehub/workspaces/quota_client.hpp"
 #include "greengagehub/workspaces/quota_coordinator.hpp"
 #include "greengagehub/workspaces/quota_message.hpp"
-#include "greengagehub/workspaces/quota_terms.hpp"
 #include "greengagehub/workspaces/workspace_table.hpp"
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -113,7 +113,7 @@
   if (admission.m_waits) {
     const bool hasWaited = Clock::now() - aReceivedAt >= TokenQueue::kMaxWait;
     if (hasWaited || m_tokenQueue.IsFull()) {
-      m_parts.m_workspaces.GiveUp(admission.m_workspace->m_id);
+      m_parts.m_workspaces.CancelWait(admission.m_workspace->m_id);
       Refuse(aRequest,
              aResponder,
              RefusalReason::NoCoordinator,
@@ -165,7 +165,7 @@
 CallGateway::RetryAdmissions()
 {
   for (TokenQueue::Entry& each : m_tokenQueue.TakeAll()) {
-    m_parts.m_workspaces.GiveUp(each.m_workspace);
+    m_parts.m_workspaces.CancelWait(each.m_workspace);
     const Route* route = m_routes.Find(HostOf(each.m_request.m_headers),
                                        PathOf(each.m_request.m_target));
     if (route == nullptr) {
@@ -358,7 +358,7 @@
 {
   m_startBuffer.Drop(aConnection);
   for (const WorkspaceId each : m_tokenQueue.Drop(aConnection)) {
-    m_parts.m_workspaces.GiveUp(each);
+    m_parts.m_workspaces.CancelWait(each);
   }
   m_resumeFilter.HungUp(aConnection);
   const auto found = m_callByConnection.find(aConnection);
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -64,7 +64,7 @@
 Json
 WorkspaceStatus(const WorkspaceService& aWorkspaces)
 {
-  Json status{ { "keys", aWorkspaces.Table().Keys() },
+  Json status{ { "keys", aWorkspaces.Table().KeyCount() },
                { "coordinator", aWorkspaces.Coordinator() },
                { "coordinates", aWorkspaces.IsCoordinator() } };
   if (const auto age = aWorkspaces.ProofAge()) {
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -99,7 +99,7 @@
     return { .m_workspace = workspace };
   }
   const QuotaDecision decision =
-    m_client.Take(now, workspace->m_id, aIsNew, aIsLate);
+    m_client.TryAdmit(now, workspace->m_id, aIsNew, aIsLate);
   switch (decision.m_kind) {
     case QuotaDecision::Kind::Admitted:
       break;
@@ -179,7 +179,7 @@
 void
 WorkspaceService::ArmQueryTimeout()
 {
-  m_queryTimeout.expires_after(QuotaClient::kAnswerTime);
+  m_queryTimeout.expires_after(QuotaClient::kAnswerTimeout);
   m_queryTimeout.async_wait([this](const asio::error_code& aError) {
     if (!aError && m_retryHandler) {
       // The answer is late: waiting requests are decided without it, or queried
@@ -211,9 +211,9 @@
     report.m_config = known;
   }
   const bool isLeading = m_role.IsLeading(now);
-  if (isLeading || m_role.IsSettling(now)) {
+  if (isLeading || m_role.IsAwaitingPredecessor(now)) {
     report.m_coordinator = m_parts.m_settings.m_slot;
-    report.m_term = m_role.Expected();
+    report.m_term = m_role.ExpectedRevision();
     report.m_isGranting = isLeading;
   } else if (!m_role.HoldsKey() && !m_client.IsCoordinatorSilent(now)) {
     report.m_coordinator = m_coordinatorSlot;
@@ -252,14 +252,14 @@
     // The sender has resigned, was replaced or is no longer confirmed.
     m_coordinatorSlot.clear();
     m_lastCoordinatorReport = now - kRelaySilence;
-    m_role.OnStoodDown(aReport.m_term);
+    m_role.OnTermEnded(aReport.m_term);
   }
   if (isFromCoordinator) {
     m_lastCoordinatorReport = now;
-    m_role.OnTerm(aReport.m_term);
+    m_role.OnTermReported(aReport.m_term);
   }
   if (aReport.m_isGranting && aReport.m_sequence == 0) {
-    m_client.OnGranting();
+    m_client.OnCoordinatorReady();
     SendNextQuery();
     return;
   }
@@ -345,7 +345,7 @@
   message.m_kind = GossipMessage::Kind::Quota;
   message.m_quotaReport =
     QuotaReport{ .m_coordinator = aCoordinator,
-                 .m_term = m_role.Expected(),
+                 .m_term = m_role.ExpectedRevision(),
                  .m_isGranting = m_role.IsLeading(BootNow()) };
   Membership& members = m_parts.m_members();
   for (const MemberPeer& each : members.Sample(members.Members().Present())) {
@@ -378,7 +378,7 @@
     MakeCheck(std::string{ platform::kConfigKey }, check.m_config.m_revision);
   if (aIsConfirm) {
     request.m_alsoKey = kCoordinatorKey;
-    request.m_alsoExpected = m_role.Expected();
+    request.m_alsoExpected = m_role.ExpectedRevision();
   }
   m_parts.m_store.Carry(std::move(request), [this, check](StoreReply aReply) {
     OnStoreCheck(check, std::move(aReply));
@@ -432,15 +432,17 @@
 void
 WorkspaceService::ClaimCoordinatorKey()
 {
-  m_parts.m_store.Carry(
-    MakePut(std::string{ kCoordinatorKey }, m_role.Value(), m_role.Expected()),
-    [this, sentAt = BootNow()](const StoreReply& aReply) {
-      m_role.OnClaimed(BootNow(), sentAt, aReply);
-      if (m_role.HoldsKey()) {
-        m_parts.m_log.Info("workspaces", "coordinator_claimed");
-        AnnounceCoordinator(m_parts.m_settings.m_slot);
-      }
-    });
+  m_parts.m_store.Carry(MakePut(std::string{ kCoordinatorKey },
+                                m_role.KeyValue(),
+                                m_role.ExpectedRevision()),
+                        [this, sentAt = BootNow()](const StoreReply& aReply) {
+                          m_role.OnClaimed(BootNow(), sentAt, aReply);
+                          if (m_role.HoldsKey()) {
+                            m_parts.m_log.Info("workspaces",
+                                               "coordinator_claimed");
+                            AnnounceCoordinator(m_parts.m_settings.m_slot);
+                          }
+                        });
 }
 
 void
@@ -455,7 +457,7 @@
 {
   if (m_role.Resign() == CoordinatorRole::Step::Release) {
     m_parts.m_store.Carry(
-      MakePut(std::string{ kCoordinatorKey }, {}, m_role.Expected()),
+      MakePut(std::string{ kCoordinatorKey }, {}, m_role.ExpectedRevision()),
       [this](const StoreReply&) { AnnounceCoordinator({}); });
   }
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -302,7 +302,7 @@
   void ReadWorkspaces()
   {
     WorkspaceSettings& workspaces = m_settings.m_workspaces;
-    QuotaRules& quota = workspaces.m_quota;
+    QuotaTolerance& quota = workspaces.m_quota;
     SettingsReader reader = Section("workspaces");
     reader.Millis("revoke_within_ms", workspaces.m_revokeWithin, 0, kHourMs);
     reader.Millis("quota_window_ms", quota.m_window, 1, kHourMs);
--- a/src/workspaces/freshness.cpp
+++ b/src/workspaces/config_freshness.cpp
@@ -1,11 +1,11 @@
-#include "greengagehub/workspaces/freshness.hpp"
+#include "greengagehub/workspaces/config_freshness.hpp"
 
 #include <algorithm>
 
 namespace greengagehub {
 
 void
-Freshness::OnProof(FreshnessProof aProof)
+ConfigFreshness::OnProof(FreshnessProof aProof)
 {
   if (aProof.m_version <= m_activeVersion) {
     m_provenAt =
@@ -19,7 +19,7 @@
 }
 
 void
-Freshness::OnVersion(Version aActiveVersion)
+ConfigFreshness::OnVersion(Version aActiveVersion)
 {
   m_activeVersion = std::max(m_activeVersion, aActiveVersion);
   std::deque<FreshnessProof> pending;
@@ -30,7 +30,7 @@
 }
 
 bool
-Freshness::IsFresh(TimePoint aNow) const noexcept
+ConfigFreshness::IsFresh(TimePoint aNow) const noexcept
 {
   return !IsEnforced() || (m_provenAt && aNow - *m_provenAt <= m_bound);
 }
--- a/src/workspaces/coordinator_role.cpp
+++ b/src/workspaces/coordinator_role.cpp
@@ -17,7 +17,7 @@
 }
 
 std::string
-CoordinatorRole::Value() const
+CoordinatorRole::KeyValue() const
 {
   return fmt::format("{} {}", m_slot, m_process);
 }
@@ -78,7 +78,7 @@
     return aNow;
   }
   const bool isFormerProcess =
-    IsFromOwnSlot(m_predecessorValue) && m_predecessorValue != Value();
+    IsFromOwnSlot(m_predecessorValue) && m_predecessorValue != KeyValue();
   // An earlier process in this slot wrote the key before this process started.
   return isFormerProcess ? std::max(aNow, m_started + kLeaseDuration)
                          : aNow + kLeaseDuration;
--- a/src/workspaces/quota_terms.cpp
+++ b/src/workspaces/quota_allocation.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/workspaces/quota_terms.hpp"
+#include "greengagehub/workspaces/quota_allocation.hpp"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 }
 
 QuotaAllocation
-AllocateQuota(const QuotaRules& aTolerance,
+AllocateQuota(const QuotaTolerance& aTolerance,
               double aPerSecond,
               double aBurst) noexcept
 {
--- a/src/workspaces/quota_client.cpp
+++ b/src/workspaces/quota_client.cpp
@@ -31,7 +31,7 @@
 
 }
 
-QuotaClient::QuotaClient(QuotaRules aTolerance, std::uint64_t aSeed)
+QuotaClient::QuotaClient(QuotaTolerance aTolerance, std::uint64_t aSeed)
   : m_tolerance(aTolerance)
   , m_random(aSeed)
 {
@@ -77,10 +77,10 @@
 }
 
 QuotaDecision
-QuotaClient::Take(TimePoint aNow,
-                  WorkspaceId aWorkspace,
-                  bool aIsNew,
-                  bool aIsLate)
+QuotaClient::TryAdmit(TimePoint aNow,
+                      WorkspaceId aWorkspace,
+                      bool aIsNew,
+                      bool aIsLate)
 {
   using Kind = QuotaDecision::Kind;
   WorkspaceState& state = m_workspaces[aWorkspace];
@@ -106,7 +106,7 @@
 }
 
 void
-QuotaClient::GiveUp(WorkspaceId aWorkspace)
+QuotaClient::CancelWait(WorkspaceId aWorkspace)
 {
   const auto entry = m_workspaces.find(aWorkspace);
   if (entry != m_workspaces.end() && entry->second.m_waiting > 0) {
@@ -202,7 +202,7 @@
   }
   const bool isQueryPending =
     !m_pendingQueries.empty() &&
-    aNow - m_pendingQueries.back().m_sentAt < kAnswerTime;
+    aNow - m_pendingQueries.back().m_sentAt < kAnswerTimeout;
   const bool isDue = m_waiting > 0 || aNow >= m_nextQueryAt;
   if (isQueryPending || !isDue) {
     return std::nullopt;
@@ -241,7 +241,7 @@
 }
 
 void
-QuotaClient::OnGranting() noexcept
+QuotaClient::OnCoordinatorReady() noexcept
 {
   m_pendingQueries.clear();
   m_unansweredSince.reset();
--- a/tests/workspaces/freshness.cpp
+++ b/tests/workspaces/config_freshness.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/workspaces/freshness.hpp"
+#include "greengagehub/workspaces/config_freshness.hpp"
 
 #include <doctest/doctest.h>
 
@@ -13,7 +13,7 @@
 
 TEST_CASE("keys are accepted no longer than the bound after the read was sent")
 {
-  Freshness freshness{ 4800ms };
+  ConfigFreshness freshness{ 4800ms };
   CHECK_FALSE(freshness.IsFresh(kStart));
   freshness.OnVersion(Version{ 3 });
   freshness.OnProof({ kStart, Version{ 3 } });
@@ -23,7 +23,7 @@
 
 TEST_CASE("a proof counts only once its version is active")
 {
-  Freshness freshness{ 4800ms };
+  ConfigFreshness freshness{ 4800ms };
   freshness.OnVersion(Version{ 3 });
   freshness.OnProof({ kStart, Version{ 4 } });
   CHECK_FALSE(freshness.IsFresh(kStart));
@@ -33,7 +33,7 @@
 
 TEST_CASE("a delayed proof does not replace a newer one")
 {
-  Freshness freshness{ 4800ms };
+  ConfigFreshness freshness{ 4800ms };
   freshness.OnVersion(Version{ 3 });
   freshness.OnProof({ kStart + 2s, Version{ 3 } });
   freshness.OnProof({ kStart, Version{ 2 } });
@@ -42,7 +42,7 @@
 
 TEST_CASE("proofs of applied versions count while newer versions keep arriving")
 {
-  Freshness freshness{ 4800ms };
+  ConfigFreshness freshness{ 4800ms };
   for (std::uint64_t version = 1; version <= 40; ++version) {
     const TimePoint now = kStart + version * 100ms;
     freshness.OnProof({ now, Version{ version } });
@@ -54,6 +54,6 @@
 
 TEST_CASE("keys are accepted without a proof if no bound is set")
 {
-  const Freshness freshness{ 0ms };
+  const ConfigFreshness freshness{ 0ms };
   CHECK(freshness.IsFresh(kStart));
 }
--- a/tests/workspaces/coordinator_role.cpp
+++ b/tests/workspaces/coordinator_role.cpp
@@ -48,13 +48,15 @@
       aRole.OnRead(aNow, aKey.Read());
       break;
     case Step::Claim:
-      aRole.OnClaimed(aNow, aNow, aKey.Write(aRole.Expected(), aRole.Value()));
+      aRole.OnClaimed(
+        aNow, aNow, aKey.Write(aRole.ExpectedRevision(), aRole.KeyValue()));
       break;
     case Step::Confirm:
-      aRole.OnConfirmed(aNow, aNow, aKey.m_revision == aRole.Expected());
+      aRole.OnConfirmed(
+        aNow, aNow, aKey.m_revision == aRole.ExpectedRevision());
       break;
     case Step::Release:
-      static_cast<void>(aKey.Write(aRole.Expected(), {}));
+      static_cast<void>(aKey.Write(aRole.ExpectedRevision(), {}));
       break;
     case Step::None:
       break;
@@ -134,7 +136,7 @@
   }
   CHECK_FALSE(first.IsLeading(now));
   CoordinatorRole second{ "b", 2, kStart, 8 };
-  second.OnStoodDown(first.Expected());
+  second.OnTermEnded(first.ExpectedRevision());
   RunAlone(now, now + 100ms, second, key);
   CHECK(second.IsLeading(now + 100ms));
 }
@@ -146,11 +148,11 @@
   CoordinatorRole first{ "a", 1, kStart, 7 };
   RunAlone(kStart, kStart + 3s, first, key);
   CoordinatorRole second{ "b", 2, kStart, 8 };
-  second.OnTerm(first.Expected());
+  second.OnTermReported(first.ExpectedRevision());
   const TimePoint now = kStart + 3s;
   Execute(now, second.OnTick(now, true, true), second, key);
   REQUIRE(second.OnTick(now, true, true) == Step::Claim);
-  static_cast<void>(key.Write(second.Expected(), second.Value()));
+  static_cast<void>(key.Write(second.ExpectedRevision(), second.KeyValue()));
   second.OnClaimed(now, now, { .m_status = Status::Unknown });
   RunAlone(now + 50ms, now + 900ms, second, key);
   REQUIRE(second.HoldsKey());
@@ -221,12 +223,13 @@
       if (step == Step::Read) {
         reply = next.m_key.Read();
       } else if (step == Step::Claim) {
-        reply =
-          next.m_key.Write(next.m_roles[i].Expected(), next.m_roles[i].Value());
+        reply = next.m_key.Write(next.m_roles[i].ExpectedRevision(),
+                                 next.m_roles[i].KeyValue());
       } else {
-        reply.m_status = next.m_key.m_revision == next.m_roles[i].Expected()
-                           ? Status::Ok
-                           : Status::Conflict;
+        reply.m_status =
+          next.m_key.m_revision == next.m_roles[i].ExpectedRevision()
+            ? Status::Ok
+            : Status::Conflict;
       }
       next.m_pendingReplies[i] = { step, reply };
       next.m_sentAt[i] = next.m_now;
@@ -272,7 +275,7 @@
   RunAlone(kStart, kStart + 3s, state.m_roles[0], state.m_key);
   state.m_now = kStart + 3s;
   REQUIRE(state.m_roles[0].IsLeading(state.m_now));
-  state.m_roles[1].OnTerm(state.m_roles[0].Expected());
+  state.m_roles[1].OnTermReported(state.m_roles[0].ExpectedRevision());
   std::size_t visited = 0;
   bool secondLed = false;
   ExploreOrders(state, 11, visited, secondLed);
--- a/tests/workspaces/quota.cpp
+++ b/tests/workspaces/quota.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr TimePoint kStart{ 1000s };
-constexpr QuotaRules kTolerance{};
+constexpr QuotaTolerance kTolerance{};
 
 WorkspaceTable
 MakeTable(double aPerSecond, double aBurst)
@@ -47,7 +47,7 @@
   void Admit(std::size_t aDaemon, bool aIsNew)
   {
     const auto decision =
-      m_clients[aDaemon].Take(m_now, ShortHashOf("w"), aIsNew);
+      m_clients[aDaemon].TryAdmit(m_now, ShortHashOf("w"), aIsNew);
     switch (decision.m_kind) {
       case QuotaDecision::Kind::Admitted:
         m_admittedAt.push_back(m_now);
@@ -80,7 +80,7 @@
   {
     const std::size_t waiting = std::exchange(m_waiting[aDaemon], 0);
     for (std::size_t i = 0; i < waiting; ++i) {
-      m_clients[aDaemon].GiveUp(ShortHashOf("w"));
+      m_clients[aDaemon].CancelWait(ShortHashOf("w"));
     }
     for (std::size_t i = 0; i < waiting; ++i) {
       Admit(aDaemon, false);
@@ -237,7 +237,8 @@
 TEST_CASE("a duplicate report grants no further tokens")
 {
   QuotaClient client{ kTolerance, 1 };
-  CHECK(client.Take(kStart, 9, true).m_kind == QuotaDecision::Kind::Waiting);
+  CHECK(client.TryAdmit(kStart, 9, true).m_kind ==
+        QuotaDecision::Kind::Waiting);
   const auto query = client.NextQuery(kStart);
   REQUIRE(query);
   const QuotaReport report{ .m_sequence = query->m_sequence,
@@ -245,29 +246,29 @@
                             .m_isGranting = true,
                             .m_grants = {
                               { .m_workspace = 9, .m_tokens = 1 } } };
-  client.GiveUp(9);
+  client.CancelWait(9);
   CHECK(client.OnReport(kStart + 2ms, report) == kStart);
   CHECK_FALSE(client.OnReport(kStart + 3ms, report));
-  CHECK(client.Take(kStart + 4ms, 9, false).m_kind ==
+  CHECK(client.TryAdmit(kStart + 4ms, 9, false).m_kind ==
         QuotaDecision::Kind::Admitted);
-  CHECK(client.Take(kStart + 4ms, 9, true).m_kind ==
+  CHECK(client.TryAdmit(kStart + 4ms, 9, true).m_kind ==
         QuotaDecision::Kind::Waiting);
 }
 
 TEST_CASE("the lifetime of tokens starts with the query, not with the report")
 {
   QuotaClient client{ kTolerance, 1 };
-  static_cast<void>(client.Take(kStart, 9, true));
+  static_cast<void>(client.TryAdmit(kStart, 9, true));
   const auto query = client.NextQuery(kStart);
-  client.GiveUp(9);
+  client.CancelWait(9);
   REQUIRE(
     client.OnReport(kStart + 90ms,
                     { .m_sequence = query->m_sequence,
                       .m_coordinator = "c",
                       .m_isGranting = true,
                       .m_grants = { { .m_workspace = 9, .m_tokens = 5 } } }));
-  CHECK(client.Take(kStart + kTokenLifetime - 1ms, 9, true).m_kind ==
+  CHECK(client.TryAdmit(kStart + kTokenLifetime - 1ms, 9, true).m_kind ==
         QuotaDecision::Kind::Admitted);
-  CHECK(client.Take(kStart + kTokenLifetime, 9, true).m_kind ==
+  CHECK(client.TryAdmit(kStart + kTokenLifetime, 9, true).m_kind ==
         QuotaDecision::Kind::Waiting);
 }
--- a/tests/workspaces/workspace_table.cpp
+++ b/tests/workspaces/workspace_table.cpp
@@ -61,7 +61,7 @@
   REQUIRE(content.Apply(R"({"workspaces":{"a":null}})").empty());
   table.Update(content);
   CHECK(table.IsEmpty());
-  CHECK(table.Keys() == 0);
+  CHECK(table.KeyCount() == 0);
 }
 
 TEST_CASE("a key that moves between workspaces belongs only to the new one")
@@ -80,7 +80,7 @@
   table.Update(content);
   CHECK(table.FindByKey("one")->m_name == "b");
   CHECK(table.FindByKey("two")->m_name == "a");
-  CHECK(table.Keys() == 2);
+  CHECK(table.KeyCount() == 2);
 }
 
 TEST_CASE(
