--- a/bench/routing_lab.hpp
+++ b/bench/routing_lab.hpp
@@ -168,10 +168,10 @@
     plan.m_service = "s";
     plan.m_class = callClass;
     plan.m_deadline = m_now + kDeadline;
-    Carry(caller, m_callers[caller]->Begin(m_now, id, std::move(plan)));
+    Execute(caller, m_callers[caller]->Begin(m_now, id, std::move(plan)));
   }
 
-  void Carry(std::size_t aCaller, const DispatchActions& aActions)
+  void Execute(std::size_t aCaller, const DispatchActions& aActions)
   {
     for (const DispatchAction& each : aActions) {
       if (const auto* send = std::get_if<SendAttempt>(&each)) {
@@ -204,10 +204,10 @@
     } else if (admission.m_kind == Admission::Kind::Refused) {
       Refuse(worker, { key, admission.m_reason, admission.m_retryAfter });
     }
-    Carry(worker, out);
+    Execute(worker, out);
   }
 
-  void Carry(std::size_t aWorker, const RunActions& aActions)
+  void Execute(std::size_t aWorker, const RunActions& aActions)
   {
     for (const RefusedRun& each : aActions.m_refused) {
       Refuse(aWorker, each);
@@ -229,7 +229,7 @@
       answer.m_outcome = CallOutcome::Answered;
       answer.m_response.m_status = fails ? 500 : 200;
       Answer(aWorker, aKey, std::move(answer));
-      Carry(aWorker, next);
+      Execute(aWorker, next);
     });
   }
 
@@ -253,7 +253,7 @@
     m_owners.erase(aKey);
     Schedule(m_now + kNetworkDelay,
              [this, caller, answer = std::move(aAnswer)] {
-               Carry(caller, m_callers[caller]->OnAnswer(m_now, answer));
+               Execute(caller, m_callers[caller]->OnAnswer(m_now, answer));
              });
   }
 
@@ -283,10 +283,10 @@
   void Tick()
   {
     for (std::size_t w = 0; w < m_runs.size(); ++w) {
-      Carry(w, m_runs[w]->OnTick(m_now));
+      Execute(w, m_runs[w]->OnTick(m_now));
     }
     for (std::size_t c = 0; c < m_callers.size(); ++c) {
-      Carry(c, m_callers[c]->OnTick(m_now));
+      Execute(c, m_callers[c]->OnTick(m_now));
     }
     UpdateRecovery();
     if (m_now - m_start < kLength + 2s) {
--- a/include/greengagehub/config/pack_process.hpp
+++ b/include/greengagehub/config/compaction_process.hpp
@@ -13,7 +13,7 @@
 ///
 /// Every watcher reads the whole log on every change, so a large log costs
 /// bandwidth.
-struct PackLimits
+struct CompactionLimits
 {
   std::size_t m_highBytes{ 24UL * 1024 };
   std::size_t m_lowBytes{ 8UL * 1024 };
@@ -25,19 +25,19 @@
 /// be repeated and can race with another process: segments and snapshots are
 /// create-only and immutable, index lines form a set. An interrupted process
 /// leaves the log intact, and the log's revision rejects a delayed one.
-class PackProcess
+class CompactionProcess
 {
 public:
   enum class Result : std::uint8_t
   {
     NothingToDo,
-    Packed,
+    Compacted,
     /// Conflict with another process, or the store failed; retry later.
     Aborted,
   };
   using Step = std::variant<StoreRequest, Result>;
 
-  PackProcess(ActiveConfigPtr aActive, PackLimits aLimits);
+  CompactionProcess(ActiveConfigPtr aActive, CompactionLimits aLimits);
 
   [[nodiscard]] Step Start();
   [[nodiscard]] Step On(const StoreReply& aReply);
@@ -70,7 +70,7 @@
   [[nodiscard]] bool CanSnapshot() const;
 
   ActiveConfigPtr m_active;
-  PackLimits m_limits;
+  CompactionLimits m_limits;
   State m_state{ State::ReadLog };
   DecisionLog m_log;
   Revision m_revision{ 0 };
--- a/include/greengagehub/config/config_copy.hpp
+++ b/include/greengagehub/config/config_copy.hpp
@@ -14,11 +14,12 @@
 /// \brief A copy of the operators' configuration document, stored compressed.
 ///
 /// Shortens the start of instances on slow links. The reader must check with
-/// the store that the original is still at `m_original`: the copy may be stale.
+/// the store that the original is still at `m_originalRevision`: the copy may
+/// be stale.
 struct ConfigCopy
 {
   /// Revision of the original that the copy was made from.
-  Revision m_original{ 0 };
+  Revision m_originalRevision{ 0 };
   std::string m_document;
 };
 
--- a/include/greengagehub/config/config_holder.hpp
+++ b/include/greengagehub/config/config_holder.hpp
@@ -64,7 +64,7 @@
   StageResult Stage(const VersionEntry& aEntry);
   /// \brief Applies a version whose number need not follow the active one.
   /// \param aPatch canonical JSON merge patch on the active content.
-  StageResult StageChange(Version aVersion, std::string aPatch);
+  StageResult StagePatch(Version aVersion, std::string aPatch);
   /// \brief Replaces the active configuration by a later one.
   /// \param aSnapshot canonical JSON of the content at `aHead`.
   StageResult StageSnapshot(const VersionEntry& aHead,
--- a/include/greengagehub/config/content.hpp
+++ b/include/greengagehub/config/content.hpp
@@ -38,7 +38,7 @@
 };
 
 /// \brief One service of a route that splits its calls, with its weight.
-struct RouteShare
+struct WeightedService
 {
   std::string m_service;
   std::uint32_t m_weight{ 0 };
@@ -54,7 +54,7 @@
   /// Target service; empty when m_split is set.
   std::string m_service;
   /// Weighted target services; empty when m_service is set.
-  std::vector<RouteShare> m_split{};
+  std::vector<WeightedService> m_split{};
   CallClass m_class{ CallClass::Critical };
   /// Priority in a worker's queue; 0 is served first.
   std::uint32_t m_priority{ 0 };
--- a/include/greengagehub/config/decision_process.hpp
+++ b/include/greengagehub/config/decision_process.hpp
@@ -47,7 +47,7 @@
 /// DecisionProcess process{ active, submission };
 /// DecisionProcess::Step step = process.Start();
 /// while (auto* request = std::get_if<StoreRequest>(&step)) {
-///   step = process.On(store.Carry(*request));
+///   step = process.On(store.Execute(*request));
 /// }
 /// \endcode
 class DecisionProcess
--- a/include/greengagehub/config/forward.hpp
+++ b/include/greengagehub/config/forward.hpp
@@ -5,8 +5,8 @@
 class Content;
 class ConfigHolder;
 class DecisionProcess;
-class PackProcess;
-class ReadyGate;
+class CompactionProcess;
+class ReadinessGate;
 class SnapshotReader;
 struct Decision;
 struct DecisionLog;
--- a/include/greengagehub/config/ready_gate.hpp
+++ b/include/greengagehub/config/readiness_gate.hpp
@@ -17,14 +17,14 @@
 /// of the slot, as a single peer may be out of date. With PeersFirst, the store
 /// counts only without peers, as it may have been restored from a backup.
 /// Limitation: if all reporting peers are behind, the gate opens too early.
-class ReadyGate
+class ReadinessGate
 {
 public:
   /// Peers that must report, or all of them if there are fewer.
-  static constexpr std::size_t kPeers = 3;
+  static constexpr std::size_t kRequiredPeers = 3;
 
   /// \brief Source that decides the required version.
-  enum class Trust : std::uint8_t
+  enum class Authority : std::uint8_t
   {
     /// Peers; the store only when there are none.
     PeersFirst,
@@ -32,27 +32,27 @@
     StoreFirst,
   };
 
-  explicit ReadyGate(Trust aAuthority = Trust::PeersFirst) noexcept
+  explicit ReadinessGate(Authority aAuthority = Authority::PeersFirst) noexcept
     : m_authority(aAuthority)
   {
   }
 
   /// \brief Records a peer's report.
   /// \param aMinimum highest version that the peer saw this slot run.
-  void HeardPeer(const std::string& aSlot, Version aHead, Version aMinimum)
+  void RecordPeer(const std::string& aSlot, Version aHead, Version aMinimum)
   {
     m_required = std::max({ m_required, aHead, aMinimum });
-    if (m_peers.size() < kPeers) {
+    if (m_peers.size() < kRequiredPeers) {
       m_peers.insert(aSlot);
     }
   }
   /// \brief Raises the required version.
-  void Raise(Version aRequired)
+  void RequireVersion(Version aRequired)
   {
     m_required = std::max(m_required, aRequired);
   }
   /// \brief Records the head version read from the store.
-  void HeardStore(Version aHead)
+  void RecordStoreHead(Version aHead)
   {
     m_storeRead = true;
     m_required = std::max(m_required, aHead);
@@ -65,10 +65,10 @@
   /// \returns Whether the gate is open; once open, it stays open.
   [[nodiscard]] bool IsOpen(Version aInForce, std::size_t aPresent)
   {
-    const bool byPeers =
-      aPresent > 0 && m_joined && m_peers.size() >= std::min(kPeers, aPresent);
+    const bool byPeers = aPresent > 0 && m_joined &&
+                         m_peers.size() >= std::min(kRequiredPeers, aPresent);
     const bool byStore =
-      m_storeRead && (aPresent == 0 || m_authority == Trust::StoreFirst);
+      m_storeRead && (aPresent == 0 || m_authority == Authority::StoreFirst);
     const bool isConfirmed = byPeers || byStore;
     m_open =
       m_open || (isConfirmed && aInForce > Version{} && aInForce >= m_required);
@@ -76,7 +76,7 @@
   }
 
 private:
-  Trust m_authority;
+  Authority m_authority;
   std::set<std::string> m_peers;
   Version m_required;
   bool m_storeRead{ false };
--- a/include/greengagehub/config/snapshot_reader.hpp
+++ b/include/greengagehub/config/snapshot_reader.hpp
@@ -9,7 +9,7 @@
 namespace greengagehub {
 
 /// \brief Result of reading a snapshot from the store.
-struct SnapshotRead
+struct SnapshotResult
 {
   enum class Status : std::uint8_t
   {
@@ -30,7 +30,7 @@
 class SnapshotReader
 {
 public:
-  using Step = std::variant<StoreRequest, SnapshotRead>;
+  using Step = std::variant<StoreRequest, SnapshotResult>;
 
   explicit SnapshotReader(Version aVersion)
     : m_version(aVersion)
--- a/include/greengagehub/core/digest.hpp
+++ b/include/greengagehub/core/digest.hpp
@@ -25,7 +25,7 @@
 
 /// \returns SHA-256 of the text.
 [[nodiscard]] Digest
-HashOf(std::string_view aText);
+Sha256(std::string_view aText);
 
 /// \param aIndex 0 to 3.
 /// \returns The 64-bit big-endian word at this index.
@@ -34,7 +34,7 @@
 
 /// \returns The first 64 bits of SHA-256 of the text; 1 if they are 0.
 [[nodiscard]] std::uint64_t
-ShortHashOf(std::string_view aText);
+ShortHash(std::string_view aText);
 
 /// \returns 64 lower-case hexadecimal digits.
 [[nodiscard]] std::string
--- a/include/greengagehub/core/field_reader.hpp
+++ b/include/greengagehub/core/field_reader.hpp
@@ -23,20 +23,23 @@
   }
 
   /// \returns The first error; empty if there is none.
-  [[nodiscard]] const std::string& Fault() const noexcept { return m_error; }
+  [[nodiscard]] const std::string& FirstError() const noexcept
+  {
+    return m_error;
+  }
   [[nodiscard]] bool Has(const char* aName) const
   {
     return m_object.contains(aName);
   }
 
   /// \returns An integer from 0 to `aMaximum`.
-  std::uint64_t Whole(const char* aName, std::uint64_t aMaximum = UINT64_MAX)
+  std::uint64_t Unsigned(const char* aName, std::uint64_t aMaximum = UINT64_MAX)
   {
     const Json* found = Find(aName);
     const bool fits = found != nullptr && found->is_number_unsigned() &&
                       found->get<std::uint64_t>() <= aMaximum;
     if (!fits) {
-      Note(aName, fmt::format("an integer from 0 to {}", aMaximum));
+      AddError(aName, fmt::format("an integer from 0 to {}", aMaximum));
       return 0;
     }
     return found->get<std::uint64_t>();
@@ -49,7 +52,7 @@
     const double value =
       found != nullptr && found->is_number() ? found->get<double>() : 0.0;
     if (!(value > 0.0) || value > aMaximum) {
-      Note(aName, fmt::format("a number above 0, at most {}", aMaximum));
+      AddError(aName, fmt::format("a number above 0, at most {}", aMaximum));
       return 0.0;
     }
     return value;
@@ -59,7 +62,7 @@
   {
     const Json* found = Find(aName);
     if (found == nullptr || !found->is_string()) {
-      Note(aName, "a string");
+      AddError(aName, "a string");
       return {};
     }
     return found->get<std::string>();
@@ -70,7 +73,7 @@
   {
     std::string text = Text(aName);
     if (text.empty()) {
-      Note(aName, "a non-empty string");
+      AddError(aName, "a non-empty string");
     }
     return text;
   }
@@ -79,7 +82,7 @@
   {
     const Json* found = Find(aName);
     if (found == nullptr || !found->is_boolean()) {
-      Note(aName, "true or false");
+      AddError(aName, "true or false");
       return false;
     }
     return found->get<bool>();
@@ -90,14 +93,14 @@
     static const Json kEmpty = Json::array();
     const Json* found = Find(aName);
     if (found == nullptr || !found->is_array()) {
-      Note(aName, "an array");
+      AddError(aName, "an array");
       return kEmpty;
     }
     return *found;
   }
 
   /// \brief Records an error unless there is one already.
-  void Note(std::string_view aPlace, std::string_view aExpected)
+  void AddError(std::string_view aPlace, std::string_view aExpected)
   {
     if (m_error.empty()) {
       m_error = fmt::format("/{}: expected {}", aPlace, aExpected);
--- a/include/greengagehub/core/store.hpp
+++ b/include/greengagehub/core/store.hpp
@@ -14,7 +14,7 @@
 template<class T>
 concept Store = requires(T aStore, StoreRequest aRequest, StoreDone aDone)
 {
-  aStore.Carry(std::move(aRequest), std::move(aDone));
+  aStore.Execute(std::move(aRequest), std::move(aDone));
 };
 
 }
--- a/include/greengagehub/core/store_message.hpp
+++ b/include/greengagehub/core/store_message.hpp
@@ -47,13 +47,13 @@
   std::chrono::milliseconds m_wait{ 0 };
   /// Watch: a prefix of m_key; changes of other keys with this prefix are
   /// reported in m_items. Empty for none.
-  std::string m_beside{};
-  /// Check: second key, which must be at m_alsoExpected; empty for none.
-  std::string m_alsoKey{};
-  Revision m_alsoExpected{ 0 };
+  std::string m_watchPrefix{};
+  /// Check: second key, which must be at m_secondExpected; empty for none.
+  std::string m_secondKey{};
+  Revision m_secondExpected{ 0 };
   /// Get and List: allows a stale read, which is cheaper and does not count
   /// against the store's rate limits.
-  bool m_mayBeOld{ false };
+  bool m_allowStale{ false };
 };
 
 struct StoreItem
@@ -77,7 +77,7 @@
     /// Not executed: not sent, or rejected.
     Unavailable,
     /// The revision of a watch was compacted; read the key again.
-    HistoryGone,
+    HistoryCompacted,
     /// Sent without a reply; a write may have taken effect.
     Unknown,
   };
@@ -99,7 +99,7 @@
 MakeGet(std::string aKey);
 /// \brief Like MakeGet, as a stale read.
 [[nodiscard]] StoreRequest
-MakeOldGet(std::string aKey);
+MakeStaleGet(std::string aKey);
 [[nodiscard]] StoreRequest
 MakePut(std::string aKey, std::string aValue, Revision aExpected);
 [[nodiscard]] StoreRequest
@@ -109,7 +109,7 @@
 /// \brief Like MakeWatch, and also reports other keys with `aPrefix`, which
 /// must be a prefix of `aKey`.
 [[nodiscard]] StoreRequest
-MakeWatchBeside(std::string aKey,
+MakePrefixWatch(std::string aKey,
                 std::string aPrefix,
                 Revision aAfter,
                 std::chrono::milliseconds aWait);
@@ -119,6 +119,6 @@
 MakeList(std::string aPrefix);
 /// \brief Like MakeList, as a stale read.
 [[nodiscard]] StoreRequest
-MakeOldList(std::string aPrefix);
+MakeStaleList(std::string aPrefix);
 
 }
--- a/include/greengagehub/daemon/config_feed.hpp
+++ b/include/greengagehub/daemon/config_feed.hpp
@@ -73,7 +73,7 @@
     , m_holder(aHolder)
     , m_log(aLog)
     , m_key(std::move(aKey))
-    , m_beside(std::move(aWatchPrefix))
+    , m_watchPrefix(std::move(aWatchPrefix))
     , m_times(aTimes)
     , m_random(aSeed)
     , m_handlers(std::move(aHandlers))
@@ -146,46 +146,47 @@
 
   /// Executes a request; the reply is dropped if a new round has begun.
   template<class Next>
-  void Carry(StoreRequest aRequest, Next aNext)
+  void Execute(StoreRequest aRequest, Next aNext)
   {
-    m_store.Carry(std::move(aRequest),
-                  [this, round = m_round, next = std::move(aNext)](
-                    StoreReply aReply) mutable {
-                    if (round == m_round) {
-                      next(std::move(aReply));
-                    }
-                  });
+    m_store.Execute(std::move(aRequest),
+                    [this, round = m_round, next = std::move(aNext)](
+                      StoreReply aReply) mutable {
+                      if (round == m_round) {
+                        next(std::move(aReply));
+                      }
+                    });
   }
 
   void ReadOriginal()
   {
     m_requestedAt = BootNow();
-    Carry(MakeGet(m_key),
-          [this](StoreReply aReply) { OnRead(std::move(aReply)); });
+    Execute(MakeGet(m_key),
+            [this](StoreReply aReply) { OnRead(std::move(aReply)); });
   }
 
   void ReadCopy()
   {
     // A stale read is enough: CheckOriginal() detects an outdated copy.
-    Carry(MakeOldGet(std::string{ kConfigCopyKey }), [this](StoreReply aReply) {
-      if (aReply.m_status != Status::Ok) {
-        ReadOriginal();
-        return;
-      }
-      auto copy = ParseConfigCopy(aReply.m_value, kMaxUnpackedBytes);
-      if (!copy) {
-        m_log.Warning("config",
-                      "copy_unreadable",
-                      { { "detail", copy.error().m_message } });
-        ReadOriginal();
-        return;
-      }
-      const ConfigCopy& read = copy.value();
-      CheckOriginal(read.m_original, aReply);
-      // The copy takes effect before the check is answered. If it is outdated,
-      // peers send the missing versions.
-      ApplyDocument(read.m_document, read.m_original, aReply.m_era);
-    });
+    Execute(
+      MakeStaleGet(std::string{ kConfigCopyKey }), [this](StoreReply aReply) {
+        if (aReply.m_status != Status::Ok) {
+          ReadOriginal();
+          return;
+        }
+        auto copy = ParseConfigCopy(aReply.m_value, kMaxUnpackedBytes);
+        if (!copy) {
+          m_log.Warning("config",
+                        "copy_unreadable",
+                        { { "detail", copy.error().m_message } });
+          ReadOriginal();
+          return;
+        }
+        const ConfigCopy& read = copy.value();
+        CheckOriginal(read.m_originalRevision, aReply);
+        // The copy takes effect before the check is answered. If it is
+        // outdated, peers send the missing versions.
+        ApplyDocument(read.m_document, read.m_originalRevision, aReply.m_era);
+      });
   }
 
   /// Checks that the original still has the revision the copy was made from.
@@ -194,22 +195,22 @@
   void CheckOriginal(Revision aOriginal, const StoreReply& aCopy)
   {
     m_requestedAt = BootNow();
-    Carry(MakeCheck(m_key, aOriginal),
-          [this, aStoreRevision = aCopy.m_storeRevision, era = aCopy.m_era](
-            StoreReply aReply) {
-            const bool changed =
-              aReply.m_status == Status::Conflict && !aReply.m_value.empty();
-            const bool isUsable = aReply.m_status == Status::Ok || changed;
-            if (!isUsable || IsDifferentEra(aReply.m_era, era)) {
-              ReadOriginal();
-              return;
-            }
-            if (changed) {
-              ApplyReply(aReply);
-            }
-            // The next watch covers changes made after the copy was read.
-            OnNewestKnown(aStoreRevision, era);
-          });
+    Execute(MakeCheck(m_key, aOriginal),
+            [this, aStoreRevision = aCopy.m_storeRevision, era = aCopy.m_era](
+              StoreReply aReply) {
+              const bool changed =
+                aReply.m_status == Status::Conflict && !aReply.m_value.empty();
+              const bool isUsable = aReply.m_status == Status::Ok || changed;
+              if (!isUsable || IsDifferentEra(aReply.m_era, era)) {
+                ReadOriginal();
+                return;
+              }
+              if (changed) {
+                ApplyReply(aReply);
+              }
+              // The next watch covers changes made after the copy was read.
+              OnNewestKnown(aStoreRevision, era);
+            });
   }
 
   void ScheduleCopy()
@@ -235,20 +236,20 @@
   /// a conflict reports.
   void WriteCopy(bool aRetryOnConflict)
   {
-    m_store.Carry(MakePut(std::string{ kConfigCopyKey },
-                          FormatConfigCopy(m_documentRevision, m_document),
-                          m_copyRevision),
-                  [this, aRetryOnConflict](const StoreReply& aReply) {
-                    const bool conflict = aReply.m_status == Status::Conflict;
-                    if (!conflict && aReply.m_status != Status::Ok) {
-                      ScheduleCopy();
-                      return;
-                    }
-                    m_copyRevision = aReply.m_revision;
-                    if (conflict && aRetryOnConflict) {
-                      WriteCopy(false);
-                    }
-                  });
+    m_store.Execute(MakePut(std::string{ kConfigCopyKey },
+                            FormatConfigCopy(m_documentRevision, m_document),
+                            m_copyRevision),
+                    [this, aRetryOnConflict](const StoreReply& aReply) {
+                      const bool conflict = aReply.m_status == Status::Conflict;
+                      if (!conflict && aReply.m_status != Status::Ok) {
+                        ScheduleCopy();
+                        return;
+                      }
+                      m_copyRevision = aReply.m_revision;
+                      if (conflict && aRetryOnConflict) {
+                        WriteCopy(false);
+                      }
+                    });
   }
 
   void OnRead(StoreReply aReply)
@@ -284,8 +285,8 @@
     if (m_isIdle) {
       return;
     }
-    Carry(MakeWatchBeside(m_key, m_beside, m_revision, m_times.m_watch),
-          [this](StoreReply aReply) { OnWatch(std::move(aReply)); });
+    Execute(MakePrefixWatch(m_key, m_watchPrefix, m_revision, m_times.m_watch),
+            [this](StoreReply aReply) { OnWatch(std::move(aReply)); });
   }
 
   void OnWatch(StoreReply aReply)
@@ -368,7 +369,7 @@
     if (version <= before) {
       return true;
     }
-    const StageResult result = m_holder.StageChange(
+    const StageResult result = m_holder.StagePatch(
       version,
       PatchBetween(m_holder.Active()->m_content, document.value().m_content));
     if (result == StageResult::Corrupt) {
@@ -410,7 +411,7 @@
   const Log& m_log;
   std::string m_key;
   /// Prefix of other keys that the same watch covers.
-  std::string m_beside;
+  std::string m_watchPrefix;
   Times m_times;
   Random m_random;
   Handlers m_handlers;
--- a/include/greengagehub/daemon/control_plane.hpp
+++ b/include/greengagehub/daemon/control_plane.hpp
@@ -113,7 +113,7 @@
   void OnSeeds(const StoreReply& aReply);
   void Contact(const MemberPeer& aPeer);
   void OnGossip(const MemberAddress& aFrom, const GossipMessage& aMessage);
-  void Carry(MembershipActions aActions);
+  void Execute(MembershipActions aActions);
   void SendGossip(GossipSend aSend);
   void StageAll(const std::vector<VersionEntry>& aEntries);
   void OnAdvanced(Version aBefore);
@@ -195,7 +195,7 @@
   Version m_compressedVersion;
   MemberSync m_memberSync;
   DomainDiscovery m_domainDiscovery;
-  ReadyGate m_gate;
+  ReadinessGate m_gate;
   TimePoint m_nextRank{};
   bool m_hasFallbackRead{ false };
 };
--- a/include/greengagehub/daemon/decision_service.hpp
+++ b/include/greengagehub/daemon/decision_service.hpp
@@ -23,7 +23,7 @@
   DecisionService(StoreType& aStore,
                   const ConfigHolder& aHolder,
                   const Log& aLog,
-                  PackLimits aLimits,
+                  CompactionLimits aLimits,
                   EntriesCallback aOnEntries)
     : m_store(aStore)
     , m_holder(aHolder)
@@ -53,7 +53,7 @@
               AnswerCallback aOnAnswer)
   {
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
-      m_store.Carry(
+      m_store.Execute(
         std::move(*request),
         [this, aProcess, onAnswer = std::move(aOnAnswer)](StoreReply aReply) {
           Decide(aProcess, aProcess->On(aReply), onAnswer);
@@ -81,30 +81,31 @@
   void StartCompaction()
   {
     m_isCompacting = true;
-    auto process = std::make_shared<PackProcess>(m_holder.Active(), m_limits);
+    auto process =
+      std::make_shared<CompactionProcess>(m_holder.Active(), m_limits);
     Compact(process, process->Start());
   }
 
-  void Compact(const std::shared_ptr<PackProcess>& aProcess,
-               PackProcess::Step aStep)
+  void Compact(const std::shared_ptr<CompactionProcess>& aProcess,
+               CompactionProcess::Step aStep)
   {
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
-      m_store.Carry(std::move(*request), [this, aProcess](StoreReply aReply) {
+      m_store.Execute(std::move(*request), [this, aProcess](StoreReply aReply) {
         Compact(aProcess, aProcess->On(aReply));
       });
       return;
     }
     m_isCompacting = false;
-    const auto result = std::get<PackProcess::Result>(aStep);
+    const auto result = std::get<CompactionProcess::Result>(aStep);
     m_log.Info("config",
                "log_packed",
-               { { "done", result == PackProcess::Result::Packed } });
+               { { "done", result == CompactionProcess::Result::Compacted } });
   }
 
   StoreType& m_store;
   const ConfigHolder& m_holder;
   const Log& m_log;
-  PackLimits m_limits;
+  CompactionLimits m_limits;
   EntriesCallback m_onEntries;
   bool m_isCompacting{ false };
 };
--- a/include/greengagehub/daemon/store_sync.hpp
+++ b/include/greengagehub/daemon/store_sync.hpp
@@ -78,8 +78,8 @@
   void Read()
   {
     m_isBusy = true;
-    Carry(MakeGet(std::string{ kLogKey }),
-          [this](StoreReply aReply) { OnLog(std::move(aReply)); });
+    Execute(MakeGet(std::string{ kLogKey }),
+            [this](StoreReply aReply) { OnLog(std::move(aReply)); });
   }
 
   void Watch()
@@ -88,18 +88,18 @@
       m_isBusy = false;
       return;
     }
-    Carry(MakeWatch(std::string{ kLogKey }, m_revision, m_times.m_watch),
-          [this](StoreReply aReply) {
-            if (aReply.m_status == StoreReply::Status::NotModified) {
-              OnWatchTimeout(aReply.m_storeRevision);
-              return;
-            }
-            if (aReply.m_status == StoreReply::Status::HistoryGone) {
-              Read();
-              return;
-            }
-            OnLog(std::move(aReply));
-          });
+    Execute(MakeWatch(std::string{ kLogKey }, m_revision, m_times.m_watch),
+            [this](StoreReply aReply) {
+              if (aReply.m_status == StoreReply::Status::NotModified) {
+                OnWatchTimeout(aReply.m_storeRevision);
+                return;
+              }
+              if (aReply.m_status == StoreReply::Status::HistoryCompacted) {
+                Read();
+                return;
+              }
+              OnLog(std::move(aReply));
+            });
   }
 
   /// Handles a watch that ended without a change.
@@ -115,9 +115,9 @@
     Watch();
   }
 
-  void Carry(StoreRequest aRequest, StoreDone aDone)
+  void Execute(StoreRequest aRequest, StoreDone aDone)
   {
-    m_store.Carry(std::move(aRequest), std::move(aDone));
+    m_store.Execute(std::move(aRequest), std::move(aDone));
   }
 
   void RetryLater()
@@ -229,13 +229,13 @@
   void OnSnapshotStep(SnapshotReader::Step aStep)
   {
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
-      Carry(std::move(*request), [this](StoreReply aReply) {
+      Execute(std::move(*request), [this](StoreReply aReply) {
         OnSnapshotStep(m_snapshot.On(aReply));
       });
       return;
     }
-    const auto& read = std::get<SnapshotRead>(aStep);
-    if (read.m_status != SnapshotRead::Status::Ok) {
+    const auto& read = std::get<SnapshotResult>(aStep);
+    if (read.m_status != SnapshotResult::Status::Ok) {
       m_log.Warning("store", "snapshot_not_read");
       RetryLater();
       return;
--- a/include/greengagehub/workspaces/workspace_id.hpp
+++ b/include/greengagehub/workspaces/workspace_id.hpp
@@ -4,7 +4,7 @@
 
 namespace greengagehub {
 
-/// \brief Identifies a workspace in messages: ShortHashOf its name.
+/// \brief Identifies a workspace in messages: ShortHash its name.
 using WorkspaceId = std::uint64_t;
 
 }
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -48,7 +48,7 @@
   {
     const std::string content = ToHex(m_content);
     const auto rank = [&content](const WorkerRow* aRow) {
-      return ShortHashOf(content + aRow->m_slot);
+      return ShortHash(content + aRow->m_slot);
     };
     const auto first = std::ranges::max_element(aRows, {}, rank);
     return static_cast<std::size_t>(first - aRows.begin());
--- a/src/calls/worker_incarnation.cpp
+++ b/src/calls/worker_incarnation.cpp
@@ -21,7 +21,7 @@
 {
   const std::int64_t born =
     aStart.m_startedAt ? aStart.m_startedAt->time_since_epoch().count() : -1;
-  const Digest digest = HashOf(fmt::format("{}/{}", aStart.m_id, born));
+  const Digest digest = Sha256(fmt::format("{}/{}", aStart.m_id, born));
   IncarnationTag tag = 0;
   for (std::size_t i = 0; i < sizeof(tag); ++i) {
     tag = (tag << 8U) | digest.m_bytes[i];
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -190,7 +190,7 @@
   }
   const std::string slot = aRow.m_slot;
   const std::string service = aRow.m_service;
-  aRow.m_slotHash = ShortHashOf(slot);
+  aRow.m_slotHash = ShortHash(slot);
   const Index index = m_rows.Insert(std::move(aRow));
   m_bySlot.emplace(slot, index);
   m_byService[service].push_back(index);
--- a/src/config/pack_process.cpp
+++ b/src/config/compaction_process.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/config/pack_process.hpp"
+#include "greengagehub/config/compaction_process.hpp"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 
 /// \returns Number of oldest decisions to archive to get below the low mark.
 std::size_t
-CountToArchive(const DecisionLog& aLog, const PackLimits& aLimits)
+CountToArchive(const DecisionLog& aLog, const CompactionLimits& aLimits)
 {
   std::size_t bytes = LogToJson(aLog).size();
   if (bytes <= aLimits.m_highBytes) {
@@ -28,27 +28,28 @@
 
 }
 
-PackProcess::PackProcess(ActiveConfigPtr aActive, PackLimits aLimits)
+CompactionProcess::CompactionProcess(ActiveConfigPtr aActive,
+                                     CompactionLimits aLimits)
   : m_active(std::move(aActive))
   , m_limits(aLimits)
 {
 }
 
-PackProcess::Step
-PackProcess::Start()
+CompactionProcess::Step
+CompactionProcess::Start()
 {
   return Request(State::ReadLog, MakeGet(std::string{ kLogKey }));
 }
 
-PackProcess::Step
-PackProcess::Request(State aState, StoreRequest aRequest)
+CompactionProcess::Step
+CompactionProcess::Request(State aState, StoreRequest aRequest)
 {
   m_state = aState;
   return aRequest;
 }
 
-PackProcess::Step
-PackProcess::On(const StoreReply& aReply)
+CompactionProcess::Step
+CompactionProcess::On(const StoreReply& aReply)
 {
   const bool failed = aReply.m_status == Status::Unavailable ||
                       aReply.m_status == Status::Unknown;
@@ -85,13 +86,13 @@
       return DeleteNextPart();
     case State::DeletePart:
       return aReply.m_status == Status::Ok ? DeleteNextPart()
-                                           : Step{ Result::Packed };
+                                           : Step{ Result::Compacted };
   }
   return Result::Aborted;
 }
 
 bool
-PackProcess::CanSnapshot() const
+CompactionProcess::CanSnapshot() const
 {
   // The snapshot is the active content, so its version must be in the history
   // of the log.
@@ -106,8 +107,8 @@
   return false;
 }
 
-PackProcess::Step
-PackProcess::OnLog(const StoreReply& aReply)
+CompactionProcess::Step
+CompactionProcess::OnLog(const StoreReply& aReply)
 {
   if (aReply.m_status != Status::Ok) {
     return Result::NothingToDo;
@@ -133,8 +134,8 @@
                          0));
 }
 
-PackProcess::Step
-PackProcess::OnSegmentRead(const StoreReply& aReply)
+CompactionProcess::Step
+CompactionProcess::OnSegmentRead(const StoreReply& aReply)
 {
   // Another process wrote this segment, possibly with another length. Its
   // length applies, as the index may already refer to it.
@@ -157,8 +158,8 @@
   return NextIndex();
 }
 
-PackProcess::Step
-PackProcess::NextIndex()
+CompactionProcess::Step
+CompactionProcess::NextIndex()
 {
   if (m_indexedCount >= m_archived.size()) {
     return StartSnapshot();
@@ -167,8 +168,8 @@
                  MakeGet(IndexKey(m_archived[m_indexedCount].m_id)));
 }
 
-PackProcess::Step
-PackProcess::OnIndexRead(const StoreReply& aReply)
+CompactionProcess::Step
+CompactionProcess::OnIndexRead(const StoreReply& aReply)
 {
   const Decision& decision = m_archived[m_indexedCount];
   const IndexLine line{ IndexDigest(decision.m_id),
@@ -183,8 +184,8 @@
     MakePut(IndexKey(decision.m_id), std::move(bucket), aReply.m_revision));
 }
 
-PackProcess::Step
-PackProcess::StartSnapshot()
+CompactionProcess::Step
+CompactionProcess::StartSnapshot()
 {
   if (m_active->m_version <= m_log.m_snapshot) {
     return SwapLog();
@@ -195,8 +196,8 @@
   return NextPart();
 }
 
-PackProcess::Step
-PackProcess::NextPart()
+CompactionProcess::Step
+CompactionProcess::NextPart()
 {
   const Version version = m_active->m_version;
   if (m_part < m_parts) {
@@ -215,8 +216,8 @@
                  MakePut(SnapshotKey(version), ManifestToJson(manifest), 0));
 }
 
-PackProcess::Step
-PackProcess::SwapLog()
+CompactionProcess::Step
+CompactionProcess::SwapLog()
 {
   DecisionLog next = m_log;
   const auto first = next.m_decisions.begin();
@@ -241,11 +242,11 @@
                  MakePut(std::string{ kLogKey }, LogToJson(next), m_revision));
 }
 
-PackProcess::Step
-PackProcess::DeleteStaleSnapshot()
+CompactionProcess::Step
+CompactionProcess::DeleteStaleSnapshot()
 {
   if (m_staleSnapshot == Version{}) {
-    return Result::Packed;
+    return Result::Compacted;
   }
   // The manifest is deleted first, so that an interruption leaves unreferenced
   // parts but never an incomplete snapshot.
@@ -253,8 +254,8 @@
                  MakeDelete(SnapshotKey(m_staleSnapshot)));
 }
 
-PackProcess::Step
-PackProcess::DeleteNextPart()
+CompactionProcess::Step
+CompactionProcess::DeleteNextPart()
 {
   return Request(
     State::DeletePart,
--- a/src/config/config_copy.cpp
+++ b/src/config/config_copy.cpp
@@ -24,7 +24,7 @@
   ConfigCopy copy;
   const char* end = aValue.data() + line;
   const auto [stop, error] =
-    std::from_chars(aValue.data(), end, copy.m_original);
+    std::from_chars(aValue.data(), end, copy.m_originalRevision);
   if (error != std::errc{} || stop != end) {
     return Error{ ErrorCode::Corrupt,
                   "config copy: the revision is not a number" };
--- a/src/config/config_holder.cpp
+++ b/src/config/config_holder.cpp
@@ -101,7 +101,7 @@
 }
 
 StageResult
-ConfigHolder::StageChange(Version aVersion, std::string aPatch)
+ConfigHolder::StagePatch(Version aVersion, std::string aPatch)
 {
   if (aVersion <= GetVersion()) {
     return StageResult::NotNewer;
--- a/src/config/content_patcher.cpp
+++ b/src/config/content_patcher.cpp
@@ -45,7 +45,7 @@
 Digest
 EntityDigest(const char* aKind, std::string_view aName, std::string_view aText)
 {
-  return HashOf(fmt::format("{}/{}={}", aKind, aName, aText));
+  return Sha256(fmt::format("{}/{}={}", aKind, aName, aText));
 }
 
 template<class T>
@@ -223,7 +223,7 @@
     if (!value.m_service.empty()) {
       CheckReference(name, "service", value.m_service);
     }
-    for (const RouteShare& each : value.m_split) {
+    for (const WeightedService& each : value.m_split) {
       CheckReference(name, "split", each.m_service);
     }
   }
--- a/src/config/decision.cpp
+++ b/src/config/decision.cpp
@@ -13,7 +13,7 @@
   Decision decision;
   decision.m_sequence = aLog.m_nextSequence;
   decision.m_id = aSubmission.m_id;
-  decision.m_patchDigest = HashOf(aSubmission.m_patch);
+  decision.m_patchDigest = Sha256(aSubmission.m_patch);
   decision.m_base = aSubmission.m_base;
   decision.m_author = aSubmission.m_author;
   decision.m_at = aSubmission.m_at;
@@ -90,7 +90,7 @@
 Digest
 NextChain(const Digest& aChain, Version aVersion, std::string_view aPatch)
 {
-  return HashOf(
+  return Sha256(
     fmt::format("{}/{}/{}", ToHex(aChain), aVersion.m_number, aPatch));
 }
 
--- a/src/config/decision_json.cpp
+++ b/src/config/decision_json.cpp
@@ -49,7 +49,7 @@
 {
   const auto digest = ParseDigest(aFields.Text(aName));
   if (!digest) {
-    aFields.Note(aName, "a digest");
+    aFields.AddError(aName, "a digest");
     return {};
   }
   return digest.value();
@@ -58,7 +58,7 @@
 Version
 ReadVersion(FieldReader& aFields, const char* aName)
 {
-  return Version{ aFields.Whole(aName) };
+  return Version{ aFields.Unsigned(aName) };
 }
 
 Outcome<Reason>
@@ -67,13 +67,13 @@
   FieldReader fields{ aObject };
   const auto code = ParseReasonCode(fields.Text("code"));
   if (!code) {
-    fields.Note("code", "a known reason code");
+    fields.AddError("code", "a known reason code");
   }
   Reason reason{ code.value_or(ReasonCode::NotJson),
                  fields.Text("place"),
                  fields.Text("detail") };
-  if (!fields.Fault().empty()) {
-    return Error{ ErrorCode::Corrupt, fields.Fault() };
+  if (!fields.FirstError().empty()) {
+    return Error{ ErrorCode::Corrupt, fields.FirstError() };
   }
   return reason;
 }
@@ -92,14 +92,15 @@
 {
   FieldReader fields{ aObject };
   Decision out;
-  out.m_sequence = fields.Whole("sequence");
+  out.m_sequence = fields.Unsigned("sequence");
   out.m_id = fields.Text("id");
   out.m_patchDigest = ReadDigest(fields, "patch_digest");
   out.m_base = ReadVersion(fields, "base");
   out.m_author = fields.Text("author");
-  out.m_at =
-    WallTime{ std::chrono::milliseconds{ fields.Whole("at_ms", INT64_MAX) } };
-  out.m_rules = static_cast<std::uint32_t>(fields.Whole("rules", UINT32_MAX));
+  out.m_at = WallTime{ std::chrono::milliseconds{
+    fields.Unsigned("at_ms", INT64_MAX) } };
+  out.m_rules =
+    static_cast<std::uint32_t>(fields.Unsigned("rules", UINT32_MAX));
   out.m_head = ReadVersion(fields, "head");
   out.m_accepted = fields.Flag("accepted");
   if (out.m_accepted) {
@@ -113,8 +114,8 @@
       out.m_reasons.push_back(std::move(reason.value()));
     }
   }
-  if (!fields.Fault().empty()) {
-    return Error{ ErrorCode::Corrupt, fields.Fault() };
+  if (!fields.FirstError().empty()) {
+    return Error{ ErrorCode::Corrupt, fields.FirstError() };
   }
   return out;
 }
@@ -147,20 +148,20 @@
 ReadLog(const Json& aObject)
 {
   FieldReader fields{ aObject };
-  if (fields.Whole("format") != kFormat) {
-    fields.Note("format", "a supported format");
+  if (fields.Unsigned("format") != kFormat) {
+    fields.AddError("format", "a supported format");
   }
   DecisionLog log;
   log.m_head = ReadVersion(fields, "head");
   log.m_chain = ReadDigest(fields, "chain");
   log.m_content = ReadDigest(fields, "content");
-  log.m_nextSequence = fields.Whole("next_sequence");
+  log.m_nextSequence = fields.Unsigned("next_sequence");
   log.m_archivedVersion = ReadVersion(fields, "oldest");
   log.m_previousSnapshot = ReadVersion(fields, "prior_snapshot");
   log.m_snapshot = ReadVersion(fields, "snapshot");
   auto decisions = ReadDecisions(fields.List("decisions"));
-  if (!fields.Fault().empty()) {
-    return Error{ ErrorCode::Corrupt, fields.Fault() };
+  if (!fields.FirstError().empty()) {
+    return Error{ ErrorCode::Corrupt, fields.FirstError() };
   }
   if (!decisions) {
     return decisions.error();
--- a/src/config/decision_process.cpp
+++ b/src/config/decision_process.cpp
@@ -60,7 +60,7 @@
   DecisionAnswer answer{ DecisionAnswer::Kind::Decided, aDecision, {} };
   if (m_submission) {
     const bool same =
-      aDecision.m_patchDigest == HashOf(m_submission->m_patch) &&
+      aDecision.m_patchDigest == Sha256(m_submission->m_patch) &&
       aDecision.m_base == m_submission->m_base;
     if (!same) {
       answer.m_kind = DecisionAnswer::Kind::IdReused;
@@ -219,18 +219,18 @@
   if (auto* request = std::get_if<StoreRequest>(&aStep)) {
     return Request(State::ReadSnapshot, std::move(*request));
   }
-  const SnapshotRead& read = std::get<SnapshotRead>(aStep);
+  const SnapshotResult& read = std::get<SnapshotResult>(aStep);
   switch (read.m_status) {
-    case SnapshotRead::Status::Gone:
+    case SnapshotResult::Status::Gone:
       // A newer snapshot replaced this one after the log was read.
       return Retry();
-    case SnapshotRead::Status::Lost:
+    case SnapshotResult::Status::Lost:
       return Answer(DecisionAnswer::Kind::NotKnown,
                     "the store does not answer");
-    case SnapshotRead::Status::Corrupt:
+    case SnapshotResult::Status::Corrupt:
       return Answer(DecisionAnswer::Kind::StoreCorrupt,
                     "the snapshot is damaged");
-    case SnapshotRead::Status::Ok:
+    case SnapshotResult::Status::Ok:
       break;
   }
   Content content;
--- a/src/config/snapshot_reader.cpp
+++ b/src/config/snapshot_reader.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-using Status = SnapshotRead::Status;
+using Status = SnapshotResult::Status;
 
-SnapshotRead
+SnapshotResult
 MakeResult(Status aStatus)
 {
   return { aStatus, {}, {} };
@@ -46,7 +46,9 @@
   if (!text) {
     return MakeResult(Status::Corrupt);
   }
-  return SnapshotRead{ Status::Ok, m_manifest.m_head, std::move(text.value()) };
+  return SnapshotResult{ Status::Ok,
+                         m_manifest.m_head,
+                         std::move(text.value()) };
 }
 
 }
--- a/src/config/store_layout.cpp
+++ b/src/config/store_layout.cpp
@@ -24,7 +24,7 @@
 std::string
 IndexKey(std::string_view aId)
 {
-  return "config/index/" + ToHex(HashOf(aId)).substr(0, kBucketDigits);
+  return "config/index/" + ToHex(Sha256(aId)).substr(0, kBucketDigits);
 }
 
 std::string
@@ -58,13 +58,13 @@
   const auto chain = ParseDigest(fields.Text("chain"));
   const auto content = ParseDigest(fields.Text("content"));
   SnapshotManifest manifest;
-  manifest.m_head.m_version = Version{ fields.Whole("version") };
-  manifest.m_parts = fields.Whole("parts", kMaxParts);
+  manifest.m_head.m_version = Version{ fields.Unsigned("version") };
+  manifest.m_parts = fields.Unsigned("parts", kMaxParts);
   if (!chain || !content) {
-    fields.Note("chain", "a digest, as in /content");
+    fields.AddError("chain", "a digest, as in /content");
   }
-  if (!fields.Fault().empty()) {
-    return Error{ ErrorCode::Corrupt, fields.Fault() };
+  if (!fields.FirstError().empty()) {
+    return Error{ ErrorCode::Corrupt, fields.FirstError() };
   }
   manifest.m_head.m_chain = chain.value();
   manifest.m_head.m_content = content.value();
@@ -94,7 +94,7 @@
 std::string
 IndexDigest(std::string_view aId)
 {
-  return ToHex(HashOf(aId)).substr(0, kDigestDigits);
+  return ToHex(Sha256(aId)).substr(0, kDigestDigits);
 }
 
 std::vector<std::uint64_t>
--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -36,7 +36,7 @@
 }
 
 Digest
-HashOf(std::string_view aText)
+Sha256(std::string_view aText)
 {
   Digest digest;
   unsigned int length = 0;
@@ -60,9 +60,9 @@
 }
 
 std::uint64_t
-ShortHashOf(std::string_view aText)
+ShortHash(std::string_view aText)
 {
-  return std::max<std::uint64_t>(1, WordOf(HashOf(aText), 0));
+  return std::max<std::uint64_t>(1, WordOf(Sha256(aText), 0));
 }
 
 std::string
--- a/src/core/store_message.cpp
+++ b/src/core/store_message.cpp
@@ -11,10 +11,10 @@
 }
 
 StoreRequest
-MakeOldGet(std::string aKey)
+MakeStaleGet(std::string aKey)
 {
   StoreRequest request = MakeGet(std::move(aKey));
-  request.m_mayBeOld = true;
+  request.m_allowStale = true;
   return request;
 }
 
@@ -43,13 +43,13 @@
 }
 
 StoreRequest
-MakeWatchBeside(std::string aKey,
+MakePrefixWatch(std::string aKey,
                 std::string aPrefix,
                 Revision aAfter,
                 std::chrono::milliseconds aWait)
 {
   StoreRequest request = MakeWatch(std::move(aKey), aAfter, aWait);
-  request.m_beside = std::move(aPrefix);
+  request.m_watchPrefix = std::move(aPrefix);
   return request;
 }
 
@@ -68,10 +68,10 @@
 }
 
 StoreRequest
-MakeOldList(std::string aPrefix)
+MakeStaleList(std::string aPrefix)
 {
   StoreRequest request = MakeList(std::move(aPrefix));
-  request.m_mayBeOld = true;
+  request.m_allowStale = true;
   return request;
 }
 
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -328,7 +328,7 @@
   }
   const auto [found, isNew] = m_routeStatistics.try_emplace(aKey);
   if (isNew) {
-    found->second.m_routeHash = ShortHashOf(aKey);
+    found->second.m_routeHash = ShortHash(aKey);
   }
   return found->second;
 }
@@ -340,11 +340,11 @@
     return aRoute.m_service;
   }
   std::uint64_t total = 0;
-  for (const RouteShare& each : aRoute.m_split) {
+  for (const WeightedService& each : aRoute.m_split) {
     total += each.m_weight;
   }
   std::uint64_t remaining = Below(m_random, total);
-  for (const RouteShare& each : aRoute.m_split) {
+  for (const WeightedService& each : aRoute.m_split) {
     if (remaining < each.m_weight) {
       return each.m_service;
     }
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -85,42 +85,44 @@
   , m_disseminator(aSettings.m_dissemination, m_random())
   , m_watchLease(aSettings.m_watch, m_membership.Self(), m_random())
   , m_seedPublisher(m_membership.Self(), m_random())
-  , m_sync(aLoop,
-           m_store,
-           m_holder,
-           aLog,
-           { .m_watch = aSettings.m_store.m_watch,
-             .m_maxBackoff = aSettings.m_store.m_maxBackoff },
-           m_random(),
-           { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
-             .m_onHead = [this](Version aHead) { m_gate.HeardStore(aHead); } })
-  , m_feed(aLoop,
-           m_store,
-           m_holder,
-           aLog,
-           std::string{ platform::kConfigKey },
-           std::string{ platform::kOperatorsPrefix },
-           { .m_watch = aSettings.m_store.m_watch,
-             .m_coalesceDelay =
-               aSettings.m_platform.m_configApply / kCoalesceDivisor,
-             .m_maxBackoff = kMaxFeedBackoff },
-           m_random(),
-           { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
-             .m_onHead = [this](Version aHead) { m_gate.HeardStore(aHead); },
-             .m_onConfirmed =
-               [this](TimePoint aRequestedAt, const StoreConfig& aConfig) {
-                 m_workspaces.OnConfirmed(aRequestedAt, aConfig);
-               },
-             .m_onPrefixChanged =
-               [this](const std::vector<StoreItem>& aItems) {
-                 m_rollouts.OnStoreItems(aItems);
-               },
-             .m_onChangesMissed = [this] { m_rollouts.OnStoreMissed(); } })
+  , m_sync(
+      aLoop,
+      m_store,
+      m_holder,
+      aLog,
+      { .m_watch = aSettings.m_store.m_watch,
+        .m_maxBackoff = aSettings.m_store.m_maxBackoff },
+      m_random(),
+      { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
+        .m_onHead = [this](Version aHead) { m_gate.RecordStoreHead(aHead); } })
+  , m_feed(
+      aLoop,
+      m_store,
+      m_holder,
+      aLog,
+      std::string{ platform::kConfigKey },
+      std::string{ platform::kOperatorsPrefix },
+      { .m_watch = aSettings.m_store.m_watch,
+        .m_coalesceDelay =
+          aSettings.m_platform.m_configApply / kCoalesceDivisor,
+        .m_maxBackoff = kMaxFeedBackoff },
+      m_random(),
+      { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
+        .m_onHead = [this](Version aHead) { m_gate.RecordStoreHead(aHead); },
+        .m_onConfirmed =
+          [this](TimePoint aRequestedAt, const StoreConfig& aConfig) {
+            m_workspaces.OnConfirmed(aRequestedAt, aConfig);
+          },
+        .m_onPrefixChanged =
+          [this](const std::vector<StoreItem>& aItems) {
+            m_rollouts.OnStoreItems(aItems);
+          },
+        .m_onChangesMissed = [this] { m_rollouts.OnStoreMissed(); } })
   , m_decisions(
       m_store,
       m_holder,
       aLog,
-      PackLimits{},
+      CompactionLimits{},
       [this](const std::vector<VersionEntry>& aEntries) { StageAll(aEntries); })
   , m_quarantine({ m_store,
                    aLog,
@@ -133,8 +135,9 @@
   , m_workspaces(WorkspaceParts(aLoop), aProcess, m_random())
   , m_tick(aLoop)
   , m_memberSync(Clock::now(), m_random())
-  , m_gate(aSettings.m_platform.m_enabled ? ReadyGate::Trust::StoreFirst
-                                          : ReadyGate::Trust::PeersFirst)
+  , m_gate(aSettings.m_platform.m_enabled
+             ? ReadinessGate::Authority::StoreFirst
+             : ReadinessGate::Authority::PeersFirst)
 {
 }
 
@@ -233,7 +236,7 @@
 ControlPlane::Tick()
 {
   const TimePoint now = Clock::now();
-  Carry(m_membership.OnTick(now));
+  Execute(m_membership.OnTick(now));
   if (now >= m_nextJoin && m_membership.Members().Present() == 0) {
     Join();
   }
@@ -269,19 +272,19 @@
 void
 ControlPlane::Contact(const MemberPeer& aPeer)
 {
-  Carry(m_membership.Contact(aPeer));
+  Execute(m_membership.Contact(aPeer));
 }
 
 void
 ControlPlane::Announce(MemberState aState)
 {
-  Carry(m_membership.Announce(aState));
+  Execute(m_membership.Announce(aState));
 }
 
 void
 ControlPlane::Announce(MemberState aState, WorkerDescription aWorker)
 {
-  Carry(m_membership.Announce(aState, aWorker));
+  Execute(m_membership.Announce(aState, aWorker));
 }
 
 void
@@ -308,7 +311,7 @@
 }
 
 void
-ControlPlane::Carry(MembershipActions aActions)
+ControlPlane::Execute(MembershipActions aActions)
 {
   for (const MemberEvent& each : aActions.m_events) {
     m_log.Debug(
@@ -333,9 +336,9 @@
     return;
   }
   const TimePoint now = Clock::now();
-  m_gate.HeardPeer(aMessage.m_sender.m_slot,
-                   aMessage.m_head.m_version,
-                   aMessage.m_minimumVersion);
+  m_gate.RecordPeer(aMessage.m_sender.m_slot,
+                    aMessage.m_head.m_version,
+                    aMessage.m_minimumVersion);
   StageAll(aMessage.m_entries);
   if (!aMessage.m_quarantine.IsEmpty()) {
     m_quarantine.OnNews(aMessage.m_quarantine);
@@ -359,7 +362,7 @@
       }
     }
   }
-  Carry(std::move(actions));
+  Execute(std::move(actions));
   const VersionEntry* own = m_holder.Entry(peerVersion);
   if (own != nullptr && own->m_chain != aMessage.m_head.m_chain) {
     m_log.Error("config",
@@ -411,7 +414,7 @@
   }
   auto request = m_seedPublisher.OnTick(aNow, rank);
   if (request) {
-    m_store.Carry(std::move(*request), [this](const StoreReply& aReply) {
+    m_store.Execute(std::move(*request), [this](const StoreReply& aReply) {
       m_seedPublisher.OnReply(Clock::now(), aReply);
     });
   }
@@ -458,7 +461,7 @@
 void
 ControlPlane::ExecuteWatchRequest(StoreRequest aRequest)
 {
-  m_store.Carry(std::move(aRequest), [this](const StoreReply& aReply) {
+  m_store.Execute(std::move(aRequest), [this](const StoreReply& aReply) {
     if (auto next = m_watchLease.OnReply(Clock::now(), aReply)) {
       ExecuteWatchRequest(std::move(*next));
     }
--- a/src/daemon/control_plane_joining.cpp
+++ b/src/daemon/control_plane_joining.cpp
@@ -55,8 +55,8 @@
     Contact(each);
   }
   if (m_domainDiscovery.IsReadDue(aNow)) {
-    m_store.Carry(MakeOldList(std::string{ kSeedPrefix }),
-                  [this](const StoreReply& aReply) { OnSeeds(aReply); });
+    m_store.Execute(MakeStaleList(std::string{ kSeedPrefix }),
+                    [this](const StoreReply& aReply) { OnSeeds(aReply); });
   }
 }
 
@@ -78,8 +78,8 @@
   }
   ++m_joinAttempts;
   // Outdated addresses are acceptable.
-  m_store.Carry(MakeOldList(std::string{ kSeedPrefix }),
-                [this](const StoreReply& aReply) { OnSeeds(aReply); });
+  m_store.Execute(MakeStaleList(std::string{ kSeedPrefix }),
+                  [this](const StoreReply& aReply) { OnSeeds(aReply); });
 }
 
 void
@@ -144,7 +144,7 @@
   m_gate.Joined();
   // Contacts enough peers to become ready.
   for (const MemberPeer& each :
-       m_membership.SampleOwnDomainFirst(ReadyGate::kPeers)) {
+       m_membership.SampleOwnDomainFirst(ReadinessGate::kRequiredPeers)) {
     Contact(each);
   }
 }
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -144,11 +144,12 @@
   }
   // Permits must be known before the members whose versions they cover.
   m_rollouts.OnNews(aAnswer->m_rollouts);
-  m_gate.Raise(std::max(aAnswer->m_head.m_version, aAnswer->m_minimumVersion));
+  m_gate.RequireVersion(
+    std::max(aAnswer->m_head.m_version, aAnswer->m_minimumVersion));
   MembershipActions actions =
     m_membership.OnRecords(Clock::now(), aAnswer->m_members);
   m_memberSync.Ended(actions.m_events.size());
-  Carry(std::move(actions));
+  Execute(std::move(actions));
   if (!aAnswer->m_members.empty()) {
     SetJoined();
   }
--- a/src/daemon/quarantine_keeper.cpp
+++ b/src/daemon/quarantine_keeper.cpp
@@ -142,10 +142,11 @@
 {
   m_isReading = true;
   const std::string prefix{ kVerdictPrefix };
-  m_parts.m_store.Carry(aAllowStale ? MakeOldList(prefix) : MakeList(prefix),
-                        [this, aAllowStale](const StoreReply& aReply) {
-                          OnRead(aReply, aAllowStale);
-                        });
+  m_parts.m_store.Execute(aAllowStale ? MakeStaleList(prefix)
+                                      : MakeList(prefix),
+                          [this, aAllowStale](const StoreReply& aReply) {
+                            OnRead(aReply, aAllowStale);
+                          });
 }
 
 void
@@ -180,9 +181,10 @@
   if (!aRequest) {
     return;
   }
-  m_parts.m_store.Carry(std::move(*aRequest), [this](const StoreReply& aReply) {
-    Write(m_writer.OnReply(Clock::now(), aReply));
-  });
+  m_parts.m_store.Execute(std::move(*aRequest),
+                          [this](const StoreReply& aReply) {
+                            Write(m_writer.OnReply(Clock::now(), aReply));
+                          });
 }
 
 }
--- a/src/daemon/rollout_keeper.cpp
+++ b/src/daemon/rollout_keeper.cpp
@@ -269,7 +269,7 @@
 RolloutKeeper::Read()
 {
   m_isReading = true;
-  m_parts.m_store.Carry(
+  m_parts.m_store.Execute(
     MakeList(std::string{ platform::kRolloutOrders }),
     [this](const StoreReply& aReply) { OnOrdersRead(aReply); });
 }
@@ -283,7 +283,7 @@
     m_hasRead = ok;
     return;
   }
-  m_parts.m_store.Carry(
+  m_parts.m_store.Execute(
     MakeList(std::string{ platform::kRolloutStatuses }),
     [this, orders = aReply.m_items](const StoreReply& aStatuses) {
       OnStatusesRead(orders, aStatuses);
@@ -334,13 +334,14 @@
   if (!aRequest) {
     return;
   }
-  m_parts.m_store.Carry(std::move(*aRequest), [this](const StoreReply& aReply) {
-    auto step = m_writer.OnReply(Clock::now(), aReply);
-    if (step.m_written) {
-      OnWritten(*step.m_written);
-    }
-    Write(std::move(step.m_next));
-  });
+  m_parts.m_store.Execute(std::move(*aRequest),
+                          [this](const StoreReply& aReply) {
+                            auto step = m_writer.OnReply(Clock::now(), aReply);
+                            if (step.m_written) {
+                              OnWritten(*step.m_written);
+                            }
+                            Write(std::move(step.m_next));
+                          });
 }
 
 void
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -61,7 +61,7 @@
   if (isCrash) {
     const std::string name = fmt::format(
       "{}/{}/{}", m_parts.m_settings.m_slot, m_parts.m_seed, end->m_number);
-    m_parts.m_onCrash({ .m_id = ShortHashOf(name),
+    m_parts.m_onCrash({ .m_id = ShortHash(name),
                         .m_slot = m_parts.m_settings.m_slot,
                         .m_service = m_parts.m_settings.m_service,
                         .m_ran = std::move(end->m_runs) });
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -377,10 +377,10 @@
   StoreRequest request =
     MakeCheck(std::string{ platform::kConfigKey }, check.m_config.m_revision);
   if (aIsConfirm) {
-    request.m_alsoKey = kCoordinatorKey;
-    request.m_alsoExpected = m_role.ExpectedRevision();
+    request.m_secondKey = kCoordinatorKey;
+    request.m_secondExpected = m_role.ExpectedRevision();
   }
-  m_parts.m_store.Carry(std::move(request), [this, check](StoreReply aReply) {
+  m_parts.m_store.Execute(std::move(request), [this, check](StoreReply aReply) {
     OnStoreCheck(check, std::move(aReply));
   });
 }
@@ -422,27 +422,27 @@
 void
 WorkspaceService::ReadCoordinatorKey()
 {
-  m_parts.m_store.Carry(MakeGet(std::string{ kCoordinatorKey }),
-                        [this](const StoreReply& aReply) {
-                          m_role.OnRead(BootNow(), aReply);
-                          AdvanceRole(BootNow());
-                        });
+  m_parts.m_store.Execute(MakeGet(std::string{ kCoordinatorKey }),
+                          [this](const StoreReply& aReply) {
+                            m_role.OnRead(BootNow(), aReply);
+                            AdvanceRole(BootNow());
+                          });
 }
 
 void
 WorkspaceService::ClaimCoordinatorKey()
 {
-  m_parts.m_store.Carry(MakePut(std::string{ kCoordinatorKey },
-                                m_role.KeyValue(),
-                                m_role.ExpectedRevision()),
-                        [this, sentAt = BootNow()](const StoreReply& aReply) {
-                          m_role.OnClaimed(BootNow(), sentAt, aReply);
-                          if (m_role.HoldsKey()) {
-                            m_parts.m_log.Info("workspaces",
-                                               "coordinator_claimed");
-                            AnnounceCoordinator(m_parts.m_settings.m_slot);
-                          }
-                        });
+  m_parts.m_store.Execute(MakePut(std::string{ kCoordinatorKey },
+                                  m_role.KeyValue(),
+                                  m_role.ExpectedRevision()),
+                          [this, sentAt = BootNow()](const StoreReply& aReply) {
+                            m_role.OnClaimed(BootNow(), sentAt, aReply);
+                            if (m_role.HoldsKey()) {
+                              m_parts.m_log.Info("workspaces",
+                                                 "coordinator_claimed");
+                              AnnounceCoordinator(m_parts.m_settings.m_slot);
+                            }
+                          });
 }
 
 void
@@ -456,7 +456,7 @@
 WorkspaceService::Resign()
 {
   if (m_role.Resign() == CoordinatorRole::Step::Release) {
-    m_parts.m_store.Carry(
+    m_parts.m_store.Execute(
       MakePut(std::string{ kCoordinatorKey }, {}, m_role.ExpectedRevision()),
       [this](const StoreReply&) { AnnounceCoordinator({}); });
   }
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -123,7 +123,7 @@
 std::uint64_t
 RankKey(std::string_view aSlot)
 {
-  const Digest digest = HashOf(aSlot);
+  const Digest digest = Sha256(aSlot);
   std::uint64_t key = 0;
   for (std::size_t i = 0; i < sizeof(key); ++i) {
     key = (key << 8U) | digest.m_bytes[i];
--- a/src/membership/watch_lease.cpp
+++ b/src/membership/watch_lease.cpp
@@ -173,14 +173,14 @@
   const auto json = nlohmann::json::parse(aText, nullptr, false);
   FieldReader fields{ json };
   const auto port = [&fields](const char* aName) {
-    return static_cast<std::uint16_t>(fields.Whole(aName, UINT16_MAX));
+    return static_cast<std::uint16_t>(fields.Unsigned(aName, UINT16_MAX));
   };
   const MemberAddress address{ fields.Name("host"),
                                port("gossip_port"),
                                port("bulk_port"),
                                port("link_port") };
-  const bool isValid = fields.Fault().empty() && address.m_gossipPort > 0 &&
-                       IsNumeric(address.m_host);
+  const bool isValid = fields.FirstError().empty() &&
+                       address.m_gossipPort > 0 && IsNumeric(address.m_host);
   return isValid ? std::optional{ address } : std::nullopt;
 }
 
--- a/src/quarantine/fingerprint.cpp
+++ b/src/quarantine/fingerprint.cpp
@@ -44,7 +44,7 @@
   AppendWithLength(text, aInput.m_target);
   text += fmt::format("{}:", aInput.m_body.size());
   AppendBody(text, aInput.m_body);
-  const Digest digest = HashOf(text);
+  const Digest digest = Sha256(text);
   return { WordOf(digest, 0), WordOf(digest, 1) };
 }
 
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -13,10 +13,10 @@
 std::uint64_t
 DigestOf(const QuarantineVerdict& aVerdict)
 {
-  return ShortHashOf(fmt::format("{}/{}/{}",
-                                 ToHex(aVerdict.m_content),
-                                 aVerdict.m_generation,
-                                 aVerdict.m_isQuarantined));
+  return ShortHash(fmt::format("{}/{}/{}",
+                               ToHex(aVerdict.m_content),
+                               aVerdict.m_generation,
+                               aVerdict.m_isQuarantined));
 }
 
 /// \returns Whether the request counts as the cause of crashes that it was part
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -53,13 +53,15 @@
   verdict.m_isQuarantined = true;
   verdict.m_service = fields.Text("service");
   verdict.m_generation =
-    static_cast<std::uint32_t>(fields.Whole("generation", UINT32_MAX));
-  verdict.m_ends = static_cast<std::uint32_t>(fields.Whole("ends", UINT32_MAX));
-  if (fields.Whole("format") != kFormatVersion || verdict.m_generation == 0) {
-    fields.Note("format", "a supported format with a generation above 0");
+    static_cast<std::uint32_t>(fields.Unsigned("generation", UINT32_MAX));
+  verdict.m_ends =
+    static_cast<std::uint32_t>(fields.Unsigned("ends", UINT32_MAX));
+  if (fields.Unsigned("format") != kFormatVersion ||
+      verdict.m_generation == 0) {
+    fields.AddError("format", "a supported format with a generation above 0");
   }
-  if (!fields.Fault().empty()) {
-    return Error{ ErrorCode::Corrupt, fields.Fault() };
+  if (!fields.FirstError().empty()) {
+    return Error{ ErrorCode::Corrupt, fields.FirstError() };
   }
   return verdict;
 }
--- a/src/rollout/rollout_table.cpp
+++ b/src/rollout/rollout_table.cpp
@@ -66,12 +66,12 @@
   m_summary = 0;
   for (const auto& [service, entry] : m_entries) {
     const RolloutRecord& record = entry.m_record;
-    m_summary ^= ShortHashOf(fmt::format("{}/{}/{}/{}/{}",
-                                         service,
-                                         record.m_generation,
-                                         record.m_order.m_target,
-                                         NameOf(record.m_state),
-                                         record.m_isWritten));
+    m_summary ^= ShortHash(fmt::format("{}/{}/{}/{}/{}",
+                                       service,
+                                       record.m_generation,
+                                       record.m_order.m_target,
+                                       NameOf(record.m_state),
+                                       record.m_isWritten));
   }
 }
 
--- a/src/workspaces/quota_coordinator.cpp
+++ b/src/workspaces/quota_coordinator.cpp
@@ -112,7 +112,7 @@
                             const std::vector<QuotaDemand>& aDemands,
                             const WorkspaceTable& aTable)
 {
-  const std::uint64_t slot = ShortHashOf(aSlot);
+  const std::uint64_t slot = ShortHash(aSlot);
   std::vector<QuotaGrant> grants;
   for (const QuotaDemand& each : aDemands) {
     const WorkspaceRow* workspace = aTable.Find(each.m_workspace);
--- a/src/workspaces/workspace_table.cpp
+++ b/src/workspaces/workspace_table.cpp
@@ -36,7 +36,7 @@
 void
 WorkspaceTable::Add(const std::string& aName, const Workspace& aWorkspace)
 {
-  const WorkspaceId id = ShortHashOf(aName);
+  const WorkspaceId id = ShortHash(aName);
   m_rows[id] = { .m_name = aName,
                  .m_id = id,
                  .m_priority = aWorkspace.m_priority,
@@ -53,13 +53,13 @@
   for (const Digest& each : aWorkspace.m_keys) {
     m_keys.erase(each);
   }
-  m_rows.erase(ShortHashOf(aName));
+  m_rows.erase(ShortHash(aName));
 }
 
 const WorkspaceRow*
 WorkspaceTable::FindByKey(std::string_view aKey) const
 {
-  const auto found = m_keys.find(HashOf(aKey));
+  const auto found = m_keys.find(Sha256(aKey));
   return found != m_keys.end() ? Find(found->second) : nullptr;
 }
 
--- a/tests/config/config_copy.cpp
+++ b/tests/config/config_copy.cpp
@@ -15,7 +15,7 @@
   CHECK(value.size() < 1000);
   const auto copy = ParseConfigCopy(value, kMaxBytes);
   REQUIRE(copy);
-  CHECK(copy.value().m_original == 42);
+  CHECK(copy.value().m_originalRevision == 42);
   CHECK(copy.value().m_document == document);
 }
 
--- a/tests/config/content_diff.cpp
+++ b/tests/config/content_diff.cpp
@@ -20,8 +20,8 @@
 StageResult
 Stage(ConfigHolder& aHolder, std::uint64_t aVersion, const ContentTexts& aTexts)
 {
-  return aHolder.StageChange(Version{ aVersion },
-                             PatchBetween(aHolder.Active()->m_content, aTexts));
+  return aHolder.StagePatch(Version{ aVersion },
+                            PatchBetween(aHolder.Active()->m_content, aTexts));
 }
 
 }
--- a/tests/config/decision_interleavings.cpp
+++ b/tests/config/decision_interleavings.cpp
@@ -1,7 +1,7 @@
 #include "fake_store.hpp"
 
+#include "greengagehub/config/compaction_process.hpp"
 #include "greengagehub/config/decision_process.hpp"
-#include "greengagehub/config/pack_process.hpp"
 
 #include <doctest/doctest.h>
 #include <fmt/format.h>
@@ -42,7 +42,7 @@
 struct Actor
 {
   std::optional<DecisionProcess> m_submit;
-  std::optional<PackProcess> m_compaction;
+  std::optional<CompactionProcess> m_compaction;
   std::optional<StoreRequest> m_next;
   std::optional<DecisionAnswer> m_answer;
   /// Hash of all replies so far, which determine the state of the process.
@@ -57,7 +57,7 @@
       m_answer = std::move(std::get<DecisionAnswer>(aStep));
     }
   }
-  void Advance(PackProcess::Step aStep)
+  void Advance(CompactionProcess::Step aStep)
   {
     m_next.reset();
     if (auto* request = std::get_if<StoreRequest>(&aStep)) {
@@ -120,7 +120,7 @@
   DecisionProcess lookup{ ActiveConfigPtr{ new ActiveConfig }, aId };
   auto step = lookup.Start();
   while (auto* request = std::get_if<StoreRequest>(&step)) {
-    step = lookup.On(aStore.Carry(*request));
+    step = lookup.On(aStore.Execute(*request));
   }
   const auto& answer = std::get<DecisionAnswer>(step);
   if (answer.m_kind != DecisionAnswer::Kind::Decided) {
@@ -243,7 +243,7 @@
     }
     for (std::size_t i = 0; i < aWorld.m_delayed.size(); ++i) {
       World next = aWorld;
-      static_cast<void>(next.m_store.Carry(next.m_delayed[i]));
+      static_cast<void>(next.m_store.Execute(next.m_delayed[i]));
       next.m_delayed.erase(next.m_delayed.begin() +
                            static_cast<std::ptrdiff_t>(i));
       Run(next);
@@ -261,7 +261,7 @@
     const StoreRequest request = *actor.m_next;
     StoreReply reply;
     if (aFault == Fault::None || aFault == Fault::ReplyLost) {
-      reply = aWorld.m_store.Carry(request);
+      reply = aWorld.m_store.Execute(request);
     }
     if (aFault == Fault::Delayed) {
       aWorld.m_delayed.push_back(request);
@@ -311,7 +311,7 @@
                          i,
                          ServicePatch(fmt::format("old-{}", i)));
     while (actor.m_next) {
-      actor.On(aWorld.m_store.Carry(*actor.m_next));
+      actor.On(aWorld.m_store.Execute(*actor.m_next));
     }
     REQUIRE(actor.m_answer->m_decision.m_accepted);
     REQUIRE(aHolder.Stage(actor.m_answer->m_decision.m_entry) ==
@@ -380,7 +380,8 @@
   world.m_actors.push_back(Submit(holder, "old-0", 0, ServicePatch("old-0")));
   world.m_actors.push_back(Submit(holder, "new", 2, ServicePatch("new")));
   Actor compaction;
-  compaction.m_compaction = PackProcess{ holder.Active(), PackLimits{ 1, 1 } };
+  compaction.m_compaction =
+    CompactionProcess{ holder.Active(), CompactionLimits{ 1, 1 } };
   compaction.Start();
   world.m_actors.push_back(std::move(compaction));
   Search search;
@@ -398,7 +399,7 @@
   for (int i = 0; i < 2; ++i) {
     Actor compaction;
     compaction.m_compaction =
-      PackProcess{ holder.Active(), PackLimits{ 1, 1 } };
+      CompactionProcess{ holder.Active(), CompactionLimits{ 1, 1 } };
     compaction.Start();
     world.m_actors.push_back(std::move(compaction));
   }
@@ -430,12 +431,13 @@
   World world;
   ConfigHolder holder;
   RecordVersions(world, holder, 5);
-  PackProcess compaction{ holder.Active(), PackLimits{ 1, 1 } };
+  CompactionProcess compaction{ holder.Active(), CompactionLimits{ 1, 1 } };
   auto step = compaction.Start();
   while (auto* request = std::get_if<StoreRequest>(&step)) {
-    step = compaction.On(world.m_store.Carry(*request));
+    step = compaction.On(world.m_store.Execute(*request));
   }
-  REQUIRE(std::get<PackProcess::Result>(step) == PackProcess::Result::Packed);
+  REQUIRE(std::get<CompactionProcess::Result>(step) ==
+          CompactionProcess::Result::Compacted);
   const auto log =
     ParseLog(world.m_store.m_keys.at(std::string{ kLogKey }).m_value).value();
   CHECK(log.m_decisions.empty());
@@ -449,7 +451,7 @@
   const ConfigHolder fresh;
   Actor actor = Submit(fresh, "next", 5, ServicePatch("next"));
   while (actor.m_next) {
-    actor.On(world.m_store.Carry(*actor.m_next));
+    actor.On(world.m_store.Execute(*actor.m_next));
   }
   CHECK(actor.m_answer->m_decision.m_accepted);
   CHECK(CheckHistory(world.m_store) == "");
@@ -466,14 +468,14 @@
   RecordVersions(world, holder, 0);
   Actor third = Submit(holder, "third", 2, ServicePatch("third"));
   while (third.m_next) {
-    third.On(world.m_store.Carry(*third.m_next));
+    third.On(world.m_store.Execute(*third.m_next));
   }
   REQUIRE(holder.Stage(third.m_answer->m_decision.m_entry) ==
           StageResult::Applied);
   world.m_store = backup;
   Actor after = Submit(holder, "after", 2, ServicePatch("after"));
   while (after.m_next) {
-    after.On(world.m_store.Carry(*after.m_next));
+    after.On(world.m_store.Execute(*after.m_next));
   }
   CHECK(after.m_answer->m_kind == DecisionAnswer::Kind::StoreBehind);
 
@@ -482,14 +484,14 @@
   const ConfigHolder restarted;
   Actor other = Submit(restarted, "other", 2, ServicePatch("other"));
   while (other.m_next) {
-    other.On(world.m_store.Carry(*other.m_next));
+    other.On(world.m_store.Execute(*other.m_next));
   }
   REQUIRE(other.m_answer->m_decision.m_accepted);
   CHECK(holder.Stage(other.m_answer->m_decision.m_entry) ==
         StageResult::Forked);
   Actor again = Submit(holder, "again", 3, ServicePatch("again"));
   while (again.m_next) {
-    again.On(world.m_store.Carry(*again.m_next));
+    again.On(world.m_store.Execute(*again.m_next));
   }
   CHECK(again.m_answer->m_kind == DecisionAnswer::Kind::StoreBehind);
 }
--- a/tests/config/fake_store.hpp
+++ b/tests/config/fake_store.hpp
@@ -20,7 +20,7 @@
   /// Fault injection: Put ignores the expected revision.
   bool m_ignoresExpected{ false };
 
-  [[nodiscard]] StoreReply Carry(const StoreRequest& aRequest)
+  [[nodiscard]] StoreReply Execute(const StoreRequest& aRequest)
   {
     using Status = StoreReply::Status;
     const auto key = m_keys.find(aRequest.m_key);
--- a/tests/daemon/config_feed.cpp
+++ b/tests/daemon/config_feed.cpp
@@ -68,7 +68,7 @@
     m_keys[aKey] = { std::move(aValue), ++m_lastRevision };
   }
 
-  void Carry(const StoreRequest& aRequest, const StoreDone& aDone)
+  void Execute(const StoreRequest& aRequest, const StoreDone& aDone)
   {
     using Kind = StoreRequest::Kind;
     if (m_restoresBeforeCheck && aRequest.m_kind == Kind::Check) {
@@ -212,7 +212,7 @@
   const auto copy = ParseConfigCopy(
     fixture.m_store.m_keys[std::string{ kConfigCopyKey }].m_value, 1 << 20);
   REQUIRE(copy);
-  CHECK(copy.value().m_original == original);
+  CHECK(copy.value().m_originalRevision == original);
   // The first write assumes that no copy exists, and conflicts.
   CHECK(fixture.m_store.m_puts == 2);
 }
--- a/tests/platform/config_document.cpp
+++ b/tests/platform/config_document.cpp
@@ -93,7 +93,7 @@
     content.Apply(PatchBetween(content, document.value().m_content)).empty());
   const Workspace& wards = content.Workspaces().at("wards")->m_value;
   REQUIRE(wards.m_keys.size() == 1);
-  CHECK(wards.m_keys[0] == HashOf("plain-key"));
+  CHECK(wards.m_keys[0] == Sha256("plain-key"));
   CHECK(wards.m_priority == 1);
   CHECK(wards.m_perSecond == 2.5);
   CHECK(wards.m_burst == 4.0);
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -20,7 +20,7 @@
   message.m_sender.m_workerIncarnation = 4'000'000'000U;
   message.m_sender.m_address = { "127.0.0.1", 1, 2, 3 };
   message.m_sequence = 77;
-  message.m_head = { Version{ 9 }, HashOf("chain") };
+  message.m_head = { Version{ 9 }, Sha256("chain") };
   message.m_minimumVersion = Version{ 8 };
   for (int i = 0; i < 6; ++i) {
     MemberRecord record = message.m_sender;
@@ -29,7 +29,7 @@
     message.m_updates.push_back(record);
   }
   message.m_entries.push_back(
-    { Version{ 9 }, R"({"services":{}})", HashOf("x"), HashOf("y") });
+    { Version{ 9 }, R"({"services":{}})", Sha256("x"), Sha256("y") });
   EndReport end{ 5, "lockers-1", "locker-app", 40ms, {} };
   end.m_ran.push_back({ { 1, 2 }, 60ms, std::nullopt });
   end.m_ran.push_back({ { 3, 4 }, 7ms, 900ms });
@@ -219,7 +219,7 @@
   const std::string gossip = EncodeGossip(TestGossip(), 1400);
   const std::string frame = TestFrame().substr(kFrameHeader);
   PullAnswer answer;
-  answer.m_head = { Version{ 1 }, HashOf("x") };
+  answer.m_head = { Version{ 1 }, Sha256("x") };
   const std::string pull = EncodePullAnswer(answer);
   for (int i = 0; i < 100'000; ++i) {
     for (const std::string* original : { &gossip, &frame, &pull }) {
--- a/tests/workspaces/quota.cpp
+++ b/tests/workspaces/quota.cpp
@@ -47,7 +47,7 @@
   void Admit(std::size_t aDaemon, bool aIsNew)
   {
     const auto decision =
-      m_clients[aDaemon].TryAdmit(m_now, ShortHashOf("w"), aIsNew);
+      m_clients[aDaemon].TryAdmit(m_now, ShortHash("w"), aIsNew);
     switch (decision.m_kind) {
       case QuotaDecision::Kind::Admitted:
         m_admittedAt.push_back(m_now);
@@ -80,7 +80,7 @@
   {
     const std::size_t waiting = std::exchange(m_waiting[aDaemon], 0);
     for (std::size_t i = 0; i < waiting; ++i) {
-      m_clients[aDaemon].CancelWait(ShortHashOf("w"));
+      m_clients[aDaemon].CancelWait(ShortHash("w"));
     }
     for (std::size_t i = 0; i < waiting; ++i) {
       Admit(aDaemon, false);
--- a/tests/workspaces/workspace_table.cpp
+++ b/tests/workspaces/workspace_table.cpp
@@ -13,7 +13,7 @@
   std::string list;
   for (const std::string_view each : aKeys) {
     list += list.empty() ? "" : ",";
-    list += fmt::format("\"{}\"", ToHex(HashOf(each)));
+    list += fmt::format("\"{}\"", ToHex(Sha256(each)));
   }
   return fmt::format(R"("keys":[{}])", list);
 }
@@ -42,7 +42,7 @@
   CHECK(table.FindByKey("four") == nullptr);
   CHECK(table.FindByKey("") == nullptr);
   // The digest of a key in the configuration is not accepted as a key.
-  CHECK(table.FindByKey(ToHex(HashOf("one"))) == nullptr);
+  CHECK(table.FindByKey(ToHex(Sha256("one"))) == nullptr);
 }
 
 TEST_CASE("a removed key is unknown after the update")
@@ -93,7 +93,7 @@
                               KeysJson({ "one" })));
   REQUIRE(reasons.size() == 1);
   CHECK(reasons[0].m_code == ReasonCode::DuplicateKey);
-  CHECK(reasons[0].m_detail.find(ToHex(HashOf("one"))) == std::string::npos);
+  CHECK(reasons[0].m_detail.find(ToHex(Sha256("one"))) == std::string::npos);
 }
 
 TEST_CASE("a key in plain text is rejected and not repeated in the reason")
