--- a/include/greengagehub/daemon/call_gateway.hpp
+++ b/include/greengagehub/daemon/call_gateway.hpp
@@ -38,7 +38,7 @@
     const CallDialect& m_dialect;
     const ConfigHolder& m_holder;
     Metrics& m_metrics;
-    RequestLog& m_requests;
+    RequestLog& m_requestLog;
     TrafficMeter& m_traffic;
     QuarantineKeeper& m_quarantine;
     RolloutKeeper& m_rollouts;
@@ -65,9 +65,9 @@
   {
     return m_service.Runs();
   }
-  /// \returns Results of the local worker's runs since CountAnew().
+  /// \returns Results of the local worker's runs since ResetCounts().
   [[nodiscard]] WorkerCounts Counts() const { return m_service.Counts(); }
-  void CountAnew() { m_service.CountAnew(); }
+  void ResetCounts() { m_service.ResetCounts(); }
   [[nodiscard]] const Dispatcher& GetDispatcher() const noexcept
   {
     return m_dispatcher;
@@ -88,11 +88,11 @@
   void OnTick(TimePoint aNow);
   void StartDraining();
   /// \brief Stops accepting requests from callers.
-  void FinishCallers();
+  void StopAcceptingRequests();
   /// \returns Whether answers wait for capacity on this machine's network link.
   [[nodiscard]] bool HasUnsentAnswers() const { return m_server.HasUnsent(); }
   /// \returns Connections whose current request is not answered completely.
-  [[nodiscard]] std::size_t WaitingCallers() const noexcept
+  [[nodiscard]] std::size_t UnansweredRequests() const noexcept
   {
     return m_http.Busy();
   }
--- a/include/greengagehub/daemon/daemon.hpp
+++ b/include/greengagehub/daemon/daemon.hpp
@@ -48,7 +48,7 @@
   std::string m_file;
   Settings m_settings;
   Log m_log;
-  RequestLog m_requests;
+  RequestLog m_requestLog;
   Metrics m_metrics;
   asio::io_context m_loop{ 1 };
   std::uint64_t m_process;
--- a/include/greengagehub/daemon/leaving.hpp
+++ b/include/greengagehub/daemon/drain_phase.hpp
@@ -5,18 +5,18 @@
 namespace greengagehub {
 
 /// \brief Work that a draining daemon on a platform still accepts.
-struct LeavingStep
+struct DrainPhase
 {
   /// Starts runs at its worker.
-  bool m_servesWorker{ true };
+  bool m_startsRuns{ true };
   /// Accepts requests from callers.
-  bool m_takesCallers{ true };
+  bool m_acceptsRequests{ true };
 };
 
 /// \brief Returns the phase of a drain: work declined early is load for other
 /// daemons, work accepted late is lost when the process exits.
 /// \param aSince time since the drain started.
-[[nodiscard]] LeavingStep
-StepOfLeaving(Duration aSince) noexcept;
+[[nodiscard]] DrainPhase
+DrainPhaseAt(Duration aSince) noexcept;
 
 }
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -36,7 +36,7 @@
     const Settings& m_settings;
     const CallDialect& m_dialect;
     Metrics& m_metrics;
-    RequestLog& m_requests;
+    RequestLog& m_requestLog;
     const Quarantine& m_quarantine;
     const RolloutTable& m_rollouts;
     std::uint64_t m_seed;
@@ -75,10 +75,10 @@
   {
     return m_retriedRuns.At(aNow);
   }
-  /// \returns Results of runs since CountAnew(); the version is empty while it
-  /// is unknown.
+  /// \returns Results of runs since ResetCounts(); the version is empty while
+  /// it is unknown.
   [[nodiscard]] WorkerCounts Counts() const;
-  void CountAnew() { m_runCounter.Clear(); }
+  void ResetCounts() { m_runCounter.Clear(); }
   /// \brief Requests the worker's instance id through its health check.
   /// \param aDone called with the id if the check succeeds and returns one.
   void Probe(const std::string& aPath, std::function<void(std::string)> aDone);
--- a/include/greengagehub/daemon/spin_budget.hpp
+++ b/include/greengagehub/daemon/spin_budget.hpp
@@ -29,13 +29,13 @@
   {
   }
 
-  [[nodiscard]] bool IsOn() const noexcept
+  [[nodiscard]] bool IsEnabled() const noexcept
   {
     return m_settings.m_maxDuration.count() > 0 && m_settings.m_percent > 0;
   }
 
   /// \returns How long to spin now; zero if the budget is used up.
-  [[nodiscard]] Duration Allowed(TimePoint aNow) noexcept
+  [[nodiscard]] Duration Available(TimePoint aNow) noexcept
   {
     if (m_updatedAt != TimePoint{}) {
       m_available += (aNow - m_updatedAt) * m_settings.m_percent / 100;
@@ -47,7 +47,7 @@
   }
 
   /// \param aSpan time that was spent spinning.
-  void Spent(Duration aSpan) noexcept { m_available -= aSpan; }
+  void Consume(Duration aSpan) noexcept { m_available -= aSpan; }
 
 private:
   /// Largest unused budget.
--- a/include/greengagehub/daemon/workspace_service.hpp
+++ b/include/greengagehub/daemon/workspace_service.hpp
@@ -44,12 +44,12 @@
     std::function<Membership&()> m_members;
     std::function<bool()> m_hasJoined;
     /// Whether another daemon was in contact lately, or none is known.
-    std::function<bool()> m_hearsOthers;
+    std::function<bool()> m_hasPeerContact;
     std::function<void(GossipSend)> m_send;
     /// Version and revision of the configuration read last from the store.
     std::function<StoreConfig()> m_storeConfig;
     /// Called with a newer configuration document from the store.
-    std::function<void(StoreReply)> m_onDocument;
+    std::function<void(StoreReply)> m_onNewerConfig;
   };
 
   WorkspaceService(Parts aParts, std::uint64_t aProcess, std::uint64_t aSeed);
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -40,7 +40,7 @@
                 .m_settings = m_parts.m_settings,
                 .m_dialect = m_parts.m_dialect,
                 .m_metrics = m_parts.m_metrics,
-                .m_requests = m_parts.m_requests,
+                .m_requestLog = m_parts.m_requestLog,
                 .m_quarantine = m_parts.m_quarantine.Table(),
                 .m_rollouts = m_parts.m_rollouts.Table(),
                 .m_seed = m_random(),
@@ -179,11 +179,11 @@
   PendingCall& pending = call->second;
   pending.m_slot = aAttempt.m_slot;
   if (++pending.m_attempts > 1) {
-    m_parts.m_requests.OnRetried(Clock::now(),
-                                 pending.m_id,
-                                 aAttempt.m_slot,
-                                 pending.m_attempts,
-                                 aAttempt.m_timeLeft);
+    m_parts.m_requestLog.OnRetried(Clock::now(),
+                                   pending.m_id,
+                                   aAttempt.m_slot,
+                                   pending.m_attempts,
+                                   aAttempt.m_timeLeft);
   }
   CallRequest request = pending.m_request;
   request.m_call = aAttempt.m_attempt;
@@ -248,22 +248,22 @@
   RecordSpan(call, answer);
   const TimePoint now = Clock::now();
   if (answer.m_reason == RefusalReason::Held) {
-    m_parts.m_requests.OnQuarantined(
+    m_parts.m_requestLog.OnQuarantined(
       now,
       call.m_id,
       CallFingerprint(m_parts.m_dialect, call.m_request),
       aFinish.m_answer.m_retryAfter);
   }
-  m_parts.m_requests.OnFinished(now,
-                                { .m_id = call.m_id,
-                                  .m_route = call.m_routeKey,
-                                  .m_service = call.m_request.m_service,
-                                  .m_workspace = call.m_workspace,
-                                  .m_slot = call.m_slot,
-                                  .m_answer = answer,
-                                  .m_attempts = call.m_attempts,
-                                  .m_duration = now - call.m_receivedAt,
-                                  .m_version = call.m_config->m_version });
+  m_parts.m_requestLog.OnFinished(now,
+                                  { .m_id = call.m_id,
+                                    .m_route = call.m_routeKey,
+                                    .m_service = call.m_request.m_service,
+                                    .m_workspace = call.m_workspace,
+                                    .m_slot = call.m_slot,
+                                    .m_answer = answer,
+                                    .m_attempts = call.m_attempts,
+                                    .m_duration = now - call.m_receivedAt,
+                                    .m_version = call.m_config->m_version });
   call.m_responder.Answer(ResponseFor(m_parts.m_dialect, answer), m_draining);
 }
 
@@ -335,7 +335,7 @@
 }
 
 void
-CallGateway::FinishCallers()
+CallGateway::StopAcceptingRequests()
 {
   m_http.Finish();
 }
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -191,7 +191,7 @@
   m_parts.m_metrics.CountCall(NameOf(CallOutcome::NotRun), NameOf(aReason));
   const CallAnswer answer =
     greengagehub::Refuse(0, CallOutcome::NotRun, aReason, aRetryAfter);
-  m_parts.m_requests.OnFinished(
+  m_parts.m_requestLog.OnFinished(
     Clock::now(),
     { .m_id = HeaderValue(aRequest.m_headers, m_parts.m_dialect.m_requestId),
       .m_route = aRequest.m_target,
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -441,7 +441,7 @@
            .m_holder = m_holder,
            .m_members = [this]() -> Membership& { return m_membership; },
            .m_hasJoined = [this] { return m_memberSync.HasJoined(); },
-           .m_hearsOthers =
+           .m_hasPeerContact =
              [this] {
                return m_membership.Members().Present() == 0 ||
                       Clock::now() - m_lastReceived < kIsolatedAfter;
@@ -452,7 +452,7 @@
                SendGossip(std::move(aSend));
              },
            .m_storeConfig = [this] { return m_feed.LastRead(); },
-           .m_onDocument =
+           .m_onNewerConfig =
              [this](StoreReply aReply) {
                m_feed.OnStoreReply(std::move(aReply));
              } };
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -1,6 +1,6 @@
 #include "greengagehub/daemon/daemon.hpp"
 
-#include "greengagehub/daemon/leaving.hpp"
+#include "greengagehub/daemon/drain_phase.hpp"
 #include "greengagehub/daemon/wall_clock.hpp"
 #include "platform/dialect.hpp"
 
@@ -78,7 +78,7 @@
   : m_file(std::move(aFile))
   , m_settings(std::move(aSettings))
   , m_log(MakeLog(m_settings))
-  , m_requests(m_log)
+  , m_requestLog(m_log)
   , m_process(ProcessNumber())
   , m_random(std::random_device{}())
   , m_control(
@@ -92,13 +92,13 @@
           [this](const MemberEvent& aEvent) { m_calls.OnMember(aEvent); },
         .m_onVersion = [this] { m_calls.OnVersion(); },
         .m_workerCounts = [this] { return m_calls.Counts(); },
-        .m_resetWorkerCounts = [this] { m_calls.CountAnew(); } })
+        .m_resetWorkerCounts = [this] { m_calls.ResetCounts(); } })
   , m_calls({ .m_loop = m_loop,
               .m_settings = m_settings,
               .m_dialect = Dialect(),
               .m_holder = m_control.Holder(),
               .m_metrics = m_metrics,
-              .m_requests = m_requests,
+              .m_requestLog = m_requestLog,
               .m_traffic = m_traffic,
               .m_quarantine = m_control.GetQuarantine(),
               .m_rollouts = m_control.GetRollouts(),
@@ -192,7 +192,7 @@
 void
 Daemon::RunLoop()
 {
-  if (!m_spin.IsOn()) {
+  if (!m_spin.IsEnabled()) {
     m_loop.run();
     return;
   }
@@ -208,14 +208,14 @@
   bool hasRun = true;
   while (hasRun && (m_calls.InFlight() > 0 || m_calls.Runs().Running() > 0)) {
     const TimePoint start = Clock::now();
-    const TimePoint until = start + m_spin.Allowed(start);
+    const TimePoint until = start + m_spin.Available(start);
     TimePoint now = start;
     hasRun = false;
     while (now < until && !hasRun) {
       hasRun = m_loop.poll() > 0;
       now = Clock::now();
     }
-    m_spin.Spent(now - start);
+    m_spin.Consume(now - start);
   }
 }
 
@@ -283,7 +283,7 @@
   m_lastBootTime = bootTime;
   ProbeWorkerWhenDue(now);
   m_calls.OnTick(now);
-  m_requests.OnTick();
+  m_requestLog.OnTick();
   LogTrafficWhenDue(now);
   m_log.Flush();
   if (m_control.IsReady() != m_wasReady) {
@@ -391,7 +391,7 @@
 Daemon::IsBusy() const
 {
   return m_calls.Runs().Load() > 0 || m_calls.InFlight() > 0 ||
-         m_calls.WaitingCallers() > 0 || m_calls.HasUnsentAnswers();
+         m_calls.UnansweredRequests() > 0 || m_calls.HasUnsentAnswers();
 }
 
 void
@@ -406,13 +406,13 @@
   const bool hasLingered =
     isIdle && aNow - m_idleSince >= m_settings.m_calls.m_linger;
   if (m_settings.m_platform.m_enabled) {
-    const LeavingStep step = StepOfLeaving(aNow - m_drainStart);
-    if (!step.m_servesWorker) {
+    const DrainPhase step = DrainPhaseAt(aNow - m_drainStart);
+    if (!step.m_startsRuns) {
       DrainWorker();
     }
-    if (!m_hasStoppedAccepting && !step.m_takesCallers) {
+    if (!m_hasStoppedAccepting && !step.m_acceptsRequests) {
       m_hasStoppedAccepting = true;
-      m_calls.FinishCallers();
+      m_calls.StopAcceptingRequests();
     }
     if (m_hasStoppedAccepting && (isIdle || aNow >= m_drainDeadline)) {
       EndDrain(isIdle);
@@ -420,7 +420,7 @@
     return;
   }
   if (hasLingered || aNow >= m_drainDeadline) {
-    m_calls.FinishCallers();
+    m_calls.StopAcceptingRequests();
     EndDrain(hasLingered);
   }
 }
--- a/src/daemon/leaving.cpp
+++ b/src/daemon/drain_phase.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/daemon/leaving.hpp"
+#include "greengagehub/daemon/drain_phase.hpp"
 
 namespace greengagehub {
 
@@ -14,8 +14,8 @@
 
 }
 
-LeavingStep
-StepOfLeaving(Duration aSince) noexcept
+DrainPhase
+DrainPhaseAt(Duration aSince) noexcept
 {
   return { aSince < kRunStartTime, aSince < kAcceptTime };
 }
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -100,11 +100,11 @@
     if (admission.m_reason != RefusalReason::Busy) {
       // Busy is frequent and harmless: the caller's daemon selects another
       // worker, so it is not logged.
-      m_parts.m_requests.OnRunRefused(now,
-                                      RequestIdOf(aRequest),
-                                      admission.m_reason,
-                                      aRequest.m_timeLeft,
-                                      WorkerStateFor(aRequest));
+      m_parts.m_requestLog.OnRunRefused(now,
+                                        RequestIdOf(aRequest),
+                                        admission.m_reason,
+                                        aRequest.m_timeLeft,
+                                        WorkerStateFor(aRequest));
     }
     m_parts.m_metrics.CountRun(NameOf(admission.m_reason));
     Deliver(aKey,
@@ -202,14 +202,14 @@
                       const Refusal& aRefusal)
 {
   if (aRefusal.m_reason == RefusalReason::Held) {
-    m_parts.m_requests.OnQuarantined(
+    m_parts.m_requestLog.OnQuarantined(
       aNow, RequestIdOf(aRequest), aFingerprint, aRefusal.m_retryAfter);
   }
-  m_parts.m_requests.OnRunRefused(aNow,
-                                  RequestIdOf(aRequest),
-                                  aRefusal.m_reason,
-                                  aRequest.m_timeLeft,
-                                  WorkerStateFor(aRequest));
+  m_parts.m_requestLog.OnRunRefused(aNow,
+                                    RequestIdOf(aRequest),
+                                    aRefusal.m_reason,
+                                    aRequest.m_timeLeft,
+                                    WorkerStateFor(aRequest));
   m_parts.m_metrics.CountRun(NameOf(aRefusal.m_reason));
   Deliver(aKey,
           aRequest,
@@ -303,12 +303,12 @@
   CountResult(run, aAnswer);
   if (aAnswer.m_outcome != CallOutcome::Answered) {
     const TimePoint now = Clock::now();
-    m_parts.m_requests.OnRunLost(now,
-                                 RequestIdOf(run.m_request),
-                                 run.m_fingerprint,
-                                 aAnswer.m_reason,
-                                 now - run.m_startedAt,
-                                 WorkerStateFor(run.m_request));
+    m_parts.m_requestLog.OnRunLost(now,
+                                   RequestIdOf(run.m_request),
+                                   run.m_fingerprint,
+                                   aAnswer.m_reason,
+                                   now - run.m_startedAt,
+                                   WorkerStateFor(run.m_request));
   } else if (aAnswer.m_response.m_status < kFirstServerError) {
     // Server errors do not count: the run may have stopped before the point of
     // a crash.
@@ -366,7 +366,7 @@
     }
     const CallRequest request = std::move(run->second.m_request);
     const TimePoint now = Clock::now();
-    m_parts.m_requests.OnRunRefused(
+    m_parts.m_requestLog.OnRunRefused(
       now,
       RequestIdOf(request),
       each.m_reason,
@@ -400,7 +400,7 @@
     // A non-idempotent run continues: if it were aborted, a later cancellation
     // could not return its answer.
     if (run != m_activeRuns.end() && run->second.m_request.m_idempotent) {
-      m_parts.m_requests.OnRunCancelled(
+      m_parts.m_requestLog.OnRunCancelled(
         Clock::now(), RequestIdOf(run->second.m_request), true);
       // Closes the connection, which cancels the request at the worker.
       m_client.Abandon(run->second.m_ticket);
--- a/src/daemon/run_service_link.cpp
+++ b/src/daemon/run_service_link.cpp
@@ -35,11 +35,11 @@
   // By then half of the data before the answer has been sent.
   const auto retryAfter = std::chrono::ceil<std::chrono::milliseconds>(
     AnswerSendTime(aNow, aRequest.m_kind) / 2);
-  m_parts.m_requests.OnRunRefused(aNow,
-                                  RequestIdOf(aRequest),
-                                  reason,
-                                  aRequest.m_timeLeft,
-                                  WorkerStateFor(aRequest));
+  m_parts.m_requestLog.OnRunRefused(aNow,
+                                    RequestIdOf(aRequest),
+                                    reason,
+                                    aRequest.m_timeLeft,
+                                    WorkerStateFor(aRequest));
   m_parts.m_metrics.CountRun(NameOf(reason));
   Deliver(aKey,
           aRequest,
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -52,7 +52,7 @@
 {
   auto end = m_crashDetector.OnProbed(aIsPortClosed);
   if (end) {
-    m_parts.m_requests.OnWorkerExit(
+    m_parts.m_requestLog.OnWorkerExit(
       m_incarnation.m_id, m_runs.IsDraining(), *end);
     m_parts.m_metrics.CountWorkerEnd();
   }
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -298,7 +298,7 @@
 bool
 WorkspaceService::IsCandidate(TimePoint aNow)
 {
-  if (!m_parts.m_hasJoined() || !m_parts.m_hearsOthers()) {
+  if (!m_parts.m_hasJoined() || !m_parts.m_hasPeerContact()) {
     return false;
   }
   const Membership& members = m_parts.m_members();
@@ -413,7 +413,7 @@
     }
   }
   if (configDiffers && !aReply.m_value.empty()) {
-    m_parts.m_onDocument(std::move(aReply));
+    m_parts.m_onNewerConfig(std::move(aReply));
     const StoreConfig read = m_parts.m_storeConfig();
     m_freshness.OnProof({ aCheck.m_sentAt, read.m_version });
   }
--- a/tests/daemon/leaving.cpp
+++ b/tests/daemon/drain_phase.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/daemon/leaving.hpp"
+#include "greengagehub/daemon/drain_phase.hpp"
 
 #include <doctest/doctest.h>
 
@@ -9,13 +9,13 @@
 {
   // Guards against calls that are abandoned when the grace time ends while a
   // worker still runs them.
-  CHECK_FALSE(StepOfLeaving(3300ms).m_takesCallers);
+  CHECK_FALSE(DrainPhaseAt(3300ms).m_acceptsRequests);
   // The platform redirects callers after two failed probes, a second apart.
-  CHECK(StepOfLeaving(2500ms).m_takesCallers);
+  CHECK(DrainPhaseAt(2500ms).m_acceptsRequests);
 }
 
 TEST_CASE("a draining daemon stops starting runs early enough to finish them")
 {
-  CHECK(StepOfLeaving(1400ms).m_servesWorker);
-  CHECK_FALSE(StepOfLeaving(1500ms).m_servesWorker);
+  CHECK(DrainPhaseAt(1400ms).m_startsRuns);
+  CHECK_FALSE(DrainPhaseAt(1500ms).m_startsRuns);
 }
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -31,7 +31,7 @@
                   .m_settings = MakeSettings(aSlots),
                   .m_dialect = kDialect,
                   .m_metrics = m_metrics,
-                  .m_requests = m_requests,
+                  .m_requestLog = m_requestLog,
                   .m_quarantine = m_quarantine,
                   .m_rollouts = m_rollouts,
                   .m_seed = 1,
@@ -134,7 +134,7 @@
   Settings m_settings;
   Metrics m_metrics;
   Log m_log{ LogLevel::Error, {}, "test" };
-  RequestLog m_requests{ m_log };
+  RequestLog m_requestLog{ m_log };
   std::unique_ptr<HttpServer> m_worker;
   std::vector<CallAnswer> m_answers;
   Quarantine m_quarantine;
