--- a/include/greengagehub/daemon/call_gateway.hpp
+++ b/include/greengagehub/daemon/call_gateway.hpp
@@ -4,10 +4,10 @@
 #include "greengagehub/calls/dispatcher.hpp"
 #include "greengagehub/calls/route_table.hpp"
 #include "greengagehub/config/config_holder.hpp"
-#include "greengagehub/daemon/quarantine_keeper.hpp"
+#include "greengagehub/daemon/quarantine_service.hpp"
 #include "greengagehub/daemon/request_log.hpp"
 #include "greengagehub/daemon/resume_filter.hpp"
-#include "greengagehub/daemon/rollout_keeper.hpp"
+#include "greengagehub/daemon/rollout_service.hpp"
 #include "greengagehub/daemon/run_service.hpp"
 #include "greengagehub/daemon/start_buffer.hpp"
 #include "greengagehub/daemon/token_queue.hpp"
@@ -40,8 +40,8 @@
     Metrics& m_metrics;
     RequestLog& m_requestLog;
     TrafficMeter& m_traffic;
-    QuarantineKeeper& m_quarantine;
-    RolloutKeeper& m_rollouts;
+    QuarantineService& m_quarantine;
+    RolloutService& m_rollouts;
     WorkspaceService& m_workspaces;
     std::uint64_t m_process;
     std::function<void(Span)> m_trace;
--- a/include/greengagehub/daemon/control_plane.hpp
+++ b/include/greengagehub/daemon/control_plane.hpp
@@ -3,8 +3,8 @@
 #include "greengagehub/config/config_holder.hpp"
 #include "greengagehub/daemon/config_feed.hpp"
 #include "greengagehub/daemon/decision_service.hpp"
-#include "greengagehub/daemon/quarantine_keeper.hpp"
-#include "greengagehub/daemon/rollout_keeper.hpp"
+#include "greengagehub/daemon/quarantine_service.hpp"
+#include "greengagehub/daemon/rollout_service.hpp"
 #include "greengagehub/daemon/store_sync.hpp"
 #include "greengagehub/daemon/workspace_service.hpp"
 #include "greengagehub/dissemination/disseminator.hpp"
@@ -60,12 +60,12 @@
     return m_decisions;
   }
   /// \brief Quarantined requests.
-  [[nodiscard]] QuarantineKeeper& GetQuarantine() noexcept
+  [[nodiscard]] QuarantineService& GetQuarantine() noexcept
   {
     return m_quarantine;
   }
   /// \brief Roll-outs and their canary versions.
-  [[nodiscard]] RolloutKeeper& GetRollouts() noexcept { return m_rollouts; }
+  [[nodiscard]] RolloutService& GetRollouts() noexcept { return m_rollouts; }
   /// \brief API keys and quotas.
   [[nodiscard]] WorkspaceService& GetWorkspaces() noexcept
   {
@@ -125,15 +125,15 @@
   void OnPulled(std::optional<PullAnswer> aAnswer);
   [[nodiscard]] PullAnswer ServePull(const PullRequest& aRequest);
   void PublishQuarantine(const QuarantineUpdate& aUpdate,
-                         QuarantineKeeper::Scope aScope);
+                         QuarantineService::Scope aScope);
   void SendQuarantine(const std::vector<MemberPeer>& aTo,
                       const QuarantineUpdate& aUpdate);
   /// \brief Sends the own verdicts to a peer whose digest differs.
   void SyncVerdicts(TimePoint aNow, const GossipMessage& aMessage);
-  [[nodiscard]] RolloutKeeper::Parts RolloutParts();
+  [[nodiscard]] RolloutService::Parts RolloutParts();
   [[nodiscard]] WorkspaceService::Parts WorkspaceParts(asio::io_context& aLoop);
   void PublishRollouts(const std::vector<RolloutRecord>& aRecords,
-                       RolloutKeeper::Scope aScope,
+                       RolloutService::Scope aScope,
                        RolloutTable::Change aChange);
   void SendRollouts(const std::vector<MemberPeer>& aTo,
                     const std::vector<RolloutRecord>& aRecords);
@@ -173,9 +173,9 @@
   StoreSync<platform::KvStore> m_sync;
   ConfigFeed<platform::KvStore> m_feed;
   DecisionService<platform::KvStore> m_decisions;
-  QuarantineKeeper m_quarantine;
+  QuarantineService m_quarantine;
   TimePoint m_nextVerdictSync{};
-  RolloutKeeper m_rollouts;
+  RolloutService m_rollouts;
   TimePoint m_nextRolloutSync{};
   WorkspaceService m_workspaces;
   /// When the last datagram of another daemon was received.
--- a/include/greengagehub/daemon/quarantine_keeper.hpp
+++ b/include/greengagehub/daemon/quarantine_service.hpp
@@ -10,7 +10,7 @@
 namespace greengagehub {
 
 /// \brief Connects the quarantine to the store, to the peers and to the log.
-class QuarantineKeeper
+class QuarantineService
 {
 public:
   /// Which peers receive an update from here.
@@ -31,7 +31,7 @@
     std::function<bool()> m_isBackupWriter;
   };
 
-  explicit QuarantineKeeper(Parts aParts);
+  explicit QuarantineService(Parts aParts);
 
   [[nodiscard]] const Quarantine& Table() const noexcept
   {
@@ -48,7 +48,7 @@
   void OnStoreRestored();
   void OnLocalCrash(EndReport aReport);
   void OnSuccess(Fingerprint aContent);
-  void OnNews(const QuarantineUpdate& aUpdate);
+  void OnUpdate(const QuarantineUpdate& aUpdate);
   /// \returns Whether the fingerprint was quarantined.
   [[nodiscard]] bool Lift(Fingerprint aContent);
 
--- a/include/greengagehub/daemon/resume_filter.hpp
+++ b/include/greengagehub/daemon/resume_filter.hpp
@@ -18,7 +18,7 @@
 {
 public:
   /// A request from another daemon.
-  struct FromLink
+  struct LinkRequest
   {
     TimePoint m_read;
     CallKey m_key;
@@ -26,16 +26,16 @@
     CallRequest m_request;
   };
   /// A request from a caller.
-  struct FromCaller
+  struct CallerRequest
   {
     TimePoint m_came;
     HttpRequest m_request;
     HttpResponder m_responder;
   };
-  struct Held
+  struct DelayedRequests
   {
-    std::vector<FromLink> m_links{};
-    std::vector<FromCaller> m_callers{};
+    std::vector<LinkRequest> m_links{};
+    std::vector<CallerRequest> m_callers{};
   };
 
   /// A gap between ticks above this is treated as a pause of the process. It
@@ -52,27 +52,30 @@
     m_lastTick = aBootTime;
   }
   /// \returns Whether requests read now are to be delayed.
-  [[nodiscard]] bool Holds(TimePoint aNow,
-                           std::chrono::nanoseconds aBootTime) noexcept
+  [[nodiscard]] bool IsDelaying(TimePoint aNow,
+                                std::chrono::nanoseconds aBootTime) noexcept
   {
     DetectPause(aNow, aBootTime);
     return aNow < m_until;
   }
   /// \returns When to release the delayed requests.
-  [[nodiscard]] TimePoint Until() const noexcept { return m_until; }
+  [[nodiscard]] TimePoint ReleaseTime() const noexcept { return m_until; }
 
   /// \returns Whether it is the first delayed request.
-  bool Add(FromLink aRequest);
-  bool Add(FromCaller aRequest);
+  bool Add(LinkRequest aRequest);
+  bool Add(CallerRequest aRequest);
   void Cancel(CallKey aKey);
-  void HungUp(std::uint64_t aConnection);
+  void DropConnection(std::uint64_t aConnection);
   /// \brief Drops requests from connections of a process that are older than
   /// `aBelowEpoch`.
   void CloseEpochs(std::uint64_t aProcess, std::uint64_t aBelowEpoch);
   /// \brief Drops all requests from other daemons, because their links were
   /// closed.
   void DropLinks() { m_delayed.m_links.clear(); }
-  [[nodiscard]] Held TakeAll() { return std::exchange(m_delayed, {}); }
+  [[nodiscard]] DelayedRequests TakeAll()
+  {
+    return std::exchange(m_delayed, {});
+  }
 
 private:
   void DetectPause(TimePoint aNow, std::chrono::nanoseconds aBootTime) noexcept
@@ -87,7 +90,7 @@
 
   std::chrono::nanoseconds m_lastTick{};
   TimePoint m_until{};
-  Held m_delayed;
+  DelayedRequests m_delayed;
 };
 
 }
--- a/include/greengagehub/daemon/rollout_keeper.hpp
+++ b/include/greengagehub/daemon/rollout_service.hpp
@@ -11,7 +11,7 @@
 namespace greengagehub {
 
 /// \brief Connects roll-outs to the store, to the peers and to the log.
-class RolloutKeeper
+class RolloutService
 {
 public:
   /// Which peers receive an update from here.
@@ -48,7 +48,7 @@
     std::function<void()> m_resetWorkerCounts;
   };
 
-  explicit RolloutKeeper(Parts aParts);
+  explicit RolloutService(Parts aParts);
 
   [[nodiscard]] const RolloutTable& Table() const noexcept { return m_table; }
 
@@ -62,7 +62,7 @@
   /// \brief Writes states again that a store restored from a backup may have
   /// lost.
   void OnStoreRestored();
-  void OnNews(const std::vector<RolloutRecord>& aRecords);
+  void OnUpdate(const std::vector<RolloutRecord>& aRecords);
   void OnCounts(const WorkerCounts& aCounts);
   /// \brief Starts a roll-out at an operator's request.
   /// \returns Whether the order is new.
--- a/include/greengagehub/quarantine/quarantine.hpp
+++ b/include/greengagehub/quarantine/quarantine.hpp
@@ -86,8 +86,8 @@
   [[nodiscard]] QuarantineChanges OnLocalCrash(TimePoint aNow,
                                                EndReport aReport);
   /// \brief Applies crashes and verdicts from another daemon or the store.
-  [[nodiscard]] QuarantineChanges OnNews(TimePoint aNow,
-                                         const QuarantineUpdate& aNews);
+  [[nodiscard]] QuarantineChanges OnUpdate(TimePoint aNow,
+                                           const QuarantineUpdate& aNews);
   /// \brief Records a successful run on the local backend server.
   [[nodiscard]] QuarantineChanges OnSuccess(TimePoint aNow,
                                             Fingerprint aFingerprint);
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -46,14 +46,14 @@
 CallGateway::OnCallerRequest(HttpRequest aRequest, HttpResponder aResponder)
 {
   const TimePoint now = Clock::now();
-  if (!m_resumeFilter.Holds(now, BootTime())) {
+  if (!m_resumeFilter.IsDelaying(now, BootTime())) {
     Serve(now, std::move(aRequest), std::move(aResponder));
     return;
   }
-  const bool isFirst = m_resumeFilter.Add(ResumeFilter::FromCaller{
+  const bool isFirst = m_resumeFilter.Add(ResumeFilter::CallerRequest{
     now, std::move(aRequest), std::move(aResponder) });
   if (isFirst) {
-    ScheduleFilterRelease(m_resumeFilter.Until());
+    ScheduleFilterRelease(m_resumeFilter.ReleaseTime());
   }
 }
 
@@ -360,7 +360,7 @@
   for (const WorkspaceId each : m_tokenQueue.Drop(aConnection)) {
     m_parts.m_workspaces.CancelWait(each);
   }
-  m_resumeFilter.HungUp(aConnection);
+  m_resumeFilter.DropConnection(aConnection);
   const auto found = m_callByConnection.find(aConnection);
   if (found == m_callByConnection.end()) {
     return;
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -64,11 +64,11 @@
   if (auto* request = std::get_if<CallRequest>(&aFrame)) {
     const CallKey key{ process, request->m_call };
     const TimePoint now = Clock::now();
-    if (m_resumeFilter.Holds(now, BootTime())) {
-      const bool isFirst = m_resumeFilter.Add(ResumeFilter::FromLink{
+    if (m_resumeFilter.IsDelaying(now, BootTime())) {
+      const bool isFirst = m_resumeFilter.Add(ResumeFilter::LinkRequest{
         now, key, aConnection.m_peer.m_epoch, std::move(*request) });
       if (isFirst) {
-        ScheduleFilterRelease(m_resumeFilter.Until());
+        ScheduleFilterRelease(m_resumeFilter.ReleaseTime());
       }
       return;
     }
@@ -242,15 +242,15 @@
 CallGateway::ReleaseFiltered()
 {
   const TimePoint now = Clock::now();
-  ResumeFilter::Held delayed = m_resumeFilter.TakeAll();
-  for (ResumeFilter::FromLink& each : delayed.m_links) {
+  ResumeFilter::DelayedRequests delayed = m_resumeFilter.TakeAll();
+  for (ResumeFilter::LinkRequest& each : delayed.m_links) {
     const auto delay =
       std::chrono::duration_cast<std::chrono::microseconds>(now - each.m_read);
     each.m_request.m_timeLeft -= delay;
     each.m_request.m_targetLeft -= delay;
     m_service.OnRequest(each.m_key, each.m_epoch, std::move(each.m_request));
   }
-  for (ResumeFilter::FromCaller& each : delayed.m_callers) {
+  for (ResumeFilter::CallerRequest& each : delayed.m_callers) {
     Serve(each.m_came, std::move(each.m_request), std::move(each.m_responder));
   }
 }
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -127,7 +127,7 @@
   , m_quarantine({ m_store,
                    aLog,
                    [this](const QuarantineUpdate& aUpdate,
-                          QuarantineKeeper::Scope aScope) {
+                          QuarantineService::Scope aScope) {
                      PublishQuarantine(aUpdate, aScope);
                    },
                    [this] { return m_membership.IsHighestRanked(); } })
@@ -341,10 +341,10 @@
                     aMessage.m_minimumVersion);
   StageAll(aMessage.m_entries);
   if (!aMessage.m_quarantine.IsEmpty()) {
-    m_quarantine.OnNews(aMessage.m_quarantine);
+    m_quarantine.OnUpdate(aMessage.m_quarantine);
   }
   if (!aMessage.m_rollouts.empty()) {
-    m_rollouts.OnNews(aMessage.m_rollouts);
+    m_rollouts.OnUpdate(aMessage.m_rollouts);
   }
   if (aMessage.m_counts) {
     m_rollouts.OnCounts(*aMessage.m_counts);
--- a/src/daemon/control_plane_quarantine.cpp
+++ b/src/daemon/control_plane_quarantine.cpp
@@ -32,10 +32,10 @@
 
 void
 ControlPlane::PublishQuarantine(const QuarantineUpdate& aUpdate,
-                                QuarantineKeeper::Scope aScope)
+                                QuarantineService::Scope aScope)
 {
   SendQuarantine(m_membership.SampleOwnDomain(kUpdateFanout), aUpdate);
-  if (aScope == QuarantineKeeper::Scope::AllDomains) {
+  if (aScope == QuarantineService::Scope::AllDomains) {
     SendQuarantine(m_membership.SampleOtherDomains(), aUpdate);
     // Sends the verdicts twice to compensate for datagram loss: a domain that
     // misses both runs the request until a probe shows a different digest.
--- a/src/daemon/control_plane_rollouts.cpp
+++ b/src/daemon/control_plane_rollouts.cpp
@@ -22,7 +22,7 @@
 
 }
 
-RolloutKeeper::Parts
+RolloutService::Parts
 ControlPlane::RolloutParts()
 {
   return {
@@ -35,7 +35,7 @@
       },
     .m_publish =
       [this](const std::vector<RolloutRecord>& aRecords,
-             RolloutKeeper::Scope aScope,
+             RolloutService::Scope aScope,
              RolloutTable::Change aChange) {
         PublishRollouts(aRecords, aScope, aChange);
       },
@@ -78,14 +78,14 @@
 
 void
 ControlPlane::PublishRollouts(const std::vector<RolloutRecord>& aRecords,
-                              RolloutKeeper::Scope aScope,
+                              RolloutService::Scope aScope,
                               RolloutTable::Change aChange)
 {
   const bool isState = aChange == RolloutTable::Change::State;
   SendRollouts(
     m_membership.SampleOwnDomain(isState ? kStateFanout : kPermitFanout),
     aRecords);
-  if (aScope == RolloutKeeper::Scope::AllDomains) {
+  if (aScope == RolloutService::Scope::AllDomains) {
     // Sends the records twice to compensate for datagram loss.
     SendRollouts(m_membership.SampleOtherDomains(), aRecords);
     SendRollouts(m_membership.SampleOtherDomains(), aRecords);
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -143,7 +143,7 @@
     return;
   }
   // Permits must be known before the members whose versions they cover.
-  m_rollouts.OnNews(aAnswer->m_rollouts);
+  m_rollouts.OnUpdate(aAnswer->m_rollouts);
   m_gate.RequireVersion(
     std::max(aAnswer->m_head.m_version, aAnswer->m_minimumVersion));
   MembershipActions actions =
--- a/src/daemon/quarantine_keeper.cpp
+++ b/src/daemon/quarantine_service.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/daemon/quarantine_keeper.hpp"
+#include "greengagehub/daemon/quarantine_service.hpp"
 
 #include <algorithm>
 
@@ -15,19 +15,19 @@
 
 }
 
-QuarantineKeeper::QuarantineKeeper(Parts aParts)
+QuarantineService::QuarantineService(Parts aParts)
   : m_parts(std::move(aParts))
 {
 }
 
 void
-QuarantineKeeper::Start()
+QuarantineService::Start()
 {
   Read(true);
 }
 
 void
-QuarantineKeeper::OnTick(TimePoint aNow, bool aReadsStore)
+QuarantineService::OnTick(TimePoint aNow, bool aReadsStore)
 {
   if (aReadsStore && !m_hasRead && !m_isReading && aNow >= m_nextRead) {
     m_nextRead = aNow + kReadInterval;
@@ -38,7 +38,7 @@
 }
 
 void
-QuarantineKeeper::OnLocalCrash(EndReport aReport)
+QuarantineService::OnLocalCrash(EndReport aReport)
 {
   const TimePoint now = Clock::now();
   ApplyChanges(
@@ -46,21 +46,21 @@
 }
 
 void
-QuarantineKeeper::OnSuccess(Fingerprint aContent)
+QuarantineService::OnSuccess(Fingerprint aContent)
 {
   const TimePoint now = Clock::now();
   ApplyChanges(now, m_quarantine.OnSuccess(now, aContent), Scope::AllDomains);
 }
 
 void
-QuarantineKeeper::OnNews(const QuarantineUpdate& aUpdate)
+QuarantineService::OnUpdate(const QuarantineUpdate& aUpdate)
 {
   const TimePoint now = Clock::now();
-  ApplyChanges(now, m_quarantine.OnNews(now, aUpdate), Scope::OwnDomain);
+  ApplyChanges(now, m_quarantine.OnUpdate(now, aUpdate), Scope::OwnDomain);
 }
 
 void
-QuarantineKeeper::OnStoreRestored()
+QuarantineService::OnStoreRestored()
 {
   if (!m_parts.m_isBackupWriter()) {
     return;
@@ -75,7 +75,7 @@
 }
 
 bool
-QuarantineKeeper::Lift(Fingerprint aContent)
+QuarantineService::Lift(Fingerprint aContent)
 {
   const TimePoint now = Clock::now();
   const auto changes = m_quarantine.Lift(now, aContent);
@@ -86,9 +86,9 @@
 }
 
 void
-QuarantineKeeper::ApplyChanges(TimePoint aNow,
-                               const QuarantineChanges& aChanges,
-                               Scope aScope)
+QuarantineService::ApplyChanges(TimePoint aNow,
+                                const QuarantineChanges& aChanges,
+                                Scope aScope)
 {
   for (const QuarantineVerdict& each : aChanges.m_verdicts) {
     LogVerdict(each, aScope);
@@ -117,8 +117,8 @@
 }
 
 void
-QuarantineKeeper::LogVerdict(const QuarantineVerdict& aVerdict,
-                             Scope aScope) const
+QuarantineService::LogVerdict(const QuarantineVerdict& aVerdict,
+                              Scope aScope) const
 {
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
@@ -138,7 +138,7 @@
 // Store
 
 void
-QuarantineKeeper::Read(bool aAllowStale)
+QuarantineService::Read(bool aAllowStale)
 {
   m_isReading = true;
   const std::string prefix{ kVerdictPrefix };
@@ -150,7 +150,7 @@
 }
 
 void
-QuarantineKeeper::OnRead(const StoreReply& aReply, bool aAllowStale)
+QuarantineService::OnRead(const StoreReply& aReply, bool aAllowStale)
 {
   m_isReading = false;
   if (aReply.m_status != StoreReply::Status::Ok) {
@@ -172,11 +172,11 @@
         { { "key", each.m_key }, { "detail", verdict.error().m_message } });
     }
   }
-  OnNews(update);
+  OnUpdate(update);
 }
 
 void
-QuarantineKeeper::Write(std::optional<StoreRequest> aRequest)
+QuarantineService::Write(std::optional<StoreRequest> aRequest)
 {
   if (!aRequest) {
     return;
--- a/src/daemon/rollout_keeper.cpp
+++ b/src/daemon/rollout_service.cpp
@@ -1,4 +1,4 @@
-#include "greengagehub/daemon/rollout_keeper.hpp"
+#include "greengagehub/daemon/rollout_service.hpp"
 
 #include "platform/names.hpp"
 
@@ -36,13 +36,13 @@
 
 }
 
-RolloutKeeper::RolloutKeeper(Parts aParts)
+RolloutService::RolloutService(Parts aParts)
   : m_parts(std::move(aParts))
 {
 }
 
 void
-RolloutKeeper::OnTick(TimePoint aNow, bool aReadsStore)
+RolloutService::OnTick(TimePoint aNow, bool aReadsStore)
 {
   if (aReadsStore && !m_hasRead && !m_isReading && aNow >= m_nextRead) {
     m_nextRead = aNow + kReadInterval;
@@ -57,7 +57,7 @@
 }
 
 void
-RolloutKeeper::OnNews(const std::vector<RolloutRecord>& aRecords)
+RolloutService::OnUpdate(const std::vector<RolloutRecord>& aRecords)
 {
   const TimePoint now = Clock::now();
   for (const RolloutRecord& each : aRecords) {
@@ -67,10 +67,10 @@
 }
 
 void
-RolloutKeeper::ApplyChange(TimePoint aNow,
-                           const std::string& aService,
-                           Change aChange,
-                           Scope aScope)
+RolloutService::ApplyChange(TimePoint aNow,
+                            const std::string& aService,
+                            Change aChange,
+                            Scope aScope)
 {
   if (aChange == Change::None) {
     return;
@@ -84,9 +84,9 @@
 }
 
 void
-RolloutKeeper::ScheduleStatus(TimePoint aNow,
-                              const RolloutRecord& aRecord,
-                              Scope aScope)
+RolloutService::ScheduleStatus(TimePoint aNow,
+                               const RolloutRecord& aRecord,
+                               Scope aScope)
 {
   const std::string& service = aRecord.m_order.m_service;
   if (aRecord.m_isWritten) {
@@ -106,7 +106,7 @@
 // Leading
 
 void
-RolloutKeeper::LeadRollouts(TimePoint aNow)
+RolloutService::LeadRollouts(TimePoint aNow)
 {
   const std::vector<RolloutRecord> all = m_table.All(aNow);
   const bool isOpen = std::ranges::any_of(
@@ -123,7 +123,7 @@
 }
 
 void
-RolloutKeeper::LeadRollout(TimePoint aNow, const RolloutRecord& aRecord)
+RolloutService::LeadRollout(TimePoint aNow, const RolloutRecord& aRecord)
 {
   const std::string& service = aRecord.m_order.m_service;
   const std::string& target = aRecord.m_order.m_target;
@@ -161,7 +161,7 @@
 }
 
 bool
-RolloutKeeper::Start(const RolloutOrder& aOrder)
+RolloutService::Start(const RolloutOrder& aOrder)
 {
   const TimePoint now = Clock::now();
   const Change change =
@@ -171,7 +171,7 @@
 }
 
 bool
-RolloutKeeper::Stop(const std::string& aService)
+RolloutService::Stop(const std::string& aService)
 {
   const TimePoint now = Clock::now();
   auto record = m_table.Find(now, aService);
@@ -186,7 +186,7 @@
 }
 
 void
-RolloutKeeper::OnStoreRestored()
+RolloutService::OnStoreRestored()
 {
   m_hasRead = false;
   m_writer.OnStoreRestored();
@@ -201,7 +201,7 @@
 }
 
 void
-RolloutKeeper::OnCounts(const WorkerCounts& aCounts)
+RolloutService::OnCounts(const WorkerCounts& aCounts)
 {
   const auto leader = m_leaders.find(aCounts.m_service);
   if (leader != m_leaders.end()) {
@@ -210,7 +210,7 @@
 }
 
 void
-RolloutKeeper::ReportCounts(TimePoint aNow)
+RolloutService::ReportCounts(TimePoint aNow)
 {
   if (aNow < m_nextCounts) {
     return;
@@ -237,7 +237,7 @@
 // Store
 
 void
-RolloutKeeper::ApplyOrder(const StoreItem& aItem, bool aIsInProgress)
+RolloutService::ApplyOrder(const StoreItem& aItem, bool aIsInProgress)
 {
   const auto order = platform::ParseRolloutOrder(aItem.m_key, aItem.m_value);
   if (!order) {
@@ -256,7 +256,7 @@
 }
 
 void
-RolloutKeeper::OnStoreItems(const std::vector<StoreItem>& aItems)
+RolloutService::OnStoreItems(const std::vector<StoreItem>& aItems)
 {
   for (const StoreItem& each : aItems) {
     if (each.m_key.starts_with(platform::kRolloutOrders)) {
@@ -266,7 +266,7 @@
 }
 
 void
-RolloutKeeper::Read()
+RolloutService::Read()
 {
   m_isReading = true;
   m_parts.m_store.Execute(
@@ -275,7 +275,7 @@
 }
 
 void
-RolloutKeeper::OnOrdersRead(const StoreReply& aReply)
+RolloutService::OnOrdersRead(const StoreReply& aReply)
 {
   const bool ok = aReply.m_status == StoreReply::Status::Ok;
   if (!ok || aReply.m_items.empty()) {
@@ -291,8 +291,8 @@
 }
 
 void
-RolloutKeeper::OnStatusesRead(std::vector<StoreItem> aOrders,
-                              const StoreReply& aReply)
+RolloutService::OnStatusesRead(std::vector<StoreItem> aOrders,
+                               const StoreReply& aReply)
 {
   m_isReading = false;
   if (aReply.m_status != StoreReply::Status::Ok) {
@@ -329,7 +329,7 @@
 }
 
 void
-RolloutKeeper::Write(std::optional<StoreRequest> aRequest)
+RolloutService::Write(std::optional<StoreRequest> aRequest)
 {
   if (!aRequest) {
     return;
@@ -345,7 +345,7 @@
 }
 
 void
-RolloutKeeper::OnWritten(const RolloutStatus& aStatus)
+RolloutService::OnWritten(const RolloutStatus& aStatus)
 {
   const TimePoint now = Clock::now();
   m_parts.m_log.Info(kComponent,
@@ -364,7 +364,7 @@
 // Log
 
 void
-RolloutKeeper::LogStep(const RolloutLeader::Lead& aDecision) const
+RolloutService::LogStep(const RolloutLeader::Lead& aDecision) const
 {
   const RolloutRecord& record = aDecision.m_record;
   const CanaryAnalyzer::Judgement& judged = aDecision.m_judgement;
@@ -389,7 +389,7 @@
 }
 
 void
-RolloutKeeper::LogChange(const RolloutRecord& aRecord, Scope aScope) const
+RolloutService::LogChange(const RolloutRecord& aRecord, Scope aScope) const
 {
   m_parts.m_log.Info(
     kComponent,
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -353,7 +353,7 @@
 }
 
 QuarantineChanges
-Quarantine::OnNews(TimePoint aNow, const QuarantineUpdate& aNews)
+Quarantine::OnUpdate(TimePoint aNow, const QuarantineUpdate& aNews)
 {
   QuarantineChanges out;
   // Verdicts first; otherwise this daemon would reach them again from the
--- a/tests/calls/quarantined_calls.cpp
+++ b/tests/calls/quarantined_calls.cpp
@@ -58,7 +58,7 @@
     EndReport report{ ++m_lastCrash, "lockers-1", "locker-app", {}, {} };
     report.m_ran.push_back({ kFingerprint, 40ms, std::nullopt });
     const TimePoint at = kStart + std::chrono::seconds{ m_lastCrash };
-    static_cast<void>(m_quarantine.OnNews(at, { { report }, {} }));
+    static_cast<void>(m_quarantine.OnUpdate(at, { { report }, {} }));
     CallAnswer answer =
       Refuse(0, CallOutcome::Unknown, RefusalReason::WorkerCrashed);
     answer.m_reachedWorker = true;
--- a/tests/daemon/resume_filter.cpp
+++ b/tests/daemon/resume_filter.cpp
@@ -9,7 +9,7 @@
 
 const TimePoint kStart{ 1h };
 
-ResumeFilter::FromLink
+ResumeFilter::LinkRequest
 Request(std::uint64_t aCall, std::uint64_t aEpoch)
 {
   return { kStart, { 7, aCall }, aEpoch, {} };
@@ -23,11 +23,11 @@
   // pause.
   ResumeFilter filter;
   filter.OnTick(kStart, 100s);
-  CHECK_FALSE(filter.Holds(kStart + 100ms, 100s + 100ms));
+  CHECK_FALSE(filter.IsDelaying(kStart + 100ms, 100s + 100ms));
   filter.OnTick(kStart + 100ms, 100s + 100ms);
   SUBCASE("request before tick")
   {
-    CHECK(filter.Holds(kStart + 600ms, 100s + 600ms));
+    CHECK(filter.IsDelaying(kStart + 600ms, 100s + 600ms));
     filter.OnTick(kStart + 600ms, 100s + 600ms);
   }
   SUBCASE("tick before request")
@@ -36,17 +36,17 @@
   }
   SUBCASE("the machine was suspended, which the steady clock ignores")
   {
-    CHECK(filter.Holds(kStart + 600ms, 105s));
+    CHECK(filter.IsDelaying(kStart + 600ms, 105s));
   }
-  CHECK(filter.Holds(kStart + 610ms, 105s));
-  CHECK_FALSE(filter.Holds(filter.Until(), 105s + 20ms));
+  CHECK(filter.IsDelaying(kStart + 610ms, 105s));
+  CHECK_FALSE(filter.IsDelaying(filter.ReleaseTime(), 105s + 20ms));
 }
 
 TEST_CASE("a tick delayed by CPU throttling is no pause")
 {
   ResumeFilter filter;
   filter.OnTick(kStart, 100s);
-  CHECK_FALSE(filter.Holds(kStart + 250ms, 100s + 250ms));
+  CHECK_FALSE(filter.IsDelaying(kStart + 250ms, 100s + 250ms));
 }
 
 TEST_CASE(
@@ -59,11 +59,11 @@
   for (const std::uint64_t connection : { 5U, 6U }) {
     HttpRequest request;
     request.m_connection = connection;
-    filter.Add(ResumeFilter::FromCaller{
+    filter.Add(ResumeFilter::CallerRequest{
       kStart, std::move(request), HttpResponder{ {} } });
   }
   filter.Cancel({ 7, 1 });
-  filter.HungUp(5);
+  filter.DropConnection(5);
   filter.CloseEpochs(7, 2);
   auto delayed = filter.TakeAll();
   REQUIRE(delayed.m_links.size() == 1);
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -91,7 +91,7 @@
     verdict.m_content = aFingerprint;
     verdict.m_generation = 1;
     verdict.m_isQuarantined = true;
-    static_cast<void>(m_quarantine.OnNews(Clock::now(), { {}, { verdict } }));
+    static_cast<void>(m_quarantine.OnUpdate(Clock::now(), { {}, { verdict } }));
   }
 
   /// Simulates a crash of the worker: closes its connections and its port.
@@ -304,7 +304,7 @@
       end.m_ran.push_back(
         { CallFingerprint(kDialect, each), 5ms, std::nullopt });
     }
-    static_cast<void>(fixturePtr->GetQuarantine().OnNews(
+    static_cast<void>(fixturePtr->GetQuarantine().OnUpdate(
       Clock::now() - 10s + std::chrono::seconds{ i }, { { end }, {} }));
   }
   fixture.Send(RunServiceFixture::ReleaseRequest());
--- a/tests/quarantine/crash_replay.hpp
+++ b/tests/quarantine/crash_replay.hpp
@@ -301,7 +301,7 @@
         ScheduleAt(m_now + RandomDuration(1ms, 20ms),
                    [this, i, news = aChanges.m_update] {
                      static_cast<void>(
-                       m_workers[i].m_quarantine.OnNews(m_now, news));
+                       m_workers[i].m_quarantine.OnUpdate(m_now, news));
                    });
       }
     }
--- a/tests/quarantine/quarantine.cpp
+++ b/tests/quarantine/quarantine.cpp
@@ -35,7 +35,7 @@
 {
   static std::uint64_t id = 1000;
   for (int i = 0; i < aCount; ++i) {
-    static_cast<void>(aQuarantine.OnNews(
+    static_cast<void>(aQuarantine.OnUpdate(
       aFrom + i * 500ms, { { MakeReport(++id, aFingerprints) }, {} }));
   }
 }
@@ -51,11 +51,11 @@
   CHECK(first.m_update.m_ends.size() == 1);
   CHECK_FALSE(quarantine.IsSuspect(kCrashing));
   static_cast<void>(
-    quarantine.OnNews(kStart + 1s, { { MakeReport(2, { kCrashing }) }, {} }));
+    quarantine.OnUpdate(kStart + 1s, { { MakeReport(2, { kCrashing }) }, {} }));
   CHECK(quarantine.IsSuspect(kCrashing));
   CHECK_FALSE(quarantine.IsQuarantined(kStart + 1s, kCrashing));
   const auto third =
-    quarantine.OnNews(kStart + 2s, { { MakeReport(3, { kCrashing }) }, {} });
+    quarantine.OnUpdate(kStart + 2s, { { MakeReport(3, { kCrashing }) }, {} });
   CHECK(quarantine.IsQuarantined(kStart + 2s, kCrashing));
   CHECK(third.m_verdicts.size() == 1);
   CHECK(third.m_ownVerdicts.size() == 1);
@@ -66,7 +66,7 @@
 {
   Quarantine quarantine;
   for (int i = 0; i < 5; ++i) {
-    const auto changes = quarantine.OnNews(
+    const auto changes = quarantine.OnUpdate(
       kStart + i * 1s, { { MakeReport(1, { kCrashing }) }, {} });
     CHECK(changes.m_update.IsEmpty() == (i > 0));
   }
@@ -79,7 +79,7 @@
   // they lost power.
   Quarantine quarantine;
   for (std::uint64_t i = 1; i <= 4; ++i) {
-    static_cast<void>(quarantine.OnNews(
+    static_cast<void>(quarantine.OnUpdate(
       kStart + std::chrono::milliseconds{ 2 * i },
       { { MakeReport(i, { kOther }, std::chrono::milliseconds{ 20 + 10 * i }) },
         {} }));
@@ -97,7 +97,7 @@
   for (std::uint64_t i = 1; i <= 3; ++i) {
     now += 45ms;
     static_cast<void>(
-      quarantine.OnNews(now, { { MakeReport(i, { kCrashing }, 40ms) }, {} }));
+      quarantine.OnUpdate(now, { { MakeReport(i, { kCrashing }, 40ms) }, {} }));
   }
   CHECK(quarantine.IsQuarantined(now, kCrashing));
 }
@@ -112,7 +112,7 @@
   REQUIRE(changes.m_update.m_verdicts.size() == 1);
   Quarantine elsewhere;
   ReportCrashes(elsewhere, kStart, 2, { kOther });
-  static_cast<void>(elsewhere.OnNews(kStart + 2s, changes.m_update));
+  static_cast<void>(elsewhere.OnUpdate(kStart + 2s, changes.m_update));
   CHECK(elsewhere.CrashCount(kOther) == 0);
 }
 
@@ -148,19 +148,19 @@
   REQUIRE(quarantine.IsQuarantined(kStart + 2s, kOther));
   Quarantine elsewhere;
   static_cast<void>(
-    elsewhere.OnNews(kStart + 2s, { {}, quarantine.Verdicts(kStart + 2s) }));
+    elsewhere.OnUpdate(kStart + 2s, { {}, quarantine.Verdicts(kStart + 2s) }));
   REQUIRE(elsewhere.IsQuarantined(kStart + 2s, kOther));
 
   const auto lifted = quarantine.OnSuccess(kStart + 3s, kOther);
   CHECK_FALSE(quarantine.IsQuarantined(kStart + 3s, kOther));
-  static_cast<void>(elsewhere.OnNews(kStart + 3s, lifted.m_update));
+  static_cast<void>(elsewhere.OnUpdate(kStart + 3s, lifted.m_update));
   CHECK_FALSE(elsewhere.IsQuarantined(kStart + 3s, kOther));
   // The superseded verdict arrives late.
   QuarantineVerdict late;
   late.m_content = kOther;
   late.m_generation = 1;
   late.m_isQuarantined = true;
-  static_cast<void>(elsewhere.OnNews(kStart + 4s, { {}, { late } }));
+  static_cast<void>(elsewhere.OnUpdate(kStart + 4s, { {}, { late } }));
   CHECK_FALSE(elsewhere.IsQuarantined(kStart + 4s, kOther));
   CHECK(elsewhere.Summary() == quarantine.Summary());
 }
@@ -204,7 +204,7 @@
   Quarantine quarantine;
   ReportCrashes(quarantine, kStart, 3, { kCrashing });
   for (std::uint64_t i = 1; i <= 2 * Quarantine::kMaxCrashes; ++i) {
-    static_cast<void>(quarantine.OnNews(
+    static_cast<void>(quarantine.OnUpdate(
       kStart + 10s, { { MakeReport(i, { Fingerprint{ i, i } }) }, {} }));
   }
   CHECK(quarantine.IsQuarantined(kStart + 11s, kCrashing));
@@ -215,7 +215,7 @@
     verdict.m_generation = 1;
     lifted.push_back(verdict);
   }
-  static_cast<void>(quarantine.OnNews(kStart + 12s, { {}, lifted }));
+  static_cast<void>(quarantine.OnUpdate(kStart + 12s, { {}, lifted }));
   CHECK(quarantine.Verdicts(kStart + 12s).size() <= Quarantine::kMaxVerdicts);
   CHECK(quarantine.IsQuarantined(kStart + 12s, kCrashing));
 }
@@ -231,7 +231,7 @@
   for (const QuarantineUpdate& each : SplitIntoDatagrams(news)) {
     REQUIRE(each.m_ends.size() == 1);
     CHECK(each.m_ends[0].m_ran.size() <= 30);
-    static_cast<void>(quarantine.OnNews(kStart, each));
+    static_cast<void>(quarantine.OnUpdate(kStart, each));
   }
   CHECK(quarantine.CrashCount({ 99, 99 }) == 1);
   CHECK(quarantine.CrashCount({ 0, 0 }) == 1);
