--- a/bench/hot_path.cpp
+++ b/bench/hot_path.cpp
@@ -206,7 +206,7 @@
     AppendFrame(frame, request);
     bytes = frame.size();
     benchmark::DoNotOptimize(
-      DecodeFrame(std::string_view{ frame }.substr(kFrameHeader)));
+      DecodeFrame(std::string_view{ frame }.substr(kFrameLengthBytes)));
   }
   aState.counters["bytes"] = static_cast<double>(bytes);
 }
--- a/include/greengagehub/http/backend_client.hpp
+++ b/include/greengagehub/http/backend_client.hpp
@@ -24,7 +24,7 @@
   /// response with another value is discarded. Not checked if the name is
   /// empty.
   std::string m_echoHeader{};
-  std::string m_echo{};
+  std::string m_echoValue{};
   /// The request fails and its connection is closed at this time.
   TimePoint m_deadline{};
   /// Connections that were idle for longer are not reused, as the backend
@@ -97,7 +97,7 @@
   /// before `aOpenedBefore` to `aUntil`; they then end as Lost. For use after
   /// the backend server has restarted: `aOpenedBefore` is the last time at
   /// which the former process was known to run.
-  void LimitBusy(TimePoint aOpenedBefore, TimePoint aUntil);
+  void ShortenDeadlines(TimePoint aOpenedBefore, TimePoint aUntil);
   /// \brief Closes idle connections, such as after a backend server restart.
   void CloseIdle();
 
--- a/include/greengagehub/http/http_server.hpp
+++ b/include/greengagehub/http/http_server.hpp
@@ -13,7 +13,7 @@
 /// \brief Sends the answer to one request.
 ///
 /// May be stored and used later on the thread of the loop. Without an answer
-/// the connection stays open until the client closes it or m_handleTimeout
+/// the connection stays open until the client closes it or m_handlerTimeout
 /// expires.
 class HttpResponder
 {
@@ -55,7 +55,7 @@
   HttpServerLimits m_limits{};
   /// Connections whose request is not answered are closed after this time; must
   /// exceed the request timeouts of the handler.
-  std::chrono::milliseconds m_handleTimeout{ std::chrono::hours{ 24 } };
+  std::chrono::milliseconds m_handlerTimeout{ std::chrono::hours{ 24 } };
 };
 
 /// \brief HTTP/1.1 server on the caller's event loop.
--- a/include/greengagehub/http/listen_check.hpp
+++ b/include/greengagehub/http/listen_check.hpp
@@ -8,7 +8,7 @@
 namespace greengagehub {
 
 /// \brief Whether a process listens on an address.
-enum class Listening : std::uint8_t
+enum class ListenStatus : std::uint8_t
 {
   Yes,
   /// The connection was refused.
@@ -23,6 +23,6 @@
 CheckListening(asio::io_context& aLoop,
                const asio::ip::tcp::endpoint& aAddress,
                std::chrono::milliseconds aTimeout,
-               std::function<void(Listening)> aDone);
+               std::function<void(ListenStatus)> aDone);
 
 }
--- a/include/greengagehub/transport/bulk_message.hpp
+++ b/include/greengagehub/transport/bulk_message.hpp
@@ -15,7 +15,7 @@
   /// Sender of the request.
   std::string m_slot;
   /// The answer starts after this version.
-  Version m_have;
+  Version m_knownVersion;
   bool m_wantMembers{ false };
   /// Digests of the sender's member table; sent only with m_wantMembers.
   MemberDigests m_members{};
--- a/include/greengagehub/transport/codec.hpp
+++ b/include/greengagehub/transport/codec.hpp
@@ -43,10 +43,10 @@
 DecodeFrame(std::string_view aBytes, LinkInflater* aInflater = nullptr);
 
 /// Size in bytes of the length that precedes a frame.
-inline constexpr std::size_t kFrameHeader = 4;
+inline constexpr std::size_t kFrameLengthBytes = 4;
 /// Maximum frame length; a longer frame closes the connection.
 inline constexpr std::size_t kMaxFrameBytes = 32UL * 1024 * 1024;
-/// \param aHeader at least kFrameHeader bytes.
+/// \param aHeader at least kFrameLengthBytes bytes.
 /// \returns Length of the frame that follows, in bytes.
 [[nodiscard]] std::size_t
 FrameLength(const char* aHeader) noexcept;
--- a/include/greengagehub/transport/link_frame.hpp
+++ b/include/greengagehub/transport/link_frame.hpp
@@ -51,7 +51,7 @@
 };
 
 /// \brief The sending daemon accepts no new calls.
-struct LinkLeaving
+struct LinkDraining
 {};
 
 using LinkFrame = std::variant<LinkHello,
@@ -61,6 +61,6 @@
                                LinkCancelResult,
                                LinkPing,
                                LinkPong,
-                               LinkLeaving>;
+                               LinkDraining>;
 
 }
--- a/include/greengagehub/transport/link_pacer.hpp
+++ b/include/greengagehub/transport/link_pacer.hpp
@@ -34,12 +34,12 @@
       return Duration::zero();
     }
     const TimePoint start = std::max(aNow, m_linkFreeAt);
-    m_linkFreeAt = start + TimeOf(aBytes);
+    m_linkFreeAt = start + TransmissionTime(aBytes);
     return start - aNow;
   }
 
   /// \returns Transmission time of `aBytes`; zero if the bandwidth is unknown.
-  [[nodiscard]] Duration TimeOf(std::size_t aBytes) const noexcept
+  [[nodiscard]] Duration TransmissionTime(std::size_t aBytes) const noexcept
   {
     if (m_bytesPerSecond <= 0.0) {
       return Duration::zero();
@@ -55,7 +55,7 @@
   }
 
   /// Frames with a larger body are paced and written in parts of this size.
-  static constexpr std::size_t kPart = 16UL * 1024;
+  static constexpr std::size_t kPartBytes = 16UL * 1024;
 
 private:
   /// Share of the bandwidth; the rest is left for unpaced traffic.
--- a/include/greengagehub/transport/link_pool.hpp
+++ b/include/greengagehub/transport/link_pool.hpp
@@ -37,17 +37,17 @@
     std::function<void(const std::string& aSlot, LinkFrame)> m_onFrame;
     /// A connection is open and the process of the slot has sent its hello.
     std::function<void(const std::string& aSlot, std::uint64_t aProcess)>
-      m_onUp;
+      m_onConnected;
     /// An open connection was lost; pending calls on it are in doubt.
-    std::function<void(const std::string& aSlot)> m_onLost;
+    std::function<void(const std::string& aSlot)> m_onConnectionLost;
     /// The process is gone: the connection was refused, or another instance
     /// has the address.
-    std::function<void(const std::string& aSlot)> m_onRefused;
+    std::function<void(const std::string& aSlot)> m_onProcessGone;
     /// A request is about to be sent to a process.
     std::function<void(std::uint64_t aAttempt, std::uint64_t aProcess)>
       m_onSent;
     /// A request was never written to a connection.
-    std::function<void(std::uint64_t aAttempt)> m_onNotSent;
+    std::function<void(std::uint64_t aAttempt)> m_onSendFailed;
   };
 
   LinkPool(asio::io_context& aLoop,
@@ -70,7 +70,7 @@
   /// the queued request and other frames are dropped.
   void SendIfOpen(const std::string& aSlot, const LinkFrame& aFrame);
   /// \brief Sets the pacer for connections opened from now on.
-  void PaceBy(LinkPacer& aPacer) noexcept { m_pacer = &aPacer; }
+  void UsePacer(LinkPacer& aPacer) noexcept { m_pacer = &aPacer; }
   /// \brief Sends heartbeats, reconnects, and closes silent and idle links.
   /// Must be called periodically.
   void OnTick(TimePoint aNow);
--- a/include/greengagehub/transport/link_server.hpp
+++ b/include/greengagehub/transport/link_server.hpp
@@ -12,15 +12,16 @@
 ///
 /// Each caller process has one current connection, the one with the highest
 /// epoch. Before requests of a newer connection are read, the older one is
-/// closed and m_onEpoch is called. The owner then drops unstarted requests of
-/// older epochs, so that the caller may treat them as not run.
+/// closed and m_onNewEpoch is called. The owner then drops unstarted requests
+/// of older epochs, so that the caller may treat them as not run.
 class LinkServer
 {
 public:
   struct Handlers
   {
     /// A process opened a connection with a higher epoch.
-    std::function<void(std::uint64_t aProcess, std::uint64_t aEpoch)> m_onEpoch;
+    std::function<void(std::uint64_t aProcess, std::uint64_t aEpoch)>
+      m_onNewEpoch;
     std::function<void(LinkConnection&, LinkFrame)> m_onFrame;
   };
 
@@ -43,7 +44,7 @@
   /// \returns Whether any connection has queued frames.
   [[nodiscard]] bool HasUnsent() const;
   /// \brief Sets the pacer for connections accepted from now on.
-  void PaceBy(LinkPacer& aPacer) noexcept { m_pacer = &aPacer; }
+  void UsePacer(LinkPacer& aPacer) noexcept { m_pacer = &aPacer; }
   /// \brief Sends to every connection whose hello was received.
   void Broadcast(const LinkFrame& aFrame);
   void StopAccepting();
--- a/include/greengagehub/transport/traffic_meter.hpp
+++ b/include/greengagehub/transport/traffic_meter.hpp
@@ -16,7 +16,7 @@
   /// Pushed and pulled versions of the configuration.
   Versions,
   /// Comparisons of member tables and the records exchanged as a result.
-  Compare,
+  Reconciliation,
   /// Call requests.
   Requests,
   /// Call answers, including rejections.
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -93,7 +93,7 @@
 LinkServer::Handlers
 CallGateway::ServerHandlers()
 {
-  return { .m_onEpoch =
+  return { .m_onNewEpoch =
              [this](std::uint64_t aProcess, std::uint64_t aEpoch) {
                m_resumeFilter.CloseEpochs(aProcess, aEpoch);
                m_service.OnEpoch(aProcess, aEpoch);
@@ -109,19 +109,20 @@
 {
   LinkPool::Handlers handlers;
   handlers.m_onFrame = [this](const std::string& aSlot, LinkFrame aFrame) {
-    if (std::holds_alternative<LinkLeaving>(aFrame)) {
+    if (std::holds_alternative<LinkDraining>(aFrame)) {
       m_dispatcher.Workers().SetLeaving(aSlot);
       return;
     }
     OnPoolFrame(std::move(aFrame));
   };
-  handlers.m_onUp = [this](const std::string& aSlot, std::uint64_t aProcess) {
+  handlers.m_onConnected = [this](const std::string& aSlot,
+                                  std::uint64_t aProcess) {
     Execute(m_dispatcher.OnLinkUp(Clock::now(), aSlot, aProcess));
   };
-  handlers.m_onLost = [this](const std::string& aSlot) {
+  handlers.m_onConnectionLost = [this](const std::string& aSlot) {
     Execute(m_dispatcher.OnLinkLost(Clock::now(), aSlot));
   };
-  handlers.m_onRefused = [this](const std::string& aSlot) {
+  handlers.m_onProcessGone = [this](const std::string& aSlot) {
     // The process that received the attempts has exited. Process number 0 is
     // never used, so no attempt in doubt matches it and all of them fail.
     Execute(m_dispatcher.OnLinkUp(Clock::now(), aSlot, 0));
@@ -129,7 +130,7 @@
   handlers.m_onSent = [this](std::uint64_t aAttempt, std::uint64_t aProcess) {
     m_dispatcher.RecordProcess(aAttempt, aProcess);
   };
-  handlers.m_onNotSent = [this](std::uint64_t aAttempt) {
+  handlers.m_onSendFailed = [this](std::uint64_t aAttempt) {
     Execute(m_dispatcher.OnSendFailed(Clock::now(), aAttempt));
   };
   return handlers;
@@ -138,8 +139,8 @@
 Outcome<std::uint16_t>
 CallGateway::Open()
 {
-  m_server.PaceBy(m_pacer);
-  m_pool.PaceBy(m_pacer);
+  m_server.UsePacer(m_pacer);
+  m_pool.UsePacer(m_pacer);
   m_dispatcher.SetDecisions(m_parts.m_settings.m_runs.m_decisions);
   m_dispatcher.SetQuarantine(m_parts.m_quarantine.Table());
   m_dispatcher.SetRollouts(m_parts.m_rollouts.Table());
@@ -331,7 +332,7 @@
   m_draining = true;
   m_dispatcher.Workers().SetLeaving(m_parts.m_settings.m_slot);
   m_service.StartDraining();
-  m_server.Broadcast(LinkLeaving{});
+  m_server.Broadcast(LinkDraining{});
 }
 
 void
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -144,7 +144,7 @@
   own.m_leaving = !aPresence.TakesCalls() || m_draining;
   m_dispatcher.Workers().Put(std::move(own));
   if (!aPresence.TakesCalls()) {
-    m_server.Broadcast(LinkLeaving{});
+    m_server.Broadcast(LinkDraining{});
   }
 }
 
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -16,7 +16,7 @@
 TrafficPurpose
 PurposeOf(const PullRequest& aRequest)
 {
-  return aRequest.m_wantMembers ? TrafficPurpose::Compare
+  return aRequest.m_wantMembers ? TrafficPurpose::Reconciliation
                                 : TrafficPurpose::Versions;
 }
 
@@ -180,7 +180,7 @@
     answer.m_rollouts = m_rollouts.Table().All(Clock::now());
   }
   bool complete = false;
-  answer.m_entries = m_holder.EntriesAfter(aRequest.m_have, complete);
+  answer.m_entries = m_holder.EntriesAfter(aRequest.m_knownVersion, complete);
   if (!complete) {
     const ActiveConfig& active = *m_holder.Active();
     if (m_compressedVersion != active.m_version) {
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -160,7 +160,8 @@
                     m_incarnation.m_id);
   request.m_body = call.m_body;
   request.m_echoHeader = m_parts.m_dialect.m_requestId;
-  request.m_echo = HeaderValue(call.m_headers, m_parts.m_dialect.m_requestId);
+  request.m_echoValue =
+    HeaderValue(call.m_headers, m_parts.m_dialect.m_requestId);
   request.m_deadline = run.m_deadline + kDeadlineGrace;
   request.m_maxIdle = call.m_idempotent ? kMaxIdle : kMaxIdleNonIdempotent;
   run.m_ticket =
--- a/src/daemon/run_service_link.cpp
+++ b/src/daemon/run_service_link.cpp
@@ -11,14 +11,15 @@
   for (const auto& [key, run] : m_activeRuns) {
     bytes += m_answerSizes.Of(run.m_request.m_kind);
   }
-  return m_parts.m_pacer->Backlog(aNow) + m_parts.m_pacer->TimeOf(bytes);
+  return m_parts.m_pacer->Backlog(aNow) +
+         m_parts.m_pacer->TransmissionTime(bytes);
 }
 
 bool
 RunService::IsLinkTooBusy(TimePoint aNow, const CallRequest& aRequest) const
 {
   if (m_parts.m_pacer == nullptr ||
-      m_answerSizes.Of(aRequest.m_kind) <= LinkPacer::kPart) {
+      m_answerSizes.Of(aRequest.m_kind) <= LinkPacer::kPartBytes) {
     return false;
   }
   const bool isBeforeTarget = aRequest.m_targetLeft.count() > 0;
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -40,11 +40,12 @@
   if (!m_crashDetector.OnConnectionLost(lost)) {
     return;
   }
-  CheckListening(
-    m_parts.m_loop,
-    WorkerAddress(m_parts.m_settings),
-    kListenCheckTimeout,
-    [this](Listening aResult) { OnListenCheck(aResult == Listening::No); });
+  CheckListening(m_parts.m_loop,
+                 WorkerAddress(m_parts.m_settings),
+                 kListenCheckTimeout,
+                 [this](ListenStatus aResult) {
+                   OnListenCheck(aResult == ListenStatus::No);
+                 });
 }
 
 void
@@ -175,8 +176,8 @@
     m_client.CloseIdle();
     // If a crash closed no connection, its requests would occupy slots of the
     // new incarnation until their deadlines.
-    m_client.LimitBusy(aPreviousLastReport,
-                       Clock::now() + kPreviousAnswerGrace);
+    m_client.ShortenDeadlines(aPreviousLastReport,
+                              Clock::now() + kPreviousAnswerGrace);
     m_runs.OnWorkerRestarted();
   }
   m_incarnation = aIncarnation;
--- a/src/http/backend_client.cpp
+++ b/src/http/backend_client.cpp
@@ -68,7 +68,7 @@
   Ticket Send(BackendRequest aRequest, Done aDone);
   void Abandon(Ticket aTicket);
   void CloseIdle();
-  void LimitBusy(TimePoint aOpenedBefore, TimePoint aUntil);
+  void ShortenDeadlines(TimePoint aOpenedBefore, TimePoint aUntil);
 
   asio::io_context& m_loop;
   BackendClientSettings m_settings;
@@ -280,7 +280,7 @@
     const std::string_view echo =
       HeaderValue(m_parser.Headers(), m_request.m_echoHeader);
     return m_request.m_echoHeader.empty() || echo.empty() ||
-           echo == m_request.m_echo;
+           echo == m_request.m_echoValue;
   }
 
   void OnResponse(bool aHasExtraBytes)
@@ -361,7 +361,7 @@
   bool m_isSendStarted{ false };
   bool m_isSendComplete{ false };
   bool m_hasReceivedBytes{ false };
-  /// Deadline was brought forward by LimitBusy().
+  /// Deadline was brought forward by ShortenDeadlines().
   bool m_isDeadlineShortened{ false };
 };
 
@@ -428,7 +428,7 @@
 }
 
 void
-BackendClient::Impl::LimitBusy(TimePoint aOpenedBefore, TimePoint aUntil)
+BackendClient::Impl::ShortenDeadlines(TimePoint aOpenedBefore, TimePoint aUntil)
 {
   for (const auto& [ticket, connection] : m_inUse) {
     if (connection->WasOpenedBefore(aOpenedBefore)) {
@@ -470,9 +470,9 @@
 }
 
 void
-BackendClient::LimitBusy(TimePoint aOpenedBefore, TimePoint aUntil)
+BackendClient::ShortenDeadlines(TimePoint aOpenedBefore, TimePoint aUntil)
 {
-  m_impl->LimitBusy(aOpenedBefore, aUntil);
+  m_impl->ShortenDeadlines(aOpenedBefore, aUntil);
 }
 
 void
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -114,7 +114,7 @@
         }
         return;
       case State::Handling:
-        if (age > m_server->m_settings.m_handleTimeout) {
+        if (age > m_server->m_settings.m_handlerTimeout) {
           Close();
         }
         return;
--- a/src/http/listen_check.cpp
+++ b/src/http/listen_check.cpp
@@ -15,7 +15,7 @@
   {
   }
 
-  void Complete(Listening aResult)
+  void Complete(ListenStatus aResult)
   {
     if (!m_done) {
       return;
@@ -30,17 +30,17 @@
 
   asio::ip::tcp::socket m_socket;
   asio::steady_timer m_timer;
-  std::function<void(Listening)> m_done;
+  std::function<void(ListenStatus)> m_done;
 };
 
-Listening
+ListenStatus
 ResultOf(const asio::error_code& aError)
 {
   if (!aError) {
-    return Listening::Yes;
+    return ListenStatus::Yes;
   }
-  return aError == asio::error::connection_refused ? Listening::No
-                                                   : Listening::Unknown;
+  return aError == asio::error::connection_refused ? ListenStatus::No
+                                                   : ListenStatus::Unknown;
 }
 
 }
@@ -49,14 +49,14 @@
 CheckListening(asio::io_context& aLoop,
                const asio::ip::tcp::endpoint& aAddress,
                std::chrono::milliseconds aTimeout,
-               std::function<void(Listening)> aDone)
+               std::function<void(ListenStatus)> aDone)
 {
   const auto check = std::make_shared<Check>(aLoop);
   check->m_done = std::move(aDone);
   check->m_timer.expires_after(aTimeout);
   check->m_timer.async_wait([check](const asio::error_code& aError) {
     if (!aError) {
-      check->Complete(Listening::Unknown);
+      check->Complete(ListenStatus::Unknown);
     }
   });
   check->m_socket.async_connect(aAddress,
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -307,7 +307,7 @@
 {
   wire::PullRequest out;
   out.set_slot(aRequest.m_slot);
-  out.set_have_version(aRequest.m_have.m_number);
+  out.set_have_version(aRequest.m_knownVersion.m_number);
   out.set_want_members(aRequest.m_wantMembers);
   if (aRequest.m_wantMembers) {
     for (const std::uint64_t each : aRequest.m_members.m_sums) {
@@ -326,7 +326,7 @@
   }
   PullRequest request;
   request.m_slot = in.slot();
-  request.m_have = Version{ in.have_version() };
+  request.m_knownVersion = Version{ in.have_version() };
   request.m_wantMembers = in.want_members();
   const auto buckets = static_cast<std::size_t>(in.member_digests_size());
   if (request.m_wantMembers && buckets != MemberDigests::kBuckets) {
--- a/src/transport/link_codec.cpp
+++ b/src/transport/link_codec.cpp
@@ -27,7 +27,7 @@
 void
 AppendBigEndian(std::string& aOut, std::uint32_t aNumber)
 {
-  for (unsigned shift = 3; shift < kFrameHeader; --shift) {
+  for (unsigned shift = 3; shift < kFrameLengthBytes; --shift) {
     aOut += static_cast<char>((aNumber >> (shift * kByteBits)) & 0xFFU);
   }
 }
@@ -171,7 +171,7 @@
   {
     m_out.set_pong(aPong.m_number);
   }
-  void operator()(const LinkLeaving& /*aLeaving*/) const
+  void operator()(const LinkDraining& /*aLeaving*/) const
   {
     m_out.set_leaving(true);
   }
@@ -265,7 +265,7 @@
 FrameLength(const char* aHeader) noexcept
 {
   std::size_t length = 0;
-  for (std::size_t i = 0; i < kFrameHeader; ++i) {
+  for (std::size_t i = 0; i < kFrameLengthBytes; ++i) {
     length = (length << kByteBits) | static_cast<unsigned char>(aHeader[i]);
   }
   return length;
@@ -323,7 +323,7 @@
     case wire::Frame::kPong:
       return LinkFrame{ LinkPong{ frame.pong() } };
     case wire::Frame::kLeaving:
-      return LinkFrame{ LinkLeaving{} };
+      return LinkFrame{ LinkDraining{} };
     case wire::Frame::KIND_NOT_SET:
       break;
   }
--- a/src/transport/link_connection.cpp
+++ b/src/transport/link_connection.cpp
@@ -91,26 +91,26 @@
   m_lastReceived = Clock::now();
   const std::string_view received{ m_readBuffer.data(), m_unparsedBytes };
   std::size_t at = 0;
-  while (m_isOpen && received.size() - at >= kFrameHeader) {
+  while (m_isOpen && received.size() - at >= kFrameLengthBytes) {
     const std::size_t length = FrameLength(received.data() + at);
     if (length > kMaxFrameBytes) {
       Close();
       return;
     }
-    if (received.size() - at - kFrameHeader < length) {
+    if (received.size() - at - kFrameLengthBytes < length) {
       break;
     }
     if (!m_inflater) {
       m_inflater = std::make_unique<LinkInflater>();
     }
-    auto frame =
-      DecodeFrame(received.substr(at + kFrameHeader, length), m_inflater.get());
+    auto frame = DecodeFrame(received.substr(at + kFrameLengthBytes, length),
+                             m_inflater.get());
     if (!frame) {
       // The start of the next frame is unknown after an invalid frame.
       Close();
       return;
     }
-    at += kFrameHeader + length;
+    at += kFrameLengthBytes + length;
     m_onFrame(*this, std::move(frame.value()));
   }
   m_unparsedBytes -= at;
@@ -141,7 +141,7 @@
   if (!m_isOpen) {
     return;
   }
-  if (m_pacer != nullptr && BodySizeOf(aFrame) > LinkPacer::kPart) {
+  if (m_pacer != nullptr && BodySizeOf(aFrame) > LinkPacer::kPartBytes) {
     m_largeFrames.push_back(aFrame);
   } else {
     Encode(aFrame);
@@ -197,7 +197,7 @@
 {
   const std::size_t left = m_writeBuffer.size() - m_written;
   const std::size_t size =
-    m_pacer != nullptr ? std::min(left, LinkPacer::kPart) : left;
+    m_pacer != nullptr ? std::min(left, LinkPacer::kPartBytes) : left;
   asio::async_write(m_socket,
                     asio::buffer(m_writeBuffer.data() + m_written, size),
                     [self = Pointer{ this }](const asio::error_code& aError,
@@ -221,7 +221,7 @@
       return;
     }
     // The link time of the entire frame is reserved; spread its parts over it.
-    m_pacingTimer.expires_after(m_pacer->TimeOf(aSize));
+    m_pacingTimer.expires_after(m_pacer->TransmissionTime(aSize));
     m_pacingTimer.async_wait(
       [self = Pointer{ this }](const asio::error_code& aError) {
         if (!aError && self->m_isOpen) {
@@ -231,7 +231,7 @@
     return;
   }
   m_writeBuffer.clear();
-  if (m_writeBuffer.capacity() > LinkPacer::kPart) {
+  if (m_writeBuffer.capacity() > LinkPacer::kPartBytes) {
     // Free the buffer of a large frame.
     m_writeBuffer.shrink_to_fit();
   }
--- a/src/transport/link_pool.cpp
+++ b/src/transport/link_pool.cpp
@@ -110,7 +110,7 @@
   waiting.swap(aLink->m_pendingFrames);
   for (const LinkFrame& each : waiting) {
     if (const auto* request = std::get_if<CallRequest>(&each)) {
-      m_handlers.m_onNotSent(request->m_call);
+      m_handlers.m_onSendFailed(request->m_call);
     }
   }
 }
@@ -178,7 +178,7 @@
 {
   FailPendingFrames(aLink);
   if (aRefused) {
-    m_handlers.m_onRefused(aLink->m_slot);
+    m_handlers.m_onProcessGone(aLink->m_slot);
   }
   aLink->m_nextReconnectAt = Clock::now() + m_settings.m_reconnectInterval;
 }
@@ -200,7 +200,7 @@
   aLink->m_isReady = true;
   aLink->m_process = aHello.m_process;
   aLink->m_reconnectUntil.reset();
-  m_handlers.m_onUp(aLink->m_slot, aHello.m_process);
+  m_handlers.m_onConnected(aLink->m_slot, aHello.m_process);
   std::vector<LinkFrame> waiting;
   waiting.swap(aLink->m_pendingFrames);
   for (const LinkFrame& each : waiting) {
@@ -240,7 +240,7 @@
   aLink->m_nextReconnectAt = now;
   if (wasUp) {
     aLink->m_reconnectUntil = now + m_settings.m_reconnectTimeout;
-    m_handlers.m_onLost(aLink->m_slot);
+    m_handlers.m_onConnectionLost(aLink->m_slot);
   }
 }
 
--- a/src/transport/link_server.cpp
+++ b/src/transport/link_server.cpp
@@ -82,7 +82,7 @@
   aConnection.m_helloReceived = true;
   m_currentByProcess[aHello.m_process] =
     LinkConnection::Pointer{ &aConnection };
-  m_handlers.m_onEpoch(aHello.m_process, aHello.m_epoch);
+  m_handlers.m_onNewEpoch(aHello.m_process, aHello.m_epoch);
   LinkHello answer = m_self;
   answer.m_epoch = aHello.m_epoch;
   aConnection.Send(answer);
--- a/standins/backend_server.cpp
+++ b/standins/backend_server.cpp
@@ -200,7 +200,7 @@
   po::store(po::parse_command_line(aCount, aArguments, options), values);
   po::notify(values);
   if (const auto cut = values["cut-ms"].as<std::uint32_t>(); cut > 0) {
-    given.m_http.m_handleTimeout = std::chrono::milliseconds{ cut };
+    given.m_http.m_handlerTimeout = std::chrono::milliseconds{ cut };
   }
   given.m_http.m_limits.m_maxBodyBytes = 32UL * 1024 * 1024;
   asio::io_context loop;
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -171,7 +171,7 @@
     std::string bytes;
     AppendFrame(bytes, sent);
     const auto frame =
-      DecodeFrame(std::string_view{ bytes }.substr(kFrameHeader));
+      DecodeFrame(std::string_view{ bytes }.substr(kFrameLengthBytes));
     REQUIRE(frame);
     const auto& got = std::get<CallAnswer>(frame.value());
     CHECK(got.m_reason == reason);
@@ -180,7 +180,7 @@
 
     wire::Frame headFrame;
     const std::string_view head =
-      std::string_view{ bytes }.substr(2 * kFrameHeader);
+      std::string_view{ bytes }.substr(2 * kFrameLengthBytes);
     REQUIRE(
       headFrame.ParseFromArray(head.data(), static_cast<int>(head.size())));
     CHECK(headFrame.answer().reason() <= static_cast<std::uint32_t>(lastKnown));
@@ -201,9 +201,9 @@
 TEST_CASE("a frame survives encoding and decoding")
 {
   const std::string bytes = TestFrame();
-  REQUIRE(FrameLength(bytes.data()) == bytes.size() - kFrameHeader);
+  REQUIRE(FrameLength(bytes.data()) == bytes.size() - kFrameLengthBytes);
   const auto frame =
-    DecodeFrame(std::string_view{ bytes }.substr(kFrameHeader));
+    DecodeFrame(std::string_view{ bytes }.substr(kFrameLengthBytes));
   REQUIRE(frame);
   const auto& request = std::get<CallRequest>(frame.value());
   CHECK(request.m_body.size() == 8);
@@ -217,7 +217,7 @@
   // Guards against crashes and out-of-range values from corrupted input.
   Random random{ 11 };
   const std::string gossip = EncodeGossip(TestGossip(), 1400);
-  const std::string frame = TestFrame().substr(kFrameHeader);
+  const std::string frame = TestFrame().substr(kFrameLengthBytes);
   PullAnswer answer;
   answer.m_head = { Version{ 1 }, Sha256("x") };
   const std::string pull = EncodePullAnswer(answer);
@@ -251,7 +251,7 @@
   std::string bytes;
   AppendFrame(bytes, request);
   const auto frame =
-    DecodeFrame(std::string_view{ bytes }.substr(kFrameHeader));
+    DecodeFrame(std::string_view{ bytes }.substr(kFrameLengthBytes));
   REQUIRE(frame);
   CHECK(std::get<CallRequest>(frame.value()).m_headers.at(0).m_value ==
         "Bj\xf6rn");
--- a/tests/transport/link_deflate.cpp
+++ b/tests/transport/link_deflate.cpp
@@ -71,8 +71,8 @@
     AppendFrame(frame, request, &deflater);
     plainBytes += plainFrame.size() - request.m_body.size();
     deflatedBytes += frame.size() - request.m_body.size();
-    const auto back =
-      DecodeFrame(std::string_view{ frame }.substr(kFrameHeader), &inflater);
+    const auto back = DecodeFrame(
+      std::string_view{ frame }.substr(kFrameLengthBytes), &inflater);
     REQUIRE(back);
     CHECK(std::get<CallRequest>(back.value()).m_body == request.m_body);
     CHECK(std::get<CallRequest>(back.value()).m_headers[4].m_value ==
--- a/tests/transport/link_pool.cpp
+++ b/tests/transport/link_pool.cpp
@@ -18,11 +18,11 @@
 {
   LinkPool::Handlers handlers;
   handlers.m_onFrame = [](const std::string&, const LinkFrame&) {};
-  handlers.m_onUp = [](const std::string&, std::uint64_t) {};
-  handlers.m_onLost = [](const std::string&) {};
-  handlers.m_onRefused = [](const std::string&) {};
+  handlers.m_onConnected = [](const std::string&, std::uint64_t) {};
+  handlers.m_onConnectionLost = [](const std::string&) {};
+  handlers.m_onProcessGone = [](const std::string&) {};
   handlers.m_onSent = [](std::uint64_t, std::uint64_t) {};
-  handlers.m_onNotSent = [](std::uint64_t) {};
+  handlers.m_onSendFailed = [](std::uint64_t) {};
   return handlers;
 }
 
@@ -41,16 +41,16 @@
     0,
     LinkHello{ "new-instance", 2, 0 },
     traffic,
-    { .m_onEpoch = [](std::uint64_t, std::uint64_t) {},
+    { .m_onNewEpoch = [](std::uint64_t, std::uint64_t) {},
       .m_onFrame = [&](LinkConnection&, const LinkFrame&) { ++received; } }
   };
   std::vector<std::uint64_t> notSent;
   std::vector<std::string> lostSlots;
   LinkPool::Handlers handlers = NoOpHandlers();
-  handlers.m_onRefused = [&](const std::string& aSlot) {
+  handlers.m_onProcessGone = [&](const std::string& aSlot) {
     lostSlots.push_back(aSlot);
   };
-  handlers.m_onNotSent = [&](std::uint64_t aAttempt) {
+  handlers.m_onSendFailed = [&](std::uint64_t aAttempt) {
     notSent.push_back(aAttempt);
   };
   LinkPool pool{
@@ -80,10 +80,10 @@
   bool connected = false;
   bool lost = false;
   LinkPool::Handlers handlers = NoOpHandlers();
-  handlers.m_onUp = [&](const std::string&, std::uint64_t) {
+  handlers.m_onConnected = [&](const std::string&, std::uint64_t) {
     connected = true;
   };
-  handlers.m_onLost = [&](const std::string&) { lost = true; };
+  handlers.m_onConnectionLost = [&](const std::string&) { lost = true; };
   LinkPoolSettings settings;
   settings.m_silenceTimeout = std::chrono::milliseconds{ 50 };
   LinkPool pool{
@@ -137,7 +137,7 @@
                      0,
                      LinkHello{ "callee", 2, 0 },
                      traffic,
-                     { .m_onEpoch = [](std::uint64_t, std::uint64_t) {},
+                     { .m_onNewEpoch = [](std::uint64_t, std::uint64_t) {},
                        .m_onFrame =
                          [&](LinkConnection&, const LinkFrame& aFrame) {
                            received.push_back(
