--- a/include/greengagehub/daemon/platform_endpoints.hpp
+++ b/include/greengagehub/daemon/platform_endpoints.hpp
@@ -2,8 +2,8 @@
 
 #include "greengagehub/calls/worker_presence.hpp"
 #include "greengagehub/http/http_server.hpp"
-#include "greengagehub/observe/line_budget.hpp"
 #include "greengagehub/observe/log.hpp"
+#include "greengagehub/observe/log_rate_limiter.hpp"
 #include "greengagehub/observe/metrics.hpp"
 #include "greengagehub/settings/settings.hpp"
 
@@ -59,7 +59,7 @@
 
   Parts m_parts;
   WorkerPresence m_worker;
-  LineBudget m_rejectionLogBudget;
+  LogRateLimiter m_rejectionLogBudget;
   HttpServer m_readiness;
   HttpServer m_heartbeats;
 };
--- a/include/greengagehub/daemon/request_log.hpp
+++ b/include/greengagehub/daemon/request_log.hpp
@@ -2,8 +2,8 @@
 
 #include "greengagehub/calls/call.hpp"
 #include "greengagehub/core/version.hpp"
-#include "greengagehub/observe/line_budget.hpp"
 #include "greengagehub/observe/log.hpp"
+#include "greengagehub/observe/log_rate_limiter.hpp"
 #include "greengagehub/quarantine/crash_detector.hpp"
 
 namespace greengagehub {
@@ -99,7 +99,7 @@
   static constexpr double kBurst = 400.0;
 
   const Log& m_log;
-  LineBudget m_budget{ kLinesPerSecond, kBurst };
+  LogRateLimiter m_budget{ kLinesPerSecond, kBurst };
   std::uint64_t m_routineRequests{ 0 };
 };
 
--- a/include/greengagehub/daemon/rollout_service.hpp
+++ b/include/greengagehub/daemon/rollout_service.hpp
@@ -99,7 +99,7 @@
 
   Parts m_parts;
   RolloutTable m_table;
-  StatusWriter<platform::RolloutForm> m_writer;
+  StatusWriter<platform::RolloutCodec> m_writer;
   /// Roll-outs that this daemon leads, by service.
   std::map<std::string, RolloutLeader> m_leaders;
   /// Target version of the order for which the local worker is counted.
--- a/include/greengagehub/observe/line_budget.hpp
+++ b/include/greengagehub/observe/log_rate_limiter.hpp
@@ -10,12 +10,12 @@
 
 /// \brief Token bucket that limits the rate of log lines and counts suppressed
 /// ones.
-class LineBudget
+class LogRateLimiter
 {
 public:
   /// \param aPerSecond lines per second.
   /// \param aBurst lines that may be written at once.
-  LineBudget(double aPerSecond, double aBurst) noexcept
+  LogRateLimiter(double aPerSecond, double aBurst) noexcept
     : m_perSecond(aPerSecond)
     , m_burst(aBurst)
     , m_tokens(aBurst)
@@ -39,7 +39,7 @@
   }
 
   /// \returns Number of lines suppressed since the last call.
-  [[nodiscard]] std::uint64_t TakeLeftOut() noexcept
+  [[nodiscard]] std::uint64_t TakeSuppressedCount() noexcept
   {
     const std::uint64_t count = m_suppressed;
     m_suppressed = 0;
--- a/include/greengagehub/observe/metrics.hpp
+++ b/include/greengagehub/observe/metrics.hpp
@@ -23,9 +23,9 @@
   /// \brief Counts an attempt at the local worker that ended or was refused.
   void CountRun(std::string_view aResult);
   /// \brief Counts a crash of the local worker.
-  void CountWorkerEnd();
+  void CountWorkerCrash();
   /// \brief Counts a rejected report about a backend server.
-  void CountRefusedReport(std::string_view aReason);
+  void CountRejectedReport(std::string_view aReason);
   /// \brief Sets the total of control traffic, in bytes since start.
   void SetBytes(std::string_view aPurpose,
                 std::string_view aDirection,
--- a/include/greengagehub/settings/settings.hpp
+++ b/include/greengagehub/settings/settings.hpp
@@ -51,7 +51,7 @@
 {
   std::uint64_t m_maxBodyBytes{ 1024UL * 1024 };
   /// Maximum number of retries of one call, over all its hops.
-  std::uint32_t m_tries{ 2 };
+  std::uint32_t m_maxRetries{ 2 };
   /// Longest time that a drain waits for calls in flight.
   std::chrono::milliseconds m_drain{ 30'000 };
   /// How long a draining daemon stays reachable after its last call, so that
@@ -71,14 +71,14 @@
 {
   bool m_enabled{ false };
   /// Time between two heartbeats of a backend server.
-  std::chrono::milliseconds m_heartbeat{ 1500 };
+  std::chrono::milliseconds m_heartbeatPeriod{ 1500 };
   /// Time after an acknowledged deregistration in which requests may still
   /// reach the backend server.
   std::chrono::milliseconds m_workerDrain{ 2000 };
   /// Time between SIGTERM and SIGKILL.
-  std::chrono::milliseconds m_grace{ 6000 };
+  std::chrono::milliseconds m_terminationGrace{ 6000 };
   /// Maximum time until a new configuration is in force on every daemon.
-  std::chrono::milliseconds m_configApply{ 2000 };
+  std::chrono::milliseconds m_maxConfigDelay{ 2000 };
   /// Retry budget of a service over the whole fleet: in each window, at most
   /// this share of its requests plus the slack.
   double m_retryShare{ 0.2 };
@@ -87,8 +87,8 @@
   double m_retrySlack{ 50.0 };
   /// Calls that a bad canary may receive until its roll-out's deadline: at most
   /// this share of the service's calls plus the slack.
-  double m_trialShare{ 0.1 };
-  double m_trialSlack{ 50.0 };
+  double m_canaryShare{ 0.1 };
+  double m_canarySlack{ 50.0 };
 };
 
 /// \brief Enforcement of the workspaces' API keys and quotas.
@@ -97,7 +97,7 @@
   /// Maximum time from the store's acknowledgement of a key's removal until no
   /// daemon accepts it, including daemons cut off from the store and their
   /// peers; 0: each daemon rejects the key when the change reaches it.
-  std::chrono::milliseconds m_revokeWithin{ 0 };
+  std::chrono::milliseconds m_maxRevokeDelay{ 0 };
   QuotaTolerance m_quota{};
 };
 
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -12,21 +12,21 @@
 
 /// Time after the deadline in which the worker's daemon may still report that
 /// it did not run the call. After that the outcome is unknown.
-inline constexpr auto kGrace = std::chrono::milliseconds{ 2 };
+inline constexpr auto kReplyGrace = std::chrono::milliseconds{ 2 };
 /// A worker that refused a larger share of its recent attempts is not tried
 /// after another worker's refusal.
-inline constexpr double kKnownToRefuse = 0.5;
+inline constexpr double kMaxRefusalShare = 0.5;
 /// If a service's workers fail a larger share of calls on average, the cause is
 /// treated as common to them, such as a service that all of them call.
-inline constexpr double kCommonFailures = 0.2;
+inline constexpr double kCommonCauseFailureShare = 0.2;
 
 /// Maximum number of unavailable workers that one call tries.
-inline constexpr std::uint32_t kMaxAbsent = 6;
+inline constexpr std::uint32_t kMaxUnavailableWorkers = 6;
 
 /// \returns Whether the call found no available worker at the daemon it was
 /// sent to, which is no sign of overload.
 inline bool
-IsAbsent(RefusalReason aReason) noexcept
+IsWorkerUnavailable(RefusalReason aReason) noexcept
 {
   return aReason == RefusalReason::WorkerUnreachable ||
          aReason == RefusalReason::NoWorker ||
@@ -38,7 +38,7 @@
 ///
 /// Concurrent copies of a request that crashes workers then crash one worker
 /// instead of many.
-struct OnePlace
+struct RendezvousPolicy
 {
   Fingerprint m_content;
 
@@ -56,10 +56,10 @@
 };
 
 /// Divisor of a new sample in the moving mean of the time to a busy reply.
-inline constexpr int kAskWeight = 8;
+inline constexpr int kBusyReplyTimeDivisor = 8;
 /// Divisor of this mean's decay with each call that is sent without asking for
 /// a busy reply. Without the decay a high mean would never be measured again.
-inline constexpr int kAskForgets = 32;
+inline constexpr int kBusyReplyDecayDivisor = 32;
 
 /// Rates a worker by an answer that its daemon or the dispatcher gave instead.
 inline WorkerTable::Verdict
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -42,7 +42,7 @@
     aAnswer.m_outcome = CallOutcome::Unknown;
   }
   m_attempts.erase(aCall.m_attempt);
-  m_deadlines.erase({ aCall.m_plan.m_deadline + kGrace, call });
+  m_deadlines.erase({ aCall.m_plan.m_deadline + kReplyGrace, call });
   m_calls.erase(call);
   aOut.emplace_back(FinishCall{ call, std::move(aAnswer) });
 }
@@ -93,7 +93,7 @@
   };
   const Fingerprint content = aCall.m_plan.m_content;
   if (m_quarantine != nullptr && m_quarantine->IsSuspect(content)) {
-    OnePlace pinned{ content };
+    RendezvousPolicy pinned{ content };
     return m_workers.Choose(
       pinned, aCall.m_plan.m_service, aCall.m_tried, context, m_random, aRule);
   }
@@ -139,9 +139,10 @@
   // Limits messages under overload: after a refusal by a daemon, workers that
   // refuse most calls aren't tried. Refusals by workers themselves are bounded
   // by the retry budget.
-  const bool wouldBeRefused = chosen && isRetry && !aPrevious.m_reachedWorker &&
-                              aPrevious.m_reason != RefusalReason::Busy &&
-                              m_workers.At(*chosen).m_refusals > kKnownToRefuse;
+  const bool wouldBeRefused =
+    chosen && isRetry && !aPrevious.m_reachedWorker &&
+    aPrevious.m_reason != RefusalReason::Busy &&
+    m_workers.At(*chosen).m_refusals > kMaxRefusalShare;
   if (!chosen || wouldBeRefused) {
     Finish(aOut, aCall, std::move(aPrevious));
     return;
@@ -156,7 +157,7 @@
   const bool refuseIfBusy = mayRefuse && IsBusyReplyFast(aNow, aCall);
   if (mayRefuse && !refuseIfBusy) {
     // Decays without samples, so that busy replies are requested again.
-    m_busyReplyTime -= m_busyReplyTime / kAskForgets;
+    m_busyReplyTime -= m_busyReplyTime / kBusyReplyDecayDivisor;
   }
   m_workers.RecordSent(*chosen);
   m_attempts.erase(aCall.m_attempt);
@@ -193,7 +194,7 @@
   call.m_drewCanary =
     m_rollouts != nullptr &&
     m_rollouts->DrawsCanary(aNow, call.m_plan.m_service, m_random);
-  m_deadlines.insert({ call.m_plan.m_deadline + kGrace, aCall });
+  m_deadlines.insert({ call.m_plan.m_deadline + kReplyGrace, aCall });
   Call& inserted = m_calls.emplace(aCall, std::move(call)).first->second;
   StartAttempt(aNow,
                out,
@@ -235,7 +236,8 @@
   if (aAnswer.m_reason == RefusalReason::Busy) {
     std::erase(aCall.m_tried, aCall.m_slot);
     aCall.m_busySlots.push_back(aCall.m_slot);
-    m_busyReplyTime += (aNow - aCall.m_sentAt - m_busyReplyTime) / kAskWeight;
+    m_busyReplyTime +=
+      (aNow - aCall.m_sentAt - m_busyReplyTime) / kBusyReplyTimeDivisor;
     return true;
   }
   if (aAnswer.m_reason == RefusalReason::Held ||
@@ -254,8 +256,8 @@
   }
   const bool reachedNoWorker =
     aAnswer.m_outcome == CallOutcome::NotRun && !aAnswer.m_reachedWorker;
-  if (reachedNoWorker && IsAbsent(aAnswer.m_reason)) {
-    return ++aCall.m_absentWorkers <= kMaxAbsent;
+  if (reachedNoWorker && IsWorkerUnavailable(aAnswer.m_reason)) {
+    return ++aCall.m_absentWorkers <= kMaxUnavailableWorkers;
   }
   if (reachedNoWorker) {
     // Adds no load to workers, so the retry budget doesn't apply.
@@ -299,7 +301,7 @@
   // still meet the target.
   const bool isCommonFailure =
     failed && m_decisions.m_detectsCommonCause &&
-    m_workers.MeanFailures(aCall.m_plan.m_service) > kCommonFailures;
+    m_workers.MeanFailures(aCall.m_plan.m_service) > kCommonCauseFailureShare;
   const bool shouldRetry =
     failed && !isCommonFailure && aCall.m_plan.m_idempotent &&
     aNow + 2 * aAnswer.m_serviceTime < aCall.m_plan.m_target;
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -239,7 +239,7 @@
     static_cast<std::uint64_t>(aRoute.m_deadline.count())) };
   const std::uint32_t retries = aRoute.m_attempts > 0
                                   ? aRoute.m_attempts - 1
-                                  : m_parts.m_settings.m_calls.m_tries;
+                                  : m_parts.m_settings.m_calls.m_maxRetries;
   CallPlan plan;
   plan.m_service = aService;
   plan.m_class = aRoute.m_class;
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -104,7 +104,7 @@
       std::string{ platform::kOperatorsPrefix },
       { .m_watch = aSettings.m_store.m_watch,
         .m_coalesceDelay =
-          aSettings.m_platform.m_configApply / kCoalesceDivisor,
+          aSettings.m_platform.m_maxConfigDelay / kCoalesceDivisor,
         .m_maxBackoff = kMaxFeedBackoff },
       m_random(),
       { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
--- a/src/daemon/control_plane_rollouts.cpp
+++ b/src/daemon/control_plane_rollouts.cpp
@@ -31,7 +31,7 @@
     .m_limits =
       [this] {
         const PlatformSettings& platform = m_settings.m_platform;
-        return RolloutLimits{ platform.m_trialShare, platform.m_trialSlack };
+        return RolloutLimits{ platform.m_canaryShare, platform.m_canarySlack };
       },
     .m_publish =
       [this](const std::vector<RolloutRecord>& aRecords,
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -249,7 +249,7 @@
   m_log.Info("traffic",
              "store_calls",
              { { "reads", store.m_reads },
-               { "old_reads", store.m_oldReads },
+               { "old_reads", store.m_staleReads },
                { "writes", store.m_writes },
                { "watches", store.m_watches },
                { "failed", store.m_failures } });
@@ -380,7 +380,7 @@
   m_drainDeadline = m_drainStart + m_settings.m_calls.m_drain;
   if (m_settings.m_platform.m_enabled) {
     m_drainDeadline =
-      m_drainStart + m_settings.m_platform.m_grace - kKillMargin;
+      m_drainStart + m_settings.m_platform.m_terminationGrace - kKillMargin;
   }
   if (!m_settings.m_platform.m_enabled) {
     DrainWorker();
--- a/src/daemon/operators_answers.hpp
+++ b/src/daemon/operators_answers.hpp
@@ -22,7 +22,9 @@
 
 /// \returns An error response with a machine-readable code and a description.
 inline HttpResponse
-Problem(std::uint16_t aStatus, std::string_view aCode, std::string_view aDetail)
+ErrorResponse(std::uint16_t aStatus,
+              std::string_view aCode,
+              std::string_view aDetail)
 {
   return JsonResponse(aStatus,
                       Dump(Json{ { "error", aCode }, { "detail", aDetail } }));
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -37,17 +37,17 @@
       return JsonResponse(aAnswer.m_decision.m_accepted ? 200 : 409,
                           DecisionToJson(aAnswer.m_decision));
     case Kind::NotDecided:
-      return Problem(404, "not-decided", aAnswer.m_detail);
+      return ErrorResponse(404, "not-decided", aAnswer.m_detail);
     case Kind::IdReused:
-      return Problem(422, "id-reused", aAnswer.m_detail);
+      return ErrorResponse(422, "id-reused", aAnswer.m_detail);
     case Kind::StoreBehind:
-      return Problem(500, "store-behind", aAnswer.m_detail);
+      return ErrorResponse(500, "store-behind", aAnswer.m_detail);
     case Kind::StoreCorrupt:
-      return Problem(500, "store-unreadable", aAnswer.m_detail);
+      return ErrorResponse(500, "store-unreadable", aAnswer.m_detail);
     case Kind::NotKnown:
       break;
   }
-  HttpResponse response = Problem(503, "not-known", aAnswer.m_detail);
+  HttpResponse response = ErrorResponse(503, "not-known", aAnswer.m_detail);
   response.m_headers.push_back(HttpHeader{ "Retry-After", "2" });
   return response;
 }
@@ -103,11 +103,12 @@
     return;
   }
   if (aRequest.m_method != "POST") {
-    aResponder.Answer(Problem(405, "method-not-allowed", "allowed: GET, POST"));
+    aResponder.Answer(
+      ErrorResponse(405, "method-not-allowed", "allowed: GET, POST"));
     return;
   }
   if (!IsAuthorised(aRequest)) {
-    aResponder.Answer(Problem(
+    aResponder.Answer(ErrorResponse(
       401, "unauthorised", "POST requires the operators' bearer token"));
     return;
   }
@@ -130,7 +131,7 @@
     aResponder.Answer(JsonResponse(202, R"({"draining":true})"));
     m_parts.m_drain();
   } else {
-    aResponder.Answer(Problem(404, "not-found", path));
+    aResponder.Answer(ErrorResponse(404, "not-found", path));
   }
 }
 
@@ -140,24 +141,24 @@
   const std::string id = QueryValue(aRequest.m_target, "id");
   const auto base = ParseNumber(QueryValue(aRequest.m_target, "base"));
   if (!IsValidId(id)) {
-    aResponder.Answer(
-      Problem(400,
-              "bad-id",
-              "id: expected 1 to 200 printable characters without / ? # %"));
+    aResponder.Answer(ErrorResponse(
+      400,
+      "bad-id",
+      "id: expected 1 to 200 printable characters without / ? # %"));
     return;
   }
   if (!base) {
-    aResponder.Answer(
-      Problem(400,
-              "bad-base",
-              "base: expected the version number that the patch is based on"));
+    aResponder.Answer(ErrorResponse(
+      400,
+      "bad-base",
+      "base: expected the version number that the patch is based on"));
     return;
   }
   auto patch = CanonicalPatch(aRequest.m_body);
   if (!patch) {
     const bool large = patch.error().m_code == ErrorCode::TooLarge;
-    aResponder.Answer(
-      Problem(400, large ? "too-large" : "not-json", Describe(patch.error())));
+    aResponder.Answer(ErrorResponse(
+      400, large ? "too-large" : "not-json", Describe(patch.error())));
     return;
   }
   Submission submission;
@@ -218,7 +219,7 @@
     aResponder.Answer(JsonResponse(
       ready ? 200 : 503, ready ? R"({"ready":true})" : R"({"ready":false})"));
   } else {
-    aResponder.Answer(Problem(404, "not-found", path));
+    aResponder.Answer(ErrorResponse(404, "not-found", path));
   }
 }
 
@@ -246,7 +247,7 @@
 {
   const auto after = ParseNumber(QueryValue(aRequest.m_target, "after"));
   if (!after) {
-    return Problem(400, "bad-after", "after: expected a version number");
+    return ErrorResponse(400, "bad-after", "after: expected a version number");
   }
   bool complete = false;
   const auto entries =
@@ -328,11 +329,11 @@
   const auto content =
     ParseFingerprint(QueryValue(aRequest.m_target, "content"));
   if (!content) {
-    return Problem(
+    return ErrorResponse(
       400, "bad-content", "content: expected 32 hexadecimal digits");
   }
   if (!m_parts.m_control.GetQuarantine().Lift(content.value())) {
-    return Problem(
+    return ErrorResponse(
       404, "not-held", "no request with this fingerprint is quarantined");
   }
   return JsonResponse(200, R"({"lifted":true})");
@@ -359,7 +360,7 @@
                      aBytes);
   });
   metrics.SetStoreCalls("read", store.m_reads);
-  metrics.SetStoreCalls("old read", store.m_oldReads);
+  metrics.SetStoreCalls("old read", store.m_staleReads);
   metrics.SetStoreCalls("write", store.m_writes);
   metrics.SetStoreCalls("watch", store.m_watches);
   metrics.SetStoreCalls("failed", store.m_failures);
--- a/src/daemon/operators_api_rollouts.cpp
+++ b/src/daemon/operators_api_rollouts.cpp
@@ -55,13 +55,13 @@
   const bool isValid = !order.m_service.empty() && !order.m_target.empty() &&
                        duration && *duration > 0 && *duration <= kMaxDurationMs;
   if (!isValid) {
-    return Problem(
+    return ErrorResponse(
       400,
       "bad-order",
       "expected a service, a target, and a duration_ms of 1 to 86400000");
   }
   if (!m_parts.m_control.GetRollouts().Start(order)) {
-    return Problem(
+    return ErrorResponse(
       409,
       "order-known",
       "a roll-out of this version was already ordered; a new build "
@@ -75,7 +75,7 @@
 {
   const std::string service = QueryValue(aRequest.m_target, "service");
   if (!m_parts.m_control.GetRollouts().Stop(service)) {
-    return Problem(
+    return ErrorResponse(
       404, "not-under-way", "no roll-out of this service is in progress");
   }
   return JsonResponse(202, R"({"rolled_back":true})");
--- a/src/daemon/platform_endpoints.cpp
+++ b/src/daemon/platform_endpoints.cpp
@@ -46,7 +46,7 @@
 
 PlatformEndpoints::PlatformEndpoints(Parts aParts)
   : m_parts(std::move(aParts))
-  , m_worker(m_parts.m_settings.m_platform.m_heartbeat)
+  , m_worker(m_parts.m_settings.m_platform.m_heartbeatPeriod)
   , m_rejectionLogBudget(kRejectionLogsPerSecond, kRejectionLogsBurst)
   , m_readiness(m_parts.m_loop,
                 ServerAt(m_parts.m_settings.m_listen.m_readiness),
@@ -87,13 +87,14 @@
 PlatformEndpoints::OnHeartbeat(const HttpRequest& aRequest,
                                HttpResponder aResponder)
 {
-  const auto notice = platform::ParseNotice(aRequest);
+  const auto notice = platform::ParseWorkerRequest(aRequest);
   if (!notice) {
     RejectReport("heartbeat_unreadable", notice.error().m_message);
     aResponder.Answer(JsonResponse(400, "{}"));
     return;
   }
-  const auto* left = std::get_if<platform::WorkerLeft>(&notice.value());
+  const auto* left =
+    std::get_if<platform::WorkerDeregistration>(&notice.value());
   const WorkerPresence::Change change =
     left != nullptr ? m_worker.OnLeft(Clock::now(), left->m_start)
                     : ApplyReport(std::get<WorkerReport>(notice.value()));
@@ -107,13 +108,13 @@
 PlatformEndpoints::RejectReport(std::string_view aEvent,
                                 std::string_view aDetail)
 {
-  m_parts.m_metrics.CountRefusedReport(aEvent);
+  m_parts.m_metrics.CountRejectedReport(aEvent);
   if (m_rejectionLogBudget.Take(Clock::now())) {
     m_parts.m_log.Warning(
       "worker",
       aEvent,
       { { "detail", aDetail },
-        { "left_out", m_rejectionLogBudget.TakeLeftOut() } });
+        { "left_out", m_rejectionLogBudget.TakeSuppressedCount() } });
   }
 }
 
--- a/src/daemon/request_log.cpp
+++ b/src/daemon/request_log.cpp
@@ -153,7 +153,8 @@
 void
 RequestLog::OnTick()
 {
-  if (const std::uint64_t omitted = m_budget.TakeLeftOut(); omitted > 0) {
+  if (const std::uint64_t omitted = m_budget.TakeSuppressedCount();
+      omitted > 0) {
     m_log.Warning(kComponent, "lines_left_out", { { "count", omitted } });
   }
 }
--- a/src/daemon/rollout_service.cpp
+++ b/src/daemon/rollout_service.cpp
@@ -301,7 +301,7 @@
   m_hasRead = true;
   std::vector<RolloutStatus> statuses;
   for (const StoreItem& each : aReply.m_items) {
-    const auto status = platform::RolloutForm::Parse(each.m_key, each.m_value);
+    const auto status = platform::RolloutCodec::Parse(each.m_key, each.m_value);
     if (status) {
       statuses.push_back(status.value());
     } else {
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -55,7 +55,7 @@
   if (end) {
     m_parts.m_requestLog.OnWorkerExit(
       m_incarnation.m_id, m_runs.IsDraining(), *end);
-    m_parts.m_metrics.CountWorkerEnd();
+    m_parts.m_metrics.CountWorkerCrash();
   }
   // A draining worker exits on its own.
   const bool isCrash = end && !m_runs.IsDraining();
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -32,7 +32,7 @@
 std::chrono::milliseconds
 ProofBound(const Settings& aSettings)
 {
-  const auto bound = aSettings.m_workspaces.m_revokeWithin;
+  const auto bound = aSettings.m_workspaces.m_maxRevokeDelay;
   return bound > 2 * kProofMargin ? bound - kProofMargin : bound;
 }
 
@@ -357,7 +357,7 @@
 WorkspaceService::CheckStoreIfStale(TimePoint aNow)
 {
   const auto provenAt = m_freshness.ProvenAt();
-  const auto bound = m_parts.m_settings.m_workspaces.m_revokeWithin;
+  const auto bound = m_parts.m_settings.m_workspaces.m_maxRevokeDelay;
   const bool isStale = !provenAt || aNow - *provenAt > bound / kStaleDivisor;
   const bool isCheckDue =
     m_freshness.IsEnforced() && isStale && aNow >= m_nextStoreCheck;
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -85,13 +85,13 @@
 }
 
 void
-Metrics::CountWorkerEnd()
+Metrics::CountWorkerCrash()
 {
   m_impl->m_workerCrashes.Increment();
 }
 
 void
-Metrics::CountRefusedReport(std::string_view aReason)
+Metrics::CountRejectedReport(std::string_view aReason)
 {
   m_impl->m_rejectedReports.Add({ { "reason", std::string{ aReason } } })
     .Increment();
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -272,7 +272,7 @@
     SettingsReader reader = Section("calls");
     CallSettings& calls = m_settings.m_calls;
     reader.Count("max_body_bytes", calls.m_maxBodyBytes, 1, kMaxBodyBytes);
-    reader.Count("tries", calls.m_tries, 0, 16);
+    reader.Count("tries", calls.m_maxRetries, 0, 16);
     reader.Millis("drain_ms", calls.m_drain, 0, kHourMs);
     reader.Millis("linger_ms", calls.m_linger, 0, 60'000);
     std::int64_t spin = calls.m_spin.count();
@@ -287,15 +287,15 @@
     PlatformSettings& platform = m_settings.m_platform;
     platform.m_enabled = m_root.contains("platform");
     SettingsReader reader = Section("platform");
-    reader.Millis("heartbeat_ms", platform.m_heartbeat, 1, kHourMs);
+    reader.Millis("heartbeat_ms", platform.m_heartbeatPeriod, 1, kHourMs);
     reader.Millis("worker_drain_ms", platform.m_workerDrain, 0, kHourMs);
-    reader.Millis("grace_ms", platform.m_grace, 0, kHourMs);
-    reader.Millis("config_apply_ms", platform.m_configApply, 1, kHourMs);
+    reader.Millis("grace_ms", platform.m_terminationGrace, 0, kHourMs);
+    reader.Millis("config_apply_ms", platform.m_maxConfigDelay, 1, kHourMs);
     reader.Number("retry_share", platform.m_retryShare, 0.0, 1.0);
     reader.Millis("retry_window_ms", platform.m_retryWindow, 1, kHourMs);
     reader.Number("retry_slack", platform.m_retrySlack, 0.0, kMaxSlots);
-    reader.Number("trial_share", platform.m_trialShare, 0.0, 1.0);
-    reader.Number("trial_slack", platform.m_trialSlack, 0.0, kMaxSlots);
+    reader.Number("trial_share", platform.m_canaryShare, 0.0, 1.0);
+    reader.Number("trial_slack", platform.m_canarySlack, 0.0, kMaxSlots);
     reader.ReportUnknownKeys();
   }
 
@@ -304,7 +304,7 @@
     WorkspaceSettings& workspaces = m_settings.m_workspaces;
     QuotaTolerance& quota = workspaces.m_quota;
     SettingsReader reader = Section("workspaces");
-    reader.Millis("revoke_within_ms", workspaces.m_revokeWithin, 0, kHourMs);
+    reader.Millis("revoke_within_ms", workspaces.m_maxRevokeDelay, 0, kHourMs);
     reader.Millis("quota_window_ms", quota.m_window, 1, kHourMs);
     reader.Number("quota_overage", quota.m_overage, 0.0, 1.0);
     reader.Number("quota_slack", quota.m_slack, 0.0, kMaxSlots);
--- a/tests/observe/log_sink.cpp
+++ b/tests/observe/log_sink.cpp
@@ -1,6 +1,6 @@
 #include "greengagehub/observe/log_sink.hpp"
 
-#include "greengagehub/observe/line_budget.hpp"
+#include "greengagehub/observe/log_rate_limiter.hpp"
 
 #include <array>
 #include <doctest/doctest.h>
@@ -53,7 +53,7 @@
 
 TEST_CASE("the rate of lines is limited beyond a burst")
 {
-  LineBudget budget{ 10.0, 5.0 };
+  LogRateLimiter budget{ 10.0, 5.0 };
   const TimePoint start{ 1h };
   int taken = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -61,6 +61,7 @@
   }
   CHECK(taken >= 100);
   CHECK(taken <= 106);
-  CHECK(budget.TakeLeftOut() == static_cast<std::uint64_t>(1000 - taken));
-  CHECK(budget.TakeLeftOut() == 0);
+  CHECK(budget.TakeSuppressedCount() ==
+        static_cast<std::uint64_t>(1000 - taken));
+  CHECK(budget.TakeSuppressedCount() == 0);
 }
--- a/tests/platform/heartbeat.cpp
+++ b/tests/platform/heartbeat.cpp
@@ -28,7 +28,7 @@
 TEST_CASE("heartbeats and deregistrations are parsed")
 {
   const auto beat =
-    platform::ParseNotice(Request("PUT", "/instances/i-7f", kBody));
+    platform::ParseWorkerRequest(Request("PUT", "/instances/i-7f", kBody));
   REQUIRE(beat);
   const auto& report = std::get<WorkerReport>(beat.value());
   CHECK(report.m_start.m_id == "i-7f");
@@ -38,31 +38,35 @@
   CHECK(report.m_warmUpLeft == std::chrono::milliseconds{ 250 });
   CHECK(report.m_sequence == 4);
 
-  const auto left = platform::ParseNotice(Request("DELETE", "/instances/i-7f"));
+  const auto left =
+    platform::ParseWorkerRequest(Request("DELETE", "/instances/i-7f"));
   REQUIRE(left);
-  CHECK(std::get<platform::WorkerLeft>(left.value()).m_start.m_id == "i-7f");
+  CHECK(std::get<platform::WorkerDeregistration>(left.value()).m_start.m_id ==
+        "i-7f");
 
-  CHECK_FALSE(platform::ParseNotice(Request("PUT", "/instances/i-7f", "{")));
-  CHECK_FALSE(platform::ParseNotice(Request("PUT", "/instances/i-7f", "{}")));
-  CHECK_FALSE(platform::ParseNotice(Request("GET", "/instances/i-7f")));
-  CHECK_FALSE(platform::ParseNotice(Request("PUT", "/other", kBody)));
+  CHECK_FALSE(
+    platform::ParseWorkerRequest(Request("PUT", "/instances/i-7f", "{")));
+  CHECK_FALSE(
+    platform::ParseWorkerRequest(Request("PUT", "/instances/i-7f", "{}")));
+  CHECK_FALSE(platform::ParseWorkerRequest(Request("GET", "/instances/i-7f")));
+  CHECK_FALSE(platform::ParseWorkerRequest(Request("PUT", "/other", kBody)));
 }
 
 TEST_CASE("the start time is given in milliseconds")
 {
   auto body = nlohmann::json::parse(kBody);
   body["born"] = 1'764'000'000'123;
-  const auto beat =
-    platform::ParseNotice(Request("PUT", "/instances/i-7f", body.dump()));
+  const auto beat = platform::ParseWorkerRequest(
+    Request("PUT", "/instances/i-7f", body.dump()));
   REQUIRE(beat);
   const WallTime born{ std::chrono::milliseconds{ 1'764'000'000'123 } };
   CHECK(std::get<WorkerReport>(beat.value()).m_start.m_startedAt == born);
 
-  const auto left = platform::ParseNotice(
+  const auto left = platform::ParseWorkerRequest(
     Request("DELETE", "/instances/i-7f", R"({"born":1764000000123})"));
   REQUIRE(left);
-  CHECK(std::get<platform::WorkerLeft>(left.value()).m_start.m_startedAt ==
-        born);
+  CHECK(std::get<platform::WorkerDeregistration>(left.value())
+          .m_start.m_startedAt == born);
 }
 
 TEST_CASE("a report with a missing or invalid field is rejected")
@@ -76,7 +80,8 @@
     return body;
   }();
   const auto isRejected = [](const std::string& aBody) {
-    return !platform::ParseNotice(Request("PUT", "/instances/i-7f", aBody));
+    return !platform::ParseWorkerRequest(
+      Request("PUT", "/instances/i-7f", aBody));
   };
   REQUIRE_FALSE(isRejected(valid.dump()));
   const std::vector<Json> invalid{ nullptr,       true,           -1,
@@ -121,16 +126,16 @@
     CHECK(isRejected(text));
   }
   CHECK(isRejected(std::string(100'000, '[')));
-  CHECK_FALSE(platform::ParseNotice(
+  CHECK_FALSE(platform::ParseWorkerRequest(
     Request("DELETE", "/instances/i-7f", R"({"born":-4})")));
-  CHECK_FALSE(platform::ParseNotice(Request("DELETE", "/instances/")));
+  CHECK_FALSE(platform::ParseWorkerRequest(Request("DELETE", "/instances/")));
 }
 
 TEST_CASE("damaged reports are rejected or parsed within limits")
 {
   Random random{ 23 };
   for (int i = 0; i < 50'000; ++i) {
-    const auto notice = platform::ParseNotice(
+    const auto notice = platform::ParseWorkerRequest(
       Request("PUT", "/instances/i-7f", test::Damaged(kBody, random)));
     if (notice) {
       const auto& report = std::get<WorkerReport>(notice.value());
--- a/tests/rollout/status_writer.cpp
+++ b/tests/rollout/status_writer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr TimePoint kNow{ 1h };
-using Codec = platform::RolloutForm;
+using Codec = platform::RolloutCodec;
 
 RolloutStatus
 Status(RolloutState aState)
