--- a/bench/rollout_lab.hpp
+++ b/bench/rollout_lab.hpp
@@ -21,7 +21,7 @@
   None,
   Errors,
   Slow,
-  /// Fails at workers with at least m_loaded pending calls.
+  /// Fails at workers with at least m_loadThreshold pending calls.
   UnderLoad,
   OneRoute,
   /// Fails from kLateFrom after the order.
@@ -49,13 +49,13 @@
 struct RolloutScenario
 {
   VersionFault m_fault{ VersionFault::None };
-  Disturbance m_beside{ Disturbance::None };
+  Disturbance m_disturbance{ Disturbance::None };
   /// Share of the new version's runs that the fault affects.
-  double m_share{ 0.33 };
+  double m_faultShare{ 0.33 };
   /// Factor on the duration of a slow run.
-  double m_times{ 8.0 };
+  double m_slowFactor{ 8.0 };
   /// Pending calls from which a worker fails under load.
-  std::uint32_t m_loaded{ 3 };
+  std::uint32_t m_loadThreshold{ 3 };
   std::uint32_t m_oldWorkers{ 57 };
   std::uint32_t m_newWorkers{ 57 };
   double m_callsPerSecond{ 1865.0 };
@@ -76,11 +76,11 @@
   Duration m_decidedAfter{};
   /// Calls from the order to its deadline: all, and those at the new version.
   std::uint64_t m_calls{ 0 };
-  std::uint64_t m_exposed{ 0 };
+  std::uint64_t m_newVersionCalls{ 0 };
   /// Time from the 50th bad run to the last call to the new version.
-  Duration m_usedAfterHarm{};
+  Duration m_usedAfterBadRuns{};
   /// Pending calls at the old workers when the roll-out completed.
-  std::uint64_t m_cut{ 0 };
+  std::uint64_t m_pendingAtCompletion{ 0 };
 };
 
 /// \brief Simulates a roll-out from its order until two seconds after its
@@ -169,7 +169,7 @@
     const bool isCallee = aKind == Disturbance::FailingCallee;
     const Duration until =
       isCallee ? std::chrono::seconds{ 7 } : std::chrono::seconds{ 9 };
-    return m_scenario.m_beside == aKind &&
+    return m_scenario.m_disturbance == aKind &&
            SinceOrder() > std::chrono::seconds{ 3 } && SinceOrder() < until;
   }
 
@@ -179,7 +179,7 @@
   {
     constexpr std::array kSpeeds{ 0.7, 0.7, 1.6 };
     const double disturbedShare =
-      m_scenario.m_beside == Disturbance::LostAnswers ? 0.5 : 0.2;
+      m_scenario.m_disturbance == Disturbance::LostAnswers ? 0.5 : 0.2;
     for (std::uint32_t i = 0; i < aCount; ++i) {
       Worker worker;
       worker.m_slot = aVersion + std::to_string(i);
@@ -221,9 +221,9 @@
         continue;
       }
       const bool isNew = m_workers[*chosen].m_isNew;
-      m_result.m_exposed += isNew && aCountsCalls ? 1 : 0;
+      m_result.m_newVersionCalls += isNew && aCountsCalls ? 1 : 0;
       if (isNew && m_badRunsAt) {
-        m_result.m_usedAfterHarm = m_now - *m_badRunsAt;
+        m_result.m_usedAfterBadRuns = m_now - *m_badRunsAt;
       }
       Begin(*chosen);
     }
@@ -281,7 +281,7 @@
     runEnd.m_isBad = worker.m_isNew && IsBadRun(worker, route);
     const bool slow =
       runEnd.m_isBad && m_scenario.m_fault == VersionFault::Slow;
-    runMs *= slow ? m_scenario.m_times : 1.0;
+    runMs *= slow ? m_scenario.m_slowFactor : 1.0;
     runEnd.m_result = ResultOf(worker, runEnd.m_isBad && !slow);
     const auto whole = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>{ runMs });
@@ -305,14 +305,15 @@
       case VersionFault::None:
         return false;
       case VersionFault::UnderLoad:
-        return aWorker.m_pendingCalls >= m_scenario.m_loaded &&
-               Chance(m_scenario.m_share);
+        return aWorker.m_pendingCalls >= m_scenario.m_loadThreshold &&
+               Chance(m_scenario.m_faultShare);
       case VersionFault::OneRoute:
-        return aRoute.m_id == kRoutes[1].m_id && Chance(m_scenario.m_share);
+        return aRoute.m_id == kRoutes[1].m_id &&
+               Chance(m_scenario.m_faultShare);
       case VersionFault::Late:
-        return SinceOrder() > kLateFrom && Chance(m_scenario.m_share);
+        return SinceOrder() > kLateFrom && Chance(m_scenario.m_faultShare);
       default:
-        return Chance(m_scenario.m_share);
+        return Chance(m_scenario.m_faultShare);
     }
   }
 
@@ -385,7 +386,8 @@
       // The simulated store confirms the write at once.
       aRecord.m_state = RolloutState::Completed;
       for (const Worker& each : m_workers) {
-        m_result.m_cut += each.m_isNew ? 0 : each.m_pendingCalls;
+        m_result.m_pendingAtCompletion +=
+          each.m_isNew ? 0 : each.m_pendingCalls;
       }
     }
     aRecord.m_isWritten = IsFinal(aRecord.m_state);
--- a/bench/routing_lab.cpp
+++ b/bench/routing_lab.cpp
@@ -27,9 +27,11 @@
 
 template<RoutingPolicy Policy>
 void
-PrintRow(const char* aPolicy, const Shape& aShape, Reports aBehavior)
+PrintRow(const char* aPolicy,
+         const ServiceShape& aShape,
+         WorkerBehavior aBehavior)
 {
-  const Result result = Lab<Policy>{ aShape, aBehavior, 7 }.Run();
+  const Result result = RoutingLab<Policy>{ aShape, aBehavior, 7 }.Run();
   std::size_t useful = 0;
   std::size_t refused = 0;
   std::size_t failed = 0;
@@ -45,7 +47,7 @@
       std::chrono::duration<double>(kLength).count(),
     100.0 * static_cast<double>(refused) / static_cast<double>(result.m_calls),
     100.0 * static_cast<double>(failed) / static_cast<double>(result.m_calls),
-    100.0 * static_cast<double>(result.m_wrongRefusals) /
+    100.0 * static_cast<double>(result.m_avoidableRejections) /
       static_cast<double>(result.m_calls));
   for (const ClassResult& each : result.m_classes) {
     const auto all = each.m_latencies.size() + each.m_refused + each.m_failed;
@@ -62,7 +64,9 @@
 }
 
 void
-PrintTable(const Shape& aShape, Reports aBehavior, const char* aBehaviorName)
+PrintTable(const ServiceShape& aShape,
+           WorkerBehavior aBehavior,
+           const char* aBehaviorName)
 {
   fmt::print("\n{}, reports: {}, load", aShape.m_name, aBehaviorName);
   for (const double each : aShape.m_loads) {
@@ -93,22 +97,22 @@
   const std::vector<WorkerShape> unequal{ { 1, 10ms }, { 10, 10ms } };
   for (const double load : { 0.5, 0.9, 1.2, 2.0 }) {
     PrintTable({ "5 workers of 20 slots", lockers, 40, { load } },
-               Reports::Honest,
+               WorkerBehavior::Honest,
                "honest");
   }
   for (const double load : { 0.9, 1.2 }) {
     PrintTable({ "6 workers of 6 slots", bookings, 12, { load } },
-               Reports::Honest,
+               WorkerBehavior::Honest,
                "honest");
     PrintTable({ "5 workers of 20 slots", lockers, 40, { load } },
-               Reports::OneClaimsIdle,
+               WorkerBehavior::OneClaimsIdle,
                "one claims to be idle");
   }
   PrintTable({ "5 workers of 20 slots", lockers, 40, { 0.5 } },
-             Reports::OneFailsFast,
+             WorkerBehavior::OneFailsFast,
              "one fails fast");
   PrintTable({ "rates 1 and 10, bursts", unequal, 20, { 0.09, 1.8 }, 2500ms },
-             Reports::Honest,
+             WorkerBehavior::Honest,
              "honest");
   return 0;
 }
--- a/bench/routing_lab.hpp
+++ b/bench/routing_lab.hpp
@@ -25,7 +25,7 @@
 };
 
 /// \brief Workers of a simulated service, and its load.
-struct Shape
+struct ServiceShape
 {
   const char* m_name;
   std::vector<WorkerShape> m_workers;
@@ -37,7 +37,7 @@
 };
 
 /// \brief Fault in what workers report.
-enum class Reports
+enum class WorkerBehavior
 {
   Honest,
   /// The first worker always reports a load of zero.
@@ -65,17 +65,19 @@
 {
   std::array<ClassResult, 3> m_classes;
   /// Calls rejected although a worker had a free slot.
-  std::size_t m_wrongRefusals{ 0 };
+  std::size_t m_avoidableRejections{ 0 };
   std::size_t m_calls{ 0 };
   /// Longest time from the end of a burst until all queues were empty.
   Duration m_recovery{ 0 };
 };
 
 template<RoutingPolicy Policy>
-class Lab
+class RoutingLab
 {
 public:
-  Lab(const Shape& aShape, Reports aBehavior, std::uint64_t aSeed)
+  RoutingLab(const ServiceShape& aShape,
+             WorkerBehavior aBehavior,
+             std::uint64_t aSeed)
     : m_shape(aShape)
     , m_behavior(aBehavior)
     , m_random(aSeed)
@@ -219,7 +221,8 @@
 
   void Start(std::size_t aWorker, CallKey aKey)
   {
-    const bool fails = m_behavior == Reports::OneFailsFast && aWorker == 0;
+    const bool fails =
+      m_behavior == WorkerBehavior::OneFailsFast && aWorker == 0;
     const Duration runTime =
       fails ? Duration{ 100us }
             : Exponential(m_shape.m_workers[aWorker].m_service);
@@ -246,7 +249,7 @@
   void Answer(std::size_t aWorker, CallKey aKey, CallAnswer aAnswer)
   {
     const bool claimsIdle =
-      m_behavior == Reports::OneClaimsIdle && aWorker == 0;
+      m_behavior == WorkerBehavior::OneClaimsIdle && aWorker == 0;
     aAnswer.m_call = aKey.m_call;
     aAnswer.m_load = claimsIdle ? 0 : m_runs[aWorker]->Load();
     const std::size_t caller = m_owners.at(aKey);
@@ -271,7 +274,7 @@
           const auto index = static_cast<std::size_t>(&aRuns - m_runs.data());
           return aRuns->Running() < m_shape.m_workers[index].m_slots;
         });
-      m_result.m_wrongRefusals += hasFreeSlot ? 1 : 0;
+      m_result.m_avoidableRejections += hasFreeSlot ? 1 : 0;
     } else if (aFinish.m_answer.m_response.m_status != 200 ||
                latency > kDeadline) {
       ++result.m_failed;
@@ -314,8 +317,8 @@
     }
   }
 
-  const Shape& m_shape;
-  Reports m_behavior;
+  const ServiceShape& m_shape;
+  WorkerBehavior m_behavior;
   Random m_random;
   TimePoint m_start{ 1h };
   TimePoint m_now{ 1h };
--- a/tests/calls/overload.cpp
+++ b/tests/calls/overload.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-Shape
+ServiceShape
 Lockers(double aLoad)
 {
   return {
@@ -28,9 +28,9 @@
 }
 
 Result
-Run(const Shape& aShape, Reports aReports)
+Run(const ServiceShape& aShape, WorkerBehavior aBehavior)
 {
-  return Lab<TwoChoices>{ aShape, aReports, 7 }.Run();
+  return RoutingLab<TwoChoices>{ aShape, aBehavior, 7 }.Run();
 }
 
 }
@@ -38,21 +38,21 @@
 TEST_CASE("a worker that misreports itself as idle does not get every call")
 {
   // Calls must not be refused there while other workers have free slots.
-  const Result result = Run(Lockers(0.9), Reports::OneClaimsIdle);
-  CHECK(static_cast<double>(result.m_wrongRefusals) <
+  const Result result = Run(Lockers(0.9), WorkerBehavior::OneClaimsIdle);
+  CHECK(static_cast<double>(result.m_avoidableRejections) <
         0.005 * static_cast<double>(result.m_calls));
 }
 
 TEST_CASE("a worker that fails fast does not get every call")
 {
   // A worker that fails at once always has free slots.
-  const Result result = Run(Lockers(0.5), Reports::OneFailsFast);
+  const Result result = Run(Lockers(0.5), WorkerBehavior::OneFailsFast);
   CHECK(AnsweredShare(result.m_classes[0]) > 0.995);
 }
 
 TEST_CASE("releases are answered at 1.2 times capacity, exports are shed")
 {
-  const Result result = Run(Lockers(1.2), Reports::Honest);
+  const Result result = Run(Lockers(1.2), WorkerBehavior::Honest);
   CHECK(AnsweredShare(result.m_classes[0]) > 0.99);
   CHECK(AnsweredShare(result.m_classes[1]) > 0.7);
   CHECK(AnsweredShare(result.m_classes[2]) < 0.1);
@@ -61,7 +61,7 @@
 TEST_CASE("at twice the capacity the answered rate stays at capacity")
 {
   // The capacity is 10,000 calls per second for 40 s.
-  const Result result = Run(Lockers(2.0), Reports::Honest);
+  const Result result = Run(Lockers(2.0), WorkerBehavior::Honest);
   std::size_t answered = 0;
   for (const ClassResult& each : result.m_classes) {
     answered += each.m_latencies.size();
--- a/tests/rollout/replays.cpp
+++ b/tests/rollout/replays.cpp
@@ -28,9 +28,9 @@
 {
   for (const RolloutResult& each : RunReplays(aScenario)) {
     CHECK(each.m_state == RolloutState::RolledBack);
-    CHECK(static_cast<double>(each.m_exposed) <=
+    CHECK(static_cast<double>(each.m_newVersionCalls) <=
           kMaxShare * static_cast<double>(each.m_calls) + kSlack);
-    CHECK(each.m_usedAfterHarm <= kRollBackWithin);
+    CHECK(each.m_usedAfterBadRuns <= kRollBackWithin);
   }
 }
 
@@ -47,7 +47,7 @@
                              Fault::Late }) {
     CAPTURE(static_cast<int>(fault));
     CheckBounded({ .m_fault = fault });
-    CheckBounded({ .m_fault = fault, .m_share = 0.5, .m_duration = 12s });
+    CheckBounded({ .m_fault = fault, .m_faultShare = 0.5, .m_duration = 12s });
     CheckBounded({ .m_fault = fault,
                    .m_oldWorkers = 6,
                    .m_newWorkers = 6,
@@ -63,8 +63,10 @@
                                          Disturbance::FailingCallee,
                                          Disturbance::Burst }) {
     CAPTURE(static_cast<int>(disturbance));
-    CheckBounded({ .m_fault = VersionFault::Errors, .m_beside = disturbance });
-    CheckBounded({ .m_fault = VersionFault::Slow, .m_beside = disturbance });
+    CheckBounded(
+      { .m_fault = VersionFault::Errors, .m_disturbance = disturbance });
+    CheckBounded(
+      { .m_fault = VersionFault::Slow, .m_disturbance = disturbance });
   }
 }
 
@@ -76,8 +78,8 @@
                                          Disturbance::FailingCallee }) {
     CAPTURE(static_cast<int>(disturbance));
     CheckBounded({ .m_fault = VersionFault::UnderLoad,
-                   .m_beside = disturbance,
-                   .m_loaded = 5 });
+                   .m_disturbance = disturbance,
+                   .m_loadThreshold = 5 });
   }
 }
 
@@ -92,11 +94,11 @@
                                          Disturbance::FailingCallee,
                                          Disturbance::Burst }) {
     CAPTURE(static_cast<int>(disturbance));
-    const RolloutScenario scenario{ .m_beside = disturbance };
+    const RolloutScenario scenario{ .m_disturbance = disturbance };
     for (const RolloutResult& each : RunReplays(scenario)) {
       CHECK(each.m_state == RolloutState::Completed);
       CHECK(each.m_decidedAfter < scenario.m_duration);
-      CHECK(each.m_cut == 0);
+      CHECK(each.m_pendingAtCompletion == 0);
     }
   }
 }
@@ -120,8 +122,8 @@
   for (const RolloutResult& each : RunReplays({ .m_fault = VersionFault::Late,
                                                 .m_leaderLost = 3s,
                                                 .m_hasSuccessor = false })) {
-    CHECK(static_cast<double>(each.m_exposed) <=
+    CHECK(static_cast<double>(each.m_newVersionCalls) <=
           kMaxShare * static_cast<double>(each.m_calls) + kSlack);
-    CHECK(each.m_usedAfterHarm <= kRollBackWithin);
+    CHECK(each.m_usedAfterBadRuns <= kRollBackWithin);
   }
 }
