--- a/include/greengagehub/calls/answer_sizes.hpp
+++ b/include/greengagehub/calls/answer_sizes.hpp
@@ -18,8 +18,7 @@
 private:
   /// Further kinds are not tracked; Of() returns 0 for them.
   static constexpr std::size_t kMaxKinds = 64;
-  /// Weight of one answer in the average.
-  static constexpr double kWeight = 0.05;
+  static constexpr double kSampleWeight = 0.05;
 
   std::map<CallKind, double> m_means;
 };
--- a/include/greengagehub/calls/call.hpp
+++ b/include/greengagehub/calls/call.hpp
@@ -49,7 +49,6 @@
   WorkerReplaced,
   /// All slots are in use and the request asked not to be queued.
   Busy,
-  /// The worker's process crashed while it executed the call.
   WorkerCrashed,
   /// The request's fingerprint is quarantined.
   Held,
@@ -60,7 +59,6 @@
   RetryBudgetExhausted,
   /// The caller sent no API key, or one that belongs to no workspace.
   UnknownKey,
-  /// The workspace has used up its quota.
   OverQuota,
   /// No quota coordinator is reachable and the daemon's reserve is used up.
   NoCoordinator,
@@ -94,8 +92,7 @@
   std::string m_target;
   std::vector<HttpHeader> m_headers;
   std::string m_body;
-  /// Time left to the deadline when sent; relative, since the clocks of two
-  /// machines may differ.
+  /// Relative, as the clocks of two machines may differ.
   std::chrono::microseconds m_timeLeft{ 0 };
   CallClass m_class{ CallClass::Critical };
   /// Rank in the worker's queue; 0 is served first.
@@ -104,13 +101,12 @@
   /// Time left to the target latency of the route.
   std::chrono::microseconds m_targetLeft{ 0 };
   bool m_idempotent{ false };
-  /// Number of hops so far, checked against the depth limit.
+  /// Hops so far.
   std::uint32_t m_depth{ 0 };
   /// Retries left for the call and for the calls made on its behalf.
   std::uint32_t m_retriesLeft{ 0 };
   /// Whether an earlier attempt of the call has reached a worker.
   bool m_isRetry{ false };
-  /// Whether to refuse the request instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
 
@@ -127,9 +123,9 @@
   std::uint32_t m_load{ 0 };
   /// Whether the request was written to a connection to the worker.
   bool m_reachedWorker{ false };
-  /// Calls that the worker runs concurrently; 0: no worker is known there.
+  /// 0: no worker is known there.
   std::uint32_t m_slots{ 0 };
-  /// Moving average of the worker's service time for calls of this kind.
+  /// Moving average for calls of this kind.
   std::chrono::microseconds m_serviceTime{ 0 };
   /// Expected queueing delay of another such call at the worker.
   std::chrono::microseconds m_wait{ 0 };
@@ -137,7 +133,6 @@
   std::uint32_t m_ends{ 0 };
 };
 
-/// \returns An answer without a response, with the given reason.
 [[nodiscard]] CallAnswer
 Refuse(std::uint64_t aCall,
        CallOutcome aOutcome,
--- a/include/greengagehub/calls/call_age_estimator.hpp
+++ b/include/greengagehub/calls/call_age_estimator.hpp
@@ -16,19 +16,19 @@
 class CallAgeEstimator
 {
 public:
-  /// \param aAsked remaining time that the caller stated.
-  /// \param aIsFirstOnConnection whether it is the first request there.
-  /// \returns Time since the first attempt; zero if the call is taken as one.
-  [[nodiscard]] std::chrono::milliseconds Of(std::chrono::milliseconds aAsked,
-                                             bool aIsFirstOnConnection) const;
+  /// \param aTimeLeft remaining time that the caller stated.
+  /// \returns Zero if the call counts as a first attempt.
+  [[nodiscard]] std::chrono::milliseconds Of(
+    std::chrono::milliseconds aTimeLeft,
+    bool aIsFirstOnConnection) const;
 
   /// \brief Adds a sample, unless the connection is new.
-  void Record(std::chrono::milliseconds aAsked, bool aIsFirstOnConnection);
+  void Record(std::chrono::milliseconds aTimeLeft, bool aIsFirstOnConnection);
 
 private:
-  /// Size of the sample window; outliers leave it after as many samples.
+  /// Outliers leave the window after as many samples.
   static constexpr std::size_t kMaxSamples = 32;
-  /// With fewer samples nothing is taken as a retry.
+  /// With fewer samples no call counts as a retry.
   static constexpr std::size_t kMinSamples = 8;
 
   std::array<std::chrono::milliseconds, kMaxSamples> m_samples{};
--- a/include/greengagehub/calls/call_dialect.hpp
+++ b/include/greengagehub/calls/call_dialect.hpp
@@ -12,11 +12,10 @@
   std::string_view m_requestId{};
   /// Remaining time of the call in milliseconds.
   std::string_view m_deadline{ "Greengagehub-Deadline-Ms" };
-  /// Service from which the call was made.
   std::string_view m_callerService{ "Greengagehub-Caller-Service" };
   /// The caller's API key; removed before the request is forwarded.
   std::string_view m_apiKey{ "Greengagehub-Key" };
-  /// Name of the workspace that the key belongs to; set only by the daemon.
+  /// Set only by the daemon.
   std::string_view m_workspace{ "Greengagehub-Workspace" };
   /// ID of the only backend server that may execute the request.
   std::string_view m_expectInstance{};
@@ -26,8 +25,7 @@
   std::string_view m_notExecuted{};
   /// Signature of the backend server, in successful responses.
   std::string_view m_seal{};
-  /// Whether Retry-After has fractions of a second; the standard allows only
-  /// whole seconds.
+  /// The standard allows only whole seconds.
   bool m_fractionalRetryAfter{ false };
   /// Whether to send depth, remaining retries and trace context as headers.
   bool m_sendsHopHeaders{ true };
--- a/include/greengagehub/calls/call_kind.hpp
+++ b/include/greengagehub/calls/call_kind.hpp
@@ -23,7 +23,6 @@
   {
   }
 
-  /// Target latency of the route.
   std::chrono::milliseconds m_target{ 0 };
   /// Digest of the route's key, equal on all daemons; 0: not known.
   std::uint64_t m_route{ 0 };
--- a/include/greengagehub/calls/dispatcher.hpp
+++ b/include/greengagehub/calls/dispatcher.hpp
@@ -43,7 +43,6 @@
   std::uint32_t m_retriesLeft{ 0 };
   /// Whether an earlier attempt reached a worker.
   bool m_isRetry{ false };
-  /// Whether the daemon must refuse the call instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
 
@@ -108,8 +107,6 @@
   }
   [[nodiscard]] std::size_t InFlight() const noexcept { return m_calls.size(); }
 
-  /// \returns Whether the retry budget of another service, one called by
-  /// retried runs, is nearly used up.
   [[nodiscard]] bool AreRetriesUsedUp(TimePoint aNow,
                                       const std::string& aOwnService) const
   {
@@ -144,33 +141,28 @@
     }
   }
 
-  /// \brief Starts a call.
   /// \param aCall id that the caller assigns, unique among calls in flight.
   [[nodiscard]] DispatchActions Begin(TimePoint aNow,
                                       std::uint64_t aCall,
                                       CallPlan aPlan);
-  /// \brief Handles an answer; an answer to an earlier attempt is ignored.
+  /// \brief Ignores an answer to an earlier attempt.
   [[nodiscard]] DispatchActions OnAnswer(TimePoint aNow, CallAnswer aAnswer);
-  /// \brief Handles the reply to a SendCancel.
   [[nodiscard]] DispatchActions OnCancelResult(TimePoint aNow,
                                                std::uint64_t aAttempt,
                                                AttemptState aState);
-  /// \brief Handles the loss of the connection to a daemon.
   [[nodiscard]] DispatchActions OnLinkLost(TimePoint aNow,
                                            const std::string& aSlot);
-  /// \brief Handles a new connection to a daemon. Queries the state of attempts
-  /// in doubt, unless the daemon has restarted since and lost it.
+  /// \brief Queries the state of attempts in doubt, unless the daemon has
+  /// restarted and lost it.
   [[nodiscard]] DispatchActions OnLinkUp(TimePoint aNow,
                                          const std::string& aSlot,
                                          std::uint64_t aProcess);
   /// \brief Handles a request that no connection could accept.
   [[nodiscard]] DispatchActions OnSendFailed(TimePoint aNow,
                                              std::uint64_t aAttempt);
-  /// \brief Handles a caller that disconnected.
   [[nodiscard]] DispatchActions OnCallerDisconnected(TimePoint aNow,
                                                      std::uint64_t aCall);
-  /// \returns When OnTick() must be called next; nothing if no call is in
-  /// flight.
+  /// \returns When OnTick() is due; nothing if no call is in flight.
   [[nodiscard]] std::optional<TimePoint> NextDeadline() const;
   /// \brief Finishes calls whose deadline has passed.
   [[nodiscard]] DispatchActions OnTick(TimePoint aNow);
@@ -187,20 +179,16 @@
     std::uint64_t m_process{ 0 };
     TimePoint m_sentAt{};
     std::vector<std::string> m_tried;
-    /// Workers that refused the call because they were busy.
     std::vector<std::string> m_busySlots{};
     /// The connection was lost and the state of the attempt is unknown.
     bool m_inDoubt{ false };
-    /// The outcome of an earlier attempt is unknown.
     bool m_mayHaveRun{ false };
     /// An attempt was written to a connection to a worker.
     bool m_hasReachedWorker{ false };
     /// Refusals by daemons before the call reached a worker.
     std::uint32_t m_redirects{ 0 };
-    /// The call was assigned to the canary.
-    bool m_drewCanary{ false };
-    /// Attempts that met no available worker.
-    std::uint32_t m_absentWorkers{ 0 };
+    bool m_isAssignedToCanary{ false };
+    std::uint32_t m_unavailableAttempts{ 0 };
     /// A server error, returned to the caller if no retry succeeds.
     std::optional<CallAnswer> m_fallback{};
   };
@@ -216,14 +204,14 @@
                       DispatchActions& aOut,
                       Call& aCall,
                       CallAnswer aAnswer);
-  /// \returns Time left in quarantine; nothing if the call isn't quarantined.
+  /// \returns Nothing if the call isn't quarantined.
   [[nodiscard]] std::optional<std::chrono::milliseconds> QuarantineTimeLeft(
     TimePoint aNow,
     const Call& aCall) const;
   /// \returns Whether no other crash counts against the call's fingerprint.
   [[nodiscard]] bool IsFirstCrash(const Call& aCall,
                                   const CallAnswer& aAnswer) const;
-  /// \returns Whether to retry; records the retry in the call and the budget.
+  /// \brief Records a granted retry in the call and the budget.
   [[nodiscard]] bool MayRetry(TimePoint aNow,
                               Call& aCall,
                               const CallAnswer& aAnswer);
@@ -235,10 +223,8 @@
                      DispatchActions& aOut,
                      Call& aCall,
                      CallAnswer aAnswer);
-  /// \returns The worker to send the call to, if any is left.
   [[nodiscard]] std::optional<WorkerTable::Index> SelectWorker(TimePoint aNow,
                                                                Call& aCall);
-  /// \returns A worker that the rule allows, if any is left.
   [[nodiscard]] std::optional<WorkerTable::Index> SelectWorkerByRule(
     TimePoint aNow,
     const Call& aCall,
@@ -266,7 +252,7 @@
   std::unordered_map<std::uint64_t, std::uint64_t> m_attempts;
   std::set<Deadline> m_deadlines;
   std::uint64_t m_lastAttempt{ 0 };
-  /// Moving average of the time until a daemon replies that its worker is busy.
+  /// Moving average.
   Duration m_busyReplyTime{ 0 };
 };
 
--- a/include/greengagehub/calls/placement.hpp
+++ b/include/greengagehub/calls/placement.hpp
@@ -7,18 +7,13 @@
 /// \brief Times assumed for a worker that has no recent report of its own.
 struct AssumedTimes
 {
-  /// Service time of a call of the kind.
   Duration m_service{ 0 };
-  /// Time that such a call waits in the queue.
   Duration m_wait{ 0 };
 };
 
-/// \brief Average queue wait in each failure domain for one kind of calls,
-/// from recent reports of the domain's workers.
+/// \brief Average queue wait in each failure domain for one kind of calls.
 ///
-/// With many workers and few calls from each daemon, the last report of a
-/// worker is seconds old while its queue changes within half a second. The
-/// domain's average replaces the outdated value, so that an overloaded domain
+/// Replaces outdated reports of single workers, so that an overloaded domain
 /// isn't mistaken for an idle one.
 class DomainWaits
 {
@@ -26,22 +21,21 @@
   DomainWaits(const std::vector<const WorkerRow*>& aRows,
               const RoutingContext& aContext);
 
-  /// \returns The average wait; 0 if the domain has no reports.
+  /// \returns 0 if the domain has no reports.
   [[nodiscard]] Duration ExpectedWait(std::string_view aDomain) const noexcept;
 
 private:
-  /// Sums for a weighted average.
   struct DomainSum
   {
     std::string_view m_domain;
-    std::chrono::duration<double> m_wait{ 0.0 };
+    std::chrono::duration<double> m_weightedWait{ 0.0 };
     double m_weight{ 0.0 };
   };
-  std::vector<DomainSum> m_sums;
+  std::vector<DomainSum> m_domainSums;
 };
 
-/// \returns Probability, in [0, 1], that a call misses its target if its mean
-/// response time is `aExpected`.
+/// \param aExpected mean response time.
+/// \returns In [0, 1].
 [[nodiscard]] double
 LatenessProbability(Duration aExpected, Duration aTargetLeft) noexcept;
 
@@ -85,24 +79,20 @@
     Random& aRandom) const;
 };
 
-/// \returns Mean service time for calls of the kind over the workers that
-/// reported one, or a default if none did.
+/// \returns A default if no worker reported one for the kind.
 [[nodiscard]] Duration
 MeanServiceTime(const std::vector<const WorkerRow*>& aRows,
                 CallKind aKind) noexcept;
 
-/// \returns Expected time until a call sent now is answered, including a
-/// penalty for recent refusals.
+/// \returns Includes a penalty for recent refusals.
 [[nodiscard]] Duration
 ExpectedResponseTime(const DecisionSettings& aDecisions,
                      const WorkerRow& aRow,
                      const RoutingContext& aContext,
                      const AssumedTimes& aAssumed) noexcept;
 
-/// \param aRequestBytes size of the request body.
 /// \param aAnswerBytes mean size of the answers on the call's route.
-/// \returns Cost of crossing between failure domains, as a share of the call's
-/// value.
+/// \returns A share of the call's value.
 [[nodiscard]] double
 CrossingCost(const DecisionSettings& aDecisions,
              double aRequestBytes,
--- a/include/greengagehub/calls/retry_budget.hpp
+++ b/include/greengagehub/calls/retry_budget.hpp
@@ -50,7 +50,7 @@
 {
 public:
   void Record(TimePoint aNow, bool aIsRetry);
-  /// \returns The share, in [0, 1]; 0 if there were no runs.
+  /// \returns In [0, 1]; 0 if there were no runs.
   [[nodiscard]] double At(TimePoint aNow) const;
 
 private:
@@ -63,8 +63,7 @@
 ///
 /// Calls made by retried runs count as retries, so that the budgets of a caller
 /// and of the service it calls don't multiply. Calls less urgent than the
-/// service's mean priority may use only a part of the budget; the rest is
-/// reserved for more urgent ones, such as those that other calls wait for.
+/// service's mean priority may use only a part of the budget.
 class RetryBudget
 {
 public:
@@ -77,14 +76,11 @@
 
   /// \brief Records the first attempt of a call.
   /// \param aPriority rank of the call, 0 highest.
-  /// \param aRetriedRunProbability probability that the call is made by a
-  /// retried run.
   void Deposit(TimePoint aNow,
                const std::string& aService,
                std::uint32_t aPriority = 0,
                double aRetriedRunProbability = 0.0);
-  /// \brief Takes a retry from the budget.
-  /// \returns False if none is left.
+  /// \returns False if no retry is left.
   [[nodiscard]] bool Withdraw(TimePoint aNow,
                               const std::string& aService,
                               std::uint32_t aPriority = 0);
@@ -102,16 +98,15 @@
     /// Retries, including calls made by retried runs.
     WindowCounter m_retries;
     /// Fraction of a retry accumulated from calls of retried runs.
-    double m_fraction{ 0.0 };
-    /// Whether retried runs have made calls to the service.
-    bool m_isCalledByRetries{ false };
-    /// Moving average over the calls; negative before the first call.
+    double m_fractionalRetry{ 0.0 };
+    bool m_isCalledByRetriedRuns{ false };
+    /// Negative before the first call.
     double m_meanPriority{ -1.0 };
   };
 
-  [[nodiscard]] bool HasRoom(TimePoint aNow,
-                             const Counts& aCounts,
-                             double aBudgetPart) const;
+  [[nodiscard]] bool IsWithinBudget(TimePoint aNow,
+                                    const Counts& aCounts,
+                                    double aBudgetPart) const;
 
   RetryLimits m_limits;
   std::map<std::string, Counts, std::less<>> m_services;
--- a/include/greengagehub/calls/run_table.hpp
+++ b/include/greengagehub/calls/run_table.hpp
@@ -18,18 +18,14 @@
   std::uint32_t m_queue{ 40 };
   /// Time over which the usable slots grow evenly from one to all.
   std::chrono::milliseconds m_warmUp{ 0 };
-  /// How long ended attempts are kept, to recognize late and duplicate
-  /// messages.
+  /// Time that ended attempts are kept, to detect duplicate messages.
   std::chrono::milliseconds m_retention{ std::chrono::seconds{ 30 } };
-  /// Limit on the number of ended attempts kept.
   std::size_t m_maxRetained{ 50'000 };
-  /// Subtracted from a queued call's deadline, so that its refusal arrives in
-  /// time.
+  /// Time before a queued call's deadline that is reserved for its refusal.
   std::chrono::milliseconds m_margin{ 5 };
   DecisionSettings m_decisions{};
 };
 
-/// \brief Decision on an arriving attempt.
 struct Admission
 {
   enum class Kind : std::uint8_t
@@ -91,7 +87,6 @@
   {
     return m_running + m_queued;
   }
-  /// \returns Number of ended attempts that are kept.
   [[nodiscard]] std::size_t RetainedCount() const noexcept
   {
     return m_ended.size();
@@ -107,15 +102,14 @@
                                 std::uint64_t aEpoch,
                                 const WorkDemand& aDemand,
                                 RunActions& aOut);
-  /// \returns When the next queued attempt expires, if any.
+  /// \returns Nothing if no attempt is queued.
   [[nodiscard]] std::optional<TimePoint> NextExpiry() const;
   /// \brief Cancels an attempt that has not started, even if its request has
   /// not arrived yet.
   [[nodiscard]] CancelResult Cancel(TimePoint aNow, CallKey aKey);
   /// \brief Marks a running attempt as finished, with or without an answer.
   [[nodiscard]] RunActions Finish(TimePoint aNow, CallKey aKey);
-  /// \brief Drops queued attempts from older connections of a caller that has
-  /// opened a new one.
+  /// \brief Drops queued attempts from the caller's older connections.
   void CloseEpochs(TimePoint aNow,
                    std::uint64_t aProcess,
                    std::uint64_t aBelowEpoch);
@@ -127,7 +121,6 @@
   /// \brief Discards the service times of the previous incarnation. Queued
   /// attempts stay; running ones remain assigned to the previous incarnation.
   void OnWorkerRestarted();
-  /// \returns Expected service time of calls of this kind.
   [[nodiscard]] Duration ServiceTime(TimePoint aNow, CallKind aKind) const;
   /// \returns Expected queueing delay of such a call if it arrived now.
   [[nodiscard]] Duration WaitOf(TimePoint aNow,
@@ -160,11 +153,9 @@
     TimePoint m_deadline;
     /// When a queued attempt is refused.
     TimePoint m_expires;
-    TimePoint m_since;
-    /// Incarnation of the worker to which a running attempt was sent.
+    TimePoint m_stateSince;
     std::uint32_t m_workerIncarnation{ 0 };
-    /// Expected service time of a running attempt, if known.
-    std::optional<Duration> m_expected{};
+    std::optional<Duration> m_expectedServiceTime{};
   };
   struct KeyHash
   {
@@ -177,7 +168,8 @@
 
   [[nodiscard]] std::uint32_t OpenSlots(TimePoint aNow) const;
   [[nodiscard]] std::uint32_t QueueLimit(CallClass aClass) const noexcept;
-  [[nodiscard]] std::uint32_t QueuedOf(CallClass aClass) const noexcept;
+  [[nodiscard]] std::uint32_t CountAgainstLimit(
+    CallClass aClass) const noexcept;
   [[nodiscard]] WorkRank Rank(TimePoint aNow, const Run& aRun) const;
   /// \returns Service time of the queued calls served before this rank.
   [[nodiscard]] Duration WorkAhead(TimePoint aNow, const WorkRank& aRank) const;
@@ -198,8 +190,7 @@
     const Run& aRun) const;
   /// \returns Factor by which the worker is slower than its finished runs.
   [[nodiscard]] double SlownessAt(TimePoint aNow) const;
-  /// \brief If the worker has become slow, refuses queued calls that it would
-  /// answer too late, so that they can be sent elsewhere.
+  /// \brief Refuses queued calls that a slow worker would answer too late.
   void RefuseQueuedIfSlow(TimePoint aNow, RunActions& aOut);
   [[nodiscard]] bool MakeRoom(TimePoint aNow,
                               const Run& aFor,
@@ -226,7 +217,7 @@
   struct EvictionMark
   {
     std::uint64_t m_call{ 0 };
-    TimePoint m_since;
+    TimePoint m_updatedAt;
   };
   std::unordered_map<std::uint64_t, EvictionMark> m_evictionMarks;
   std::uint32_t m_running{ 0 };
--- a/include/greengagehub/calls/slowness_detector.hpp
+++ b/include/greengagehub/calls/slowness_detector.hpp
@@ -14,32 +14,32 @@
 class SlownessDetector
 {
 public:
-  /// \param aExpected expected service time of the run.
-  void Started(TimePoint aNow, Duration aExpected) noexcept
+  void RecordStart(TimePoint aNow, Duration aExpectedServiceTime) noexcept
   {
     ++m_count;
     m_startSum += aNow.time_since_epoch();
-    m_expectedSum += aExpected;
+    m_expectedServiceTimeSum += aExpectedServiceTime;
   }
 
-  void Ended(TimePoint aStarted, Duration aExpected) noexcept
+  void RecordEnd(TimePoint aStarted, Duration aExpectedServiceTime) noexcept
   {
     --m_count;
     m_startSum -= aStarted.time_since_epoch();
-    m_expectedSum -= aExpected;
+    m_expectedServiceTimeSum -= aExpectedServiceTime;
   }
 
   /// \returns Factor by which runs exceed their expected time; 1 while the
   /// deviation is not significant.
   [[nodiscard]] double SlownessAt(TimePoint aNow) const noexcept
   {
-    if (m_count < kMinRuns || m_expectedSum <= Duration::zero()) {
+    if (m_count < kMinRuns || m_expectedServiceTimeSum <= Duration::zero()) {
       return 1.0;
     }
     const auto count = static_cast<std::int64_t>(m_count);
     const Duration ages = count * aNow.time_since_epoch() - m_startSum;
-    const double ratio = std::chrono::duration<double>(ages) /
-                         std::chrono::duration<double>(m_expectedSum);
+    const double ratio =
+      std::chrono::duration<double>(ages) /
+      std::chrono::duration<double>(m_expectedServiceTimeSum);
     return ratio < kSlowRatio ? 1.0 : ratio / kNormalRatio;
   }
 
@@ -54,7 +54,7 @@
 
   std::uint32_t m_count{ 0 };
   Duration m_startSum{ 0 };
-  Duration m_expectedSum{ 0 };
+  Duration m_expectedServiceTimeSum{ 0 };
 };
 
 }
--- a/include/greengagehub/calls/work_order.hpp
+++ b/include/greengagehub/calls/work_order.hpp
@@ -23,7 +23,6 @@
   std::chrono::microseconds m_timeLeft{ 0 };
   /// Time left to the target latency; at most m_timeLeft.
   std::chrono::microseconds m_targetLeft{ 0 };
-  /// Whether to refuse the call instead of queueing it.
   bool m_refuseIfBusy{ false };
 };
 
@@ -34,10 +33,9 @@
   /// \returns The average of the kind. Before its first sample, the smallest
   /// average of all kinds, scaled down for a shorter target: an overestimate
   /// would refuse every call of the kind and no sample would ever be taken.
-  [[nodiscard]] Duration Of(CallKind aKind) const;
-  /// \returns The average of the kind, if calls of it have finished.
-  [[nodiscard]] std::optional<Duration> Known(CallKind aKind) const;
-  /// \returns The average over all calls.
+  [[nodiscard]] Duration Estimate(CallKind aKind) const;
+  /// \returns Nothing before the first sample of the kind.
+  [[nodiscard]] std::optional<Duration> FindMean(CallKind aKind) const;
   [[nodiscard]] Duration Mean() const noexcept { return m_mean; }
 
   void Record(CallKind aKind, Duration aTook);
@@ -49,9 +47,8 @@
 
 /// \brief Queue position of a call: highest gain first, then earliest due time.
 ///
-/// Under overload slot time is the scarce resource, so calls are ordered by
-/// value for each second of a slot: short calls pass long ones, and late calls
-/// count less.
+/// Under overload slot time is scarce: short calls pass long ones, and late
+/// calls count less.
 struct WorkRank
 {
   /// Value of the call for each second of a slot.
@@ -60,7 +57,6 @@
   /// Whether the target is missed even if the call starts now.
   bool m_late{ false };
 
-  /// \returns Whether this call is served before the other one.
   [[nodiscard]] bool IsBefore(const WorkRank& aOther) const noexcept
   {
     return m_gain != aOther.m_gain ? m_gain > aOther.m_gain
@@ -71,16 +67,14 @@
 /// \returns Value of a call, on time or late, for each second of a slot.
 [[nodiscard]] double
 GainOf(const DecisionSettings& aDecisions,
-       Duration aService,
+       Duration aServiceTime,
        std::uint32_t aPriority,
        bool aIsLate) noexcept;
 
-/// \param aService expected service time of the call.
-/// \param aTarget time by which the call meets its target latency.
 [[nodiscard]] WorkRank
 RankOf(const DecisionSettings& aDecisions,
        TimePoint aNow,
-       Duration aService,
+       Duration aServiceTime,
        std::uint32_t aPriority,
        TimePoint aTarget,
        TimePoint aDeadline) noexcept;
@@ -92,9 +86,8 @@
 {
 public:
   /// \param aGain gain of such calls when on time.
-  void Add(TimePoint aNow, CallKind aKind, double aGain, Duration aService);
-  /// \returns Share of the slots used by calls of higher gain; above 1 under
-  /// overload.
+  void Add(TimePoint aNow, CallKind aKind, double aGain, Duration aServiceTime);
+  /// \returns Share of the slots used; above 1 under overload.
   [[nodiscard]] double ShareAbove(TimePoint aNow,
                                   double aGain,
                                   std::uint32_t aSlots) const;
@@ -104,7 +97,7 @@
   {
     double m_gain{ 0.0 };
     double m_seconds{ 0.0 };
-    TimePoint m_since{};
+    TimePoint m_updatedAt{};
   };
 
   [[nodiscard]] static double DecayedTo(const Load& aLoad, TimePoint aNow);
--- a/include/greengagehub/calls/worker_incarnation.hpp
+++ b/include/greengagehub/calls/worker_incarnation.hpp
@@ -32,6 +32,6 @@
 
 /// \returns Never 0.
 [[nodiscard]] IncarnationTag
-TagOf(const WorkerIncarnation& aStart);
+TagOf(const WorkerIncarnation& aIncarnation);
 
 }
--- a/include/greengagehub/calls/worker_presence.hpp
+++ b/include/greengagehub/calls/worker_presence.hpp
@@ -16,12 +16,11 @@
   WorkerIncarnation m_start{};
   std::string m_service{};
   std::string m_address{};
-  /// Software version; empty: not reported.
+  /// Empty: not reported.
   std::string m_version{};
   /// Requests that it processes concurrently.
   std::uint32_t m_slots{ 0 };
   bool m_leaving{ false };
-  /// Time left until the end of its warm-up.
   std::chrono::milliseconds m_warmUpLeft{ 0 };
   /// Increases with each report of an incarnation.
   std::uint64_t m_sequence{ 0 };
@@ -38,9 +37,8 @@
 class WorkerPresence
 {
 public:
-  /// \param aPeriod heartbeat interval.
-  explicit WorkerPresence(std::chrono::milliseconds aPeriod) noexcept
-    : m_period(aPeriod)
+  explicit WorkerPresence(std::chrono::milliseconds aHeartbeatInterval) noexcept
+    : m_heartbeatInterval(aHeartbeatInterval)
   {
   }
 
@@ -52,7 +50,7 @@
     Arrived,
     /// The same incarnation with another number of slots or start time.
     Updated,
-    /// It is shutting down and gets no new requests.
+    /// Gets no new requests.
     Leaving,
   };
 
@@ -61,7 +59,6 @@
   {
     return m_current;
   }
-  /// \returns Whether requests may be sent to it.
   [[nodiscard]] bool TakesCalls() const noexcept
   {
     return m_current && !m_current->m_leaving;
@@ -75,11 +72,11 @@
   [[nodiscard]] bool IsSilent(TimePoint aNow) const noexcept;
 
   [[nodiscard]] Change OnReport(TimePoint aNow, const WorkerReport& aReport);
-  /// \brief Handles a health check response with the backend server's ID. It is
-  /// used until the first heartbeat.
+  /// \brief Accepts an ID from a health check until the first heartbeat.
   [[nodiscard]] Change OnProbed(TimePoint aNow, WorkerReport aReport);
   /// \brief Handles a leave message; the backend server may still be serving.
-  [[nodiscard]] Change OnLeft(TimePoint aNow, const WorkerIncarnation& aStart);
+  [[nodiscard]] Change OnLeft(TimePoint aNow,
+                              const WorkerIncarnation& aIncarnation);
 
 private:
   /// A replaced incarnation, or one that left before its first report.
@@ -88,12 +85,12 @@
     WorkerIncarnation m_start;
     /// Sequence number of its last report.
     std::uint64_t m_sequence{ 0 };
-    TimePoint m_since{};
+    TimePoint m_addedAt{};
   };
 
   [[nodiscard]] const PastIncarnation* FindPast(
     TimePoint aNow,
-    const WorkerIncarnation& aStart) const;
+    const WorkerIncarnation& aIncarnation) const;
   /// \returns Whether the incarnation is accepted at its first report.
   [[nodiscard]] bool IsSuccessor(TimePoint aNow,
                                  const WorkerReport& aReport) const;
@@ -105,12 +102,12 @@
   [[nodiscard]] Change Replace(TimePoint aNow, const WorkerReport& aReport);
   void AddPast(PastIncarnation aPast);
 
-  std::chrono::milliseconds m_period;
+  std::chrono::milliseconds m_heartbeatInterval;
   std::optional<WorkerReport> m_current;
   TimePoint m_lastReportAt{};
   TimePoint m_previousLastReportAt{};
-  /// Past incarnations, newest last.
-  std::deque<PastIncarnation> m_past;
+  /// Newest last.
+  std::deque<PastIncarnation> m_pastIncarnations;
   /// Last report of an incarnation that is not accepted yet.
   std::optional<WorkerReport> m_candidate;
   /// Whether reports have a start time. Those without one are then ignored, as
--- a/include/greengagehub/calls/worker_table.hpp
+++ b/include/greengagehub/calls/worker_table.hpp
@@ -20,16 +20,16 @@
   std::string m_slot;
   std::string m_service;
   std::string m_domain;
-  /// Version of its software; empty: not reported.
+  /// Empty: not reported.
   std::string m_version{};
   /// Hash of the slot: sorts workers in the same order on all daemons.
   std::uint64_t m_slotHash{ 0 };
   std::uint32_t m_slots{ 1 };
-  /// Tag of its current incarnation; 0: not reported.
+  /// 0: not reported.
   IncarnationTag m_start{ 0 };
   /// Attempts in flight from this daemon.
   std::uint32_t m_inFlight{ 0 };
-  /// Calls queued and running, and the time of the report.
+  /// Calls queued and running.
   std::uint32_t m_reportedLoad{ 0 };
   TimePoint m_reportedAt{};
   /// Last statistics reported for one kind of calls.
@@ -51,14 +51,13 @@
   bool m_leaving{ false };
 };
 
-/// \brief Load figures that a worker's answer carries.
+/// \brief Load statistics in a worker's answer.
 struct LoadReport
 {
   /// Calls queued and running.
   std::uint32_t m_load{ 0 };
   /// Calls that it can run concurrently; 0: no worker is present.
   std::uint32_t m_slots{ 0 };
-  /// Kind of the answered call.
   CallKind m_kind{};
   std::chrono::microseconds m_serviceTime{ 0 };
   std::chrono::microseconds m_wait{ 0 };
@@ -69,15 +68,12 @@
 {
   TimePoint m_now;
   CallKind m_kind{};
-  /// Time left to the call's latency target.
   Duration m_targetLeft{ std::chrono::seconds{ 1 } };
   /// Cost of crossing between failure domains, as a share of the call's value.
   double m_crossingCost{ 0.0 };
-  /// Time left to the call's deadline.
   Duration m_deadlineLeft{ std::chrono::seconds{ 10 } };
 };
 
-/// \brief A strategy that selects one of the given workers.
 template<class T>
 concept RoutingPolicy = requires(T aPolicy,
                                  const std::vector<const WorkerRow*>& aRows,
@@ -96,7 +92,6 @@
 [[nodiscard]] double
 LoadScore(const WorkerRow& aRow, TimePoint aNow) noexcept;
 
-/// \brief Uniformly random selection.
 struct RandomChoice
 {
   [[nodiscard]] std::size_t Choose(const std::vector<const WorkerRow*>& aRows,
@@ -112,7 +107,7 @@
                                    Random& aRandom) const;
 };
 
-/// \brief The least loaded worker; ties are broken at random.
+/// \brief Ties are broken at random.
 struct ShortestQueue
 {
   [[nodiscard]] std::size_t Choose(const std::vector<const WorkerRow*>& aRows,
@@ -156,7 +151,6 @@
     return m_rows.At(aIndex);
   }
   [[nodiscard]] std::optional<Index> Find(const std::string& aSlot) const;
-  /// \returns Whether the service has a worker that accepts calls.
   [[nodiscard]] bool HasAvailableWorker(const std::string& aService) const;
 
   /// \brief Adds or updates a worker. Statistics are kept unless its service or
@@ -199,8 +193,7 @@
     m_decisions = aDecisions;
   }
   void RecordSent(Index aIndex);
-  /// \returns Mean share of failures over those workers of the service that
-  /// have answered a call.
+  /// \returns Mean over the workers that have answered a call.
   [[nodiscard]] double MeanFailures(const std::string& aService) const;
   /// \brief What an attempt shows about its worker.
   enum class Verdict : std::uint8_t
@@ -223,8 +216,7 @@
   static void RecordStats(WorkerRow& aRow,
                           TimePoint aNow,
                           const LoadReport& aReport);
-  /// \returns Lowest share of failures among the service's workers; 0 if there
-  /// are fewer than two.
+  /// \returns 0 if the service has fewer than two workers.
   [[nodiscard]] double LowestFailures(const std::string& aService) const;
 
   [[nodiscard]] std::vector<Index> AvailableWorkers(
@@ -234,7 +226,6 @@
     const VersionRule* aRule) const;
 
   void KeepAllowed(std::vector<Index>& aGroup, const VersionRule& aRule) const;
-  /// \brief Updates the entry of `m_mainVersions` for the service.
   void UpdateMainVersion(const std::string& aService);
 
   DecisionSettings m_decisions{};
--- a/src/calls/answer_sizes.cpp
+++ b/src/calls/answer_sizes.cpp
@@ -8,7 +8,7 @@
   const auto bytes = static_cast<double>(aBytes);
   const auto found = m_means.find(aKind);
   if (found != m_means.end()) {
-    found->second += kWeight * (bytes - found->second);
+    found->second += kSampleWeight * (bytes - found->second);
   } else if (m_means.size() < kMaxKinds) {
     m_means.emplace(aKind, bytes);
   }
--- a/src/calls/call_age_estimator.cpp
+++ b/src/calls/call_age_estimator.cpp
@@ -6,7 +6,7 @@
 namespace greengagehub {
 
 std::chrono::milliseconds
-CallAgeEstimator::Of(std::chrono::milliseconds aAsked,
+CallAgeEstimator::Of(std::chrono::milliseconds aTimeLeft,
                      bool aIsFirstOnConnection) const
 {
   using std::chrono::milliseconds;
@@ -15,20 +15,20 @@
   }
   const auto count = std::min(m_sampleCount, kMaxSamples);
   const auto end = m_samples.begin() + static_cast<std::ptrdiff_t>(count);
-  if (aAsked >= *std::min_element(m_samples.begin(), end)) {
+  if (aTimeLeft >= *std::min_element(m_samples.begin(), end)) {
     return milliseconds::zero();
   }
   const milliseconds sum =
     std::accumulate(m_samples.begin(), end, milliseconds::zero());
-  return sum / static_cast<std::chrono::milliseconds::rep>(count) - aAsked;
+  return sum / static_cast<std::chrono::milliseconds::rep>(count) - aTimeLeft;
 }
 
 void
-CallAgeEstimator::Record(std::chrono::milliseconds aAsked,
+CallAgeEstimator::Record(std::chrono::milliseconds aTimeLeft,
                          bool aIsFirstOnConnection)
 {
   if (!aIsFirstOnConnection) {
-    m_samples[m_sampleCount % kMaxSamples] = aAsked;
+    m_samples[m_sampleCount % kMaxSamples] = aTimeLeft;
     ++m_sampleCount;
   }
 }
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -6,8 +6,6 @@
 
 #include <algorithm>
 
-// Constants and helper functions of the dispatcher.
-
 namespace greengagehub {
 
 /// Time after the deadline in which the worker's daemon may still report that
@@ -16,11 +14,10 @@
 /// A worker that refused a larger share of its recent attempts is not tried
 /// after another worker's refusal.
 inline constexpr double kMaxRefusalShare = 0.5;
-/// If a service's workers fail a larger share of calls on average, the cause is
-/// treated as common to them, such as a service that all of them call.
+/// Above this mean share of failed calls, a service's workers are assumed to
+/// fail for a common cause.
 inline constexpr double kCommonCauseFailureShare = 0.2;
 
-/// Maximum number of unavailable workers that one call tries.
 inline constexpr std::uint32_t kMaxUnavailableWorkers = 6;
 
 /// \returns Whether the call found no available worker at the daemon it was
@@ -40,15 +37,15 @@
 /// instead of many.
 struct RendezvousPolicy
 {
-  Fingerprint m_content;
+  Fingerprint m_fingerprint;
 
   [[nodiscard]] std::size_t Choose(const std::vector<const WorkerRow*>& aRows,
                                    const RoutingContext& /*aContext*/,
                                    Random& /*aRandom*/) const
   {
-    const std::string content = ToHex(m_content);
-    const auto rank = [&content](const WorkerRow* aRow) {
-      return ShortHash(content + aRow->m_slot);
+    const std::string fingerprint = ToHex(m_fingerprint);
+    const auto rank = [&fingerprint](const WorkerRow* aRow) {
+      return ShortHash(fingerprint + aRow->m_slot);
     };
     const auto first = std::ranges::max_element(aRows, {}, rank);
     return static_cast<std::size_t>(first - aRows.begin());
@@ -57,8 +54,7 @@
 
 /// Divisor of a new sample in the moving mean of the time to a busy reply.
 inline constexpr int kBusyReplyTimeDivisor = 8;
-/// Divisor of this mean's decay with each call that is sent without asking for
-/// a busy reply. Without the decay a high mean would never be measured again.
+/// Without the decay, a high mean would never be measured again.
 inline constexpr int kBusyReplyDecayDivisor = 32;
 
 /// Rates a worker by an answer that its daemon or the dispatcher gave instead.
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -64,15 +64,16 @@
   if (m_rollouts == nullptr || m_rollouts->IsEmpty()) {
     return SelectWorkerByRule(aNow, aCall, nullptr);
   }
-  const bool triesCanary = aCall.m_drewCanary && !aCall.m_hasReachedWorker;
+  const bool triesCanary =
+    aCall.m_isAssignedToCanary && !aCall.m_hasReachedWorker;
   const VersionRules rules =
     m_rollouts->RulesFor(aNow, aCall.m_plan.m_service, triesCanary);
   if (rules.IsEmpty()) {
     return SelectWorkerByRule(aNow, aCall, nullptr);
   }
   for (const VersionRule& each : rules) {
-    if (const auto chosen = SelectWorkerByRule(aNow, aCall, &each)) {
-      return chosen;
+    if (const auto selected = SelectWorkerByRule(aNow, aCall, &each)) {
+      return selected;
     }
   }
   return std::nullopt;
@@ -91,9 +92,9 @@
     aCall.m_plan.m_crossingCost,
     aCall.m_plan.m_deadline - aNow
   };
-  const Fingerprint content = aCall.m_plan.m_content;
-  if (m_quarantine != nullptr && m_quarantine->IsSuspect(content)) {
-    RendezvousPolicy pinned{ content };
+  const Fingerprint fingerprint = aCall.m_plan.m_content;
+  if (m_quarantine != nullptr && m_quarantine->IsSuspect(fingerprint)) {
+    RendezvousPolicy pinned{ fingerprint };
     return m_workers.Choose(
       pinned, aCall.m_plan.m_service, aCall.m_tried, context, m_random, aRule);
   }
@@ -101,11 +102,11 @@
     std::vector<std::string> exclude = aCall.m_tried;
     exclude.insert(
       exclude.end(), aCall.m_busySlots.begin(), aCall.m_busySlots.end());
-    const auto chosen = m_workers.Choose(
+    const auto selected = m_workers.Choose(
       m_policy, aCall.m_plan.m_service, exclude, context, m_random, aRule);
     // Otherwise waiting at a busy worker may cost less than crossing.
-    if (chosen && IsInOwnDomain(m_policy, m_workers.At(*chosen))) {
-      return chosen;
+    if (selected && IsInOwnDomain(m_policy, m_workers.At(*selected))) {
+      return selected;
     }
   }
   return m_workers.Choose(
@@ -134,35 +135,34 @@
            Refuse(aCall.m_id, CallOutcome::NotRun, RefusalReason::Held, *left));
     return;
   }
-  const auto chosen = SelectWorker(aNow, aCall);
+  const auto selected = SelectWorker(aNow, aCall);
   const bool isRetry = !aCall.m_tried.empty();
-  // Limits messages under overload: after a refusal by a daemon, workers that
-  // refuse most calls aren't tried. Refusals by workers themselves are bounded
-  // by the retry budget.
+  // After a refusal by a daemon, workers that refuse most calls aren't tried.
+  // The retry budget bounds refusals by workers themselves.
   const bool wouldBeRefused =
-    chosen && isRetry && !aPrevious.m_reachedWorker &&
+    selected && isRetry && !aPrevious.m_reachedWorker &&
     aPrevious.m_reason != RefusalReason::Busy &&
-    m_workers.At(*chosen).m_refusals > kMaxRefusalShare;
-  if (!chosen || wouldBeRefused) {
+    m_workers.At(*selected).m_refusals > kMaxRefusalShare;
+  if (!selected || wouldBeRefused) {
     Finish(aOut, aCall, std::move(aPrevious));
     return;
   }
   const bool wasBusy =
     std::find(aCall.m_busySlots.begin(),
               aCall.m_busySlots.end(),
-              m_workers.At(*chosen).m_slot) != aCall.m_busySlots.end();
+              m_workers.At(*selected).m_slot) != aCall.m_busySlots.end();
   const bool mayRefuse =
     aCall.m_busySlots.size() < m_decisions.m_maxBusyReplies && !wasBusy &&
-    IsInOwnDomain(m_policy, m_workers.At(*chosen));
+    IsInOwnDomain(m_policy, m_workers.At(*selected));
   const bool refuseIfBusy = mayRefuse && IsBusyReplyFast(aNow, aCall);
   if (mayRefuse && !refuseIfBusy) {
     // Decays without samples, so that busy replies are requested again.
     m_busyReplyTime -= m_busyReplyTime / kBusyReplyDecayDivisor;
   }
-  m_workers.RecordSent(*chosen);
+  m_workers.RecordSent(*selected);
   m_attempts.erase(aCall.m_attempt);
   aCall.m_attempt = ++m_lastAttempt;
-  aCall.m_slot = m_workers.At(*chosen).m_slot;
+  aCall.m_slot = m_workers.At(*selected).m_slot;
   aCall.m_process = 0;
   aCall.m_sentAt = aNow;
   aCall.m_inDoubt = false;
@@ -191,7 +191,7 @@
   Call call;
   call.m_id = aCall;
   call.m_plan = std::move(aPlan);
-  call.m_drewCanary =
+  call.m_isAssignedToCanary =
     m_rollouts != nullptr &&
     m_rollouts->DrawsCanary(aNow, call.m_plan.m_service, m_random);
   m_deadlines.insert({ call.m_plan.m_deadline + kReplyGrace, aCall });
@@ -257,7 +257,7 @@
   const bool reachedNoWorker =
     aAnswer.m_outcome == CallOutcome::NotRun && !aAnswer.m_reachedWorker;
   if (reachedNoWorker && IsWorkerUnavailable(aAnswer.m_reason)) {
-    return ++aCall.m_absentWorkers <= kMaxUnavailableWorkers;
+    return ++aCall.m_unavailableAttempts <= kMaxUnavailableWorkers;
   }
   if (reachedNoWorker) {
     // Adds no load to workers, so the retry budget doesn't apply.
@@ -379,8 +379,7 @@
   for (const std::uint64_t id : affected) {
     Call& call = m_calls.at(id);
     if (!call.m_plan.m_idempotent) {
-      // Only the worker's daemon has the state of the attempt; it is queried
-      // on the next connection.
+      // The daemon's state of the attempt is queried on the next connection.
       call.m_inDoubt = true;
       continue;
     }
--- a/src/calls/placement.cpp
+++ b/src/calls/placement.cpp
@@ -11,27 +11,20 @@
 
 /// The weight of a reported wait falls linearly to zero over this time.
 constexpr auto kReportLifetime = std::chrono::milliseconds{ 500 };
-/// Time constant of the exponential decay of a report in its domain's average.
-/// The load of a domain changes more slowly than the queue of one worker.
+/// Longer than kReportLifetime, as a domain's load changes more slowly.
 constexpr std::chrono::milliseconds kDomainReportDecay{ 1000 };
-/// Weight of a zero wait in a domain's average, so that a domain without recent
-/// reports gets calls again.
+/// Weight of a zero wait, so that a domain without recent reports gets calls.
 constexpr double kIdleWeight = 0.25;
 /// One call in this many goes to a near worker without reports.
 constexpr std::uint64_t kExplorationInterval = 32;
-/// Assumed slowdown of a worker without reports against the mean, as it may be
-/// cold.
+/// Relative to the mean; a worker without reports may be cold.
 constexpr double kUnreportedSlowdown = 1.5;
-/// Service time assumed if no worker reported one.
 constexpr auto kDefaultServiceTime = std::chrono::milliseconds{ 50 };
-/// Slowdown of a full worker against an empty one, as a share of the service
-/// time; also spreads calls over lightly loaded workers.
+/// Share of the service time added at a full worker; spreads light load, too.
 constexpr double kLoadSlowdown = 0.3;
-/// Bytes of a crossing call apart from its bodies: compressed headers and
-/// packet overhead.
+/// Compressed headers and packet overhead.
 constexpr double kCallOverheadBytes = 250.0;
-/// Lower bound for the time left to the target, so that faster workers are
-/// preferred for late calls, too.
+/// Lower bound, so that late calls prefer faster workers, too.
 constexpr auto kMinTargetLeft = std::chrono::milliseconds{ 100 };
 /// Time penalty for a refusal: a round trip and another attempt.
 constexpr auto kRefusalCost = std::chrono::milliseconds{ 250 };
@@ -66,15 +59,16 @@
     }
     const double age =
       Seconds(aContext.m_now - stats->m_at) / Seconds(kDomainReportDecay);
-    auto sum =
-      std::find_if(m_sums.begin(), m_sums.end(), [&](const DomainSum& aSum) {
+    auto sum = std::find_if(
+      m_domainSums.begin(), m_domainSums.end(), [&](const DomainSum& aSum) {
         return aSum.m_domain == each->m_domain;
       });
-    if (sum == m_sums.end()) {
-      sum = m_sums.insert(m_sums.end(), DomainSum{ each->m_domain });
+    if (sum == m_domainSums.end()) {
+      sum =
+        m_domainSums.insert(m_domainSums.end(), DomainSum{ each->m_domain });
     }
     const double weight = std::exp(-age);
-    sum->m_wait += weight * Seconds(stats->m_wait);
+    sum->m_weightedWait += weight * Seconds(stats->m_wait);
     sum->m_weight += weight;
   }
 }
@@ -82,10 +76,10 @@
 Duration
 DomainWaits::ExpectedWait(std::string_view aDomain) const noexcept
 {
-  for (const DomainSum& each : m_sums) {
+  for (const DomainSum& each : m_domainSums) {
     if (each.m_domain == aDomain) {
       return std::chrono::duration_cast<Duration>(
-        each.m_wait / (each.m_weight + kIdleWeight));
+        each.m_weightedWait / (each.m_weight + kIdleWeight));
     }
   }
   return Duration{ 0 };
--- a/src/calls/retry_budget.cpp
+++ b/src/calls/retry_budget.cpp
@@ -6,7 +6,6 @@
 
 namespace {
 
-/// Weight of a call in the moving average of its service's priorities.
 constexpr double kPriorityWeight = 0.01;
 /// Difference from the mean priority up to which a call may use the whole
 /// budget.
@@ -16,8 +15,7 @@
 /// Part of a service's budget up to which runs that call it are retried; the
 /// rest covers calls that aren't counted yet.
 constexpr double kRetriedRunPart = 0.8;
-/// Window of the share of retried runs.
-constexpr Duration kRunsWindow = std::chrono::seconds{ 1 };
+constexpr Duration kRetriedRunWindow = std::chrono::seconds{ 1 };
 
 std::int64_t
 SliceNumber(TimePoint aNow, Duration aWindow)
@@ -56,17 +54,17 @@
 void
 RetriedRunShare::Record(TimePoint aNow, bool aIsRetry)
 {
-  m_runs.Add(aNow, kRunsWindow);
+  m_runs.Add(aNow, kRetriedRunWindow);
   if (aIsRetry) {
-    m_retries.Add(aNow, kRunsWindow);
+    m_retries.Add(aNow, kRetriedRunWindow);
   }
 }
 
 double
 RetriedRunShare::At(TimePoint aNow) const
 {
-  const double runs = m_runs.Sum(aNow, kRunsWindow);
-  return runs > 0.0 ? m_retries.Sum(aNow, kRunsWindow) / runs : 0.0;
+  const double runs = m_runs.Sum(aNow, kRetriedRunWindow);
+  return runs > 0.0 ? m_retries.Sum(aNow, kRetriedRunWindow) / runs : 0.0;
 }
 
 void
@@ -82,11 +80,11 @@
     counts.m_meanPriority = priority;
   }
   counts.m_meanPriority += kPriorityWeight * (priority - counts.m_meanPriority);
-  counts.m_fraction += aRetriedRunProbability;
-  counts.m_isCalledByRetries =
-    counts.m_isCalledByRetries || aRetriedRunProbability > 0.0;
-  if (counts.m_fraction >= 1.0) {
-    counts.m_fraction -= 1.0;
+  counts.m_fractionalRetry += aRetriedRunProbability;
+  counts.m_isCalledByRetriedRuns =
+    counts.m_isCalledByRetriedRuns || aRetriedRunProbability > 0.0;
+  if (counts.m_fractionalRetry >= 1.0) {
+    counts.m_fractionalRetry -= 1.0;
     counts.m_retries.Add(aNow, m_limits.m_window);
   }
 }
@@ -102,7 +100,8 @@
   Counts& counts = m_services[aService];
   const bool mayUseWholeBudget =
     aPriority <= counts.m_meanPriority + kPriorityTolerance;
-  if (!HasRoom(aNow, counts, mayUseWholeBudget ? 1.0 : kLowPriorityPart)) {
+  if (!IsWithinBudget(
+        aNow, counts, mayUseWholeBudget ? 1.0 : kLowPriorityPart)) {
     return false;
   }
   counts.m_retries.Add(aNow, m_limits.m_window);
@@ -110,9 +109,9 @@
 }
 
 bool
-RetryBudget::HasRoom(TimePoint aNow,
-                     const Counts& aCounts,
-                     double aBudgetPart) const
+RetryBudget::IsWithinBudget(TimePoint aNow,
+                            const Counts& aCounts,
+                            double aBudgetPart) const
 {
   const double calls = aCounts.m_calls.Sum(aNow, m_limits.m_window);
   const double retries = aCounts.m_retries.Sum(aNow, m_limits.m_window);
@@ -126,8 +125,8 @@
 {
   return std::ranges::any_of(m_services, [&](const auto& aEach) {
     const Counts& counts = aEach.second;
-    return aEach.first != aService && counts.m_isCalledByRetries &&
-           !HasRoom(aNow, counts, kRetriedRunPart);
+    return aEach.first != aService && counts.m_isCalledByRetriedRuns &&
+           !IsWithinBudget(aNow, counts, kRetriedRunPart);
   });
 }
 
--- a/src/calls/route_table.cpp
+++ b/src/calls/route_table.cpp
@@ -13,8 +13,7 @@
 const Route*
 RouteTable::FindLongestPrefix(const Prefixes& aPrefixes, std::string_view aPath)
 {
-  // Looks up the whole path, then each shorter prefix that ends at a segment
-  // boundary, so that the cost does not depend on the number of routes.
+  // The cost does not depend on the number of routes.
   std::string_view prefix = aPath;
   while (!prefix.empty()) {
     const auto found = aPrefixes.find(prefix);
--- a/src/calls/run_table.cpp
+++ b/src/calls/run_table.cpp
@@ -6,12 +6,10 @@
 
 namespace {
 
-/// Longer than any connection lives; a caller process that was silent for this
-/// long sends no further message about its attempts.
+/// A caller silent for this long sends no more messages about its attempts.
 constexpr auto kEvictionMarkLife = std::chrono::hours{ 1 };
 constexpr auto kMinRetryAfter = std::chrono::milliseconds{ 10 };
-/// Slowness from which queued calls are refused again. Lower values are too
-/// close to the normal variance of service times.
+/// Lower values are too close to the normal variance of service times.
 constexpr double kRefuseQueuedSlowness = 2.0;
 
 }
@@ -47,7 +45,7 @@
   auto run = std::make_unique<Run>();
   run->m_key = aKey;
   run->m_state = aState;
-  run->m_since = aNow;
+  run->m_stateSince = aNow;
   Run& kept = *run;
   m_runs.emplace(aKey, std::move(run));
   return kept;
@@ -64,7 +62,7 @@
 bool
 RunTable::MakeRoom(TimePoint aNow, const Run& aFor, RunActions& aOut)
 {
-  if (QueuedOf(aFor.m_class) >= QueueLimit(aFor.m_class)) {
+  if (CountAgainstLimit(aFor.m_class) >= QueueLimit(aFor.m_class)) {
     return false;
   }
   if (m_queued < m_settings.m_queue) {
@@ -134,8 +132,10 @@
     }
   }
   if (const WorkRank rank = Rank(aNow, offered); !rank.m_late) {
-    m_onTimeLoad.Add(
-      aNow, offered.m_kind, rank.m_gain, m_serviceTimes.Of(offered.m_kind));
+    m_onTimeLoad.Add(aNow,
+                     offered.m_kind,
+                     rank.m_gain,
+                     m_serviceTimes.Estimate(offered.m_kind));
   }
   Run& run = AddRun(aNow, aKey, State::Queued);
   CopyDemand(offered, run);
@@ -163,8 +163,8 @@
 TimePoint
 RunTable::ExpiryOf(TimePoint aNow, const Run& aRun) const
 {
-  // After the first the deadline would be missed; after the second the call is
-  // late and its caller should be able to react.
+  // A call that starts after latestStart misses its deadline. A late call is
+  // refused while its caller can still react.
   const TimePoint latestStart =
     aRun.m_deadline - m_settings.m_margin - ServiceTime(aNow, aRun.m_kind);
   const TimePoint waitUntil = std::max(
@@ -177,11 +177,11 @@
 RunTable::StartRun(TimePoint aNow, Run& aRun)
 {
   aRun.m_state = State::Running;
-  aRun.m_since = aNow;
+  aRun.m_stateSince = aNow;
   aRun.m_workerIncarnation = m_workerIncarnation;
-  aRun.m_expected = m_serviceTimes.Known(aRun.m_kind);
-  if (aRun.m_expected) {
-    m_slowness.Started(aNow, *aRun.m_expected);
+  aRun.m_expectedServiceTime = m_serviceTimes.FindMean(aRun.m_kind);
+  if (aRun.m_expectedServiceTime) {
+    m_slowness.RecordStart(aNow, *aRun.m_expectedServiceTime);
   }
   ++m_running;
 }
@@ -192,7 +192,7 @@
   m_queuedRuns.erase(m_queuedRuns.iterator_to(aRun));
   --m_queued;
   aRun.m_state = State::Refused;
-  aRun.m_since = aNow;
+  aRun.m_stateSince = aNow;
   m_ended.push_back(aRun);
 }
 
@@ -204,8 +204,7 @@
     return CancelResult::Evicted;
   }
   if (known == m_runs.end()) {
-    // The cancellation arrived first: record it, so that the request is not
-    // executed when it arrives.
+    // Prevents the execution of a request that arrives later.
     m_ended.push_back(AddRun(aNow, aKey, State::Refused));
     return CancelResult::NotStarted;
   }
@@ -242,14 +241,14 @@
     return out;
   }
   Run& run = *known->second;
-  if (run.m_expected) {
-    m_slowness.Ended(run.m_since, *run.m_expected);
+  if (run.m_expectedServiceTime) {
+    m_slowness.RecordEnd(run.m_stateSince, *run.m_expectedServiceTime);
   }
   if (run.m_workerIncarnation == m_workerIncarnation) {
-    m_serviceTimes.Record(run.m_kind, aNow - run.m_since);
+    m_serviceTimes.Record(run.m_kind, aNow - run.m_stateSince);
   }
   run.m_state = State::Finished;
-  run.m_since = aNow;
+  run.m_stateSince = aNow;
   m_ended.push_back(run);
   --m_running;
   StartQueued(aNow, out);
@@ -337,7 +336,7 @@
   StartQueued(aNow, out);
   EvictEnded(aNow);
   std::erase_if(m_evictionMarks, [aNow](const auto& aMark) {
-    return aNow - aMark.second.m_since > kEvictionMarkLife;
+    return aNow - aMark.second.m_updatedAt > kEvictionMarkLife;
   });
   return out;
 }
@@ -354,13 +353,13 @@
 {
   while (!m_ended.empty()) {
     Run& oldest = m_ended.front();
-    const bool old = aNow - oldest.m_since >= m_settings.m_retention;
+    const bool old = aNow - oldest.m_stateSince >= m_settings.m_retention;
     if (!old && m_ended.size() <= m_settings.m_maxRetained) {
       return;
     }
     EvictionMark& mark = m_evictionMarks[oldest.m_key.m_process];
     mark.m_call = std::max(mark.m_call, oldest.m_key.m_call);
-    mark.m_since = aNow;
+    mark.m_updatedAt = aNow;
     m_ended.pop_front();
     m_runs.erase(oldest.m_key);
   }
--- a/src/calls/run_table_waits.cpp
+++ b/src/calls/run_table_waits.cpp
@@ -2,8 +2,7 @@
 
 #include <algorithm>
 
-// Estimates of the run table: queue order, waiting times, service times, and
-// which calls are refused for them.
+// Estimates of the run table, and refusals based on them.
 
 namespace greengagehub {
 
@@ -20,7 +19,7 @@
 Duration
 RunTable::ServiceTime(TimePoint aNow, CallKind aKind) const
 {
-  return std::chrono::duration_cast<Duration>(m_serviceTimes.Of(aKind) *
+  return std::chrono::duration_cast<Duration>(m_serviceTimes.Estimate(aKind) *
                                               SlownessAt(aNow));
 }
 
@@ -47,8 +46,7 @@
 std::uint32_t
 RunTable::QueueLimit(CallClass aClass) const noexcept
 {
-  // Lower classes may use only a part of the queue, so that they are shed
-  // first.
+  // Lower classes are shed first.
   switch (aClass) {
     case CallClass::Critical:
       return m_settings.m_queue;
@@ -61,7 +59,7 @@
 }
 
 std::uint32_t
-RunTable::QueuedOf(CallClass aClass) const noexcept
+RunTable::CountAgainstLimit(CallClass aClass) const noexcept
 {
   // A class's limit covers the calls of higher classes as well.
   std::uint32_t queued = 0;
@@ -76,7 +74,7 @@
 {
   return RankOf(m_settings.m_decisions,
                 aNow,
-                m_serviceTimes.Of(aRun.m_kind),
+                m_serviceTimes.Estimate(aRun.m_kind),
                 aRun.m_priority,
                 aRun.m_target,
                 aRun.m_deadline);
@@ -88,7 +86,7 @@
   Duration work = Duration::zero();
   for (const Run& each : m_queuedRuns) {
     if (!aRank.IsBefore(Rank(aNow, each))) {
-      work += m_serviceTimes.Of(each.m_kind);
+      work += m_serviceTimes.Estimate(each.m_kind);
     }
   }
   return work;
@@ -101,8 +99,7 @@
   if (m_running < slots) {
     return Duration::zero();
   }
-  // On average a slot becomes free each mean service time divided by the number
-  // of slots.
+  // A slot becomes free once per mean service time divided by their number.
   const Duration work = m_serviceTimes.Mean() + WorkAhead(aNow, aRank);
   return std::chrono::duration_cast<Duration>(work * SlownessAt(aNow)) / slots;
 }
@@ -110,8 +107,8 @@
 Duration
 RunTable::WaitOf(TimePoint aNow, std::uint32_t aPriority, CallKind aKind) const
 {
-  const double gain =
-    GainOf(m_settings.m_decisions, m_serviceTimes.Of(aKind), aPriority, false);
+  const double gain = GainOf(
+    m_settings.m_decisions, m_serviceTimes.Estimate(aKind), aPriority, false);
   return EstimateWait(aNow, { gain, aNow + aKind.m_target, false });
 }
 
--- a/src/calls/work_order.cpp
+++ b/src/calls/work_order.cpp
@@ -33,7 +33,6 @@
            : found;
 }
 
-/// \returns The key under which a new entry for the kind is added.
 template<class Entries>
 CallKind
 KeyForNewEntry(const Entries& aEntries, CallKind aKind)
@@ -44,16 +43,16 @@
 }
 
 std::optional<Duration>
-ServiceTimes::Known(CallKind aKind) const
+ServiceTimes::FindMean(CallKind aKind) const
 {
   const auto found = EntryOf(m_kinds, aKind);
   return found != m_kinds.end() ? std::optional{ found->second } : std::nullopt;
 }
 
 Duration
-ServiceTimes::Of(CallKind aKind) const
+ServiceTimes::Estimate(CallKind aKind) const
 {
-  if (const auto known = Known(aKind)) {
+  if (const auto known = FindMean(aKind)) {
     return *known;
   }
   Duration least = m_mean;
@@ -85,12 +84,12 @@
 
 double
 GainOf(const DecisionSettings& aDecisions,
-       Duration aService,
+       Duration aServiceTime,
        std::uint32_t aPriority,
        bool aIsLate) noexcept
 {
   const std::chrono::duration<double> service =
-    std::max<Duration>(aService, kMinService);
+    std::max<Duration>(aServiceTime, kMinService);
   const double credit =
     std::pow(aDecisions.m_nextRankCredit, std::min(aPriority, kLowestRank)) *
     (aIsLate ? aDecisions.m_lateCredit : 1.0);
@@ -100,15 +99,15 @@
 WorkRank
 RankOf(const DecisionSettings& aDecisions,
        TimePoint aNow,
-       Duration aService,
+       Duration aServiceTime,
        std::uint32_t aPriority,
        TimePoint aTarget,
        TimePoint aDeadline) noexcept
 {
   const auto needed =
-    std::chrono::duration_cast<Duration>(aService * kServiceMargin);
+    std::chrono::duration_cast<Duration>(aServiceTime * kServiceMargin);
   const bool late = aNow + needed > aTarget;
-  return { GainOf(aDecisions, aService, aPriority, late),
+  return { GainOf(aDecisions, aServiceTime, aPriority, late),
            late ? aDeadline : aTarget,
            late };
 }
@@ -116,20 +115,23 @@
 double
 OnTimeLoad::DecayedTo(const Load& aLoad, TimePoint aNow)
 {
-  const std::chrono::duration<double> age = aNow - aLoad.m_since;
+  const std::chrono::duration<double> age = aNow - aLoad.m_updatedAt;
   return aLoad.m_seconds * std::exp(-(age / kLoadDecay));
 }
 
 void
-OnTimeLoad::Add(TimePoint aNow, CallKind aKind, double aGain, Duration aService)
+OnTimeLoad::Add(TimePoint aNow,
+                CallKind aKind,
+                double aGain,
+                Duration aServiceTime)
 {
   const auto found = EntryOf(m_loads, aKind);
   Load& kind = found != m_loads.end() ? found->second
                                       : m_loads[KeyForNewEntry(m_loads, aKind)];
   kind.m_seconds =
-    DecayedTo(kind, aNow) + std::chrono::duration<double>(aService).count();
+    DecayedTo(kind, aNow) + std::chrono::duration<double>(aServiceTime).count();
   kind.m_gain = aGain;
-  kind.m_since = aNow;
+  kind.m_updatedAt = aNow;
 }
 
 double
--- a/src/calls/worker_incarnation.cpp
+++ b/src/calls/worker_incarnation.cpp
@@ -17,11 +17,14 @@
 }
 
 IncarnationTag
-TagOf(const WorkerIncarnation& aStart)
+TagOf(const WorkerIncarnation& aIncarnation)
 {
-  const std::int64_t born =
-    aStart.m_startedAt ? aStart.m_startedAt->time_since_epoch().count() : -1;
-  const Digest digest = Sha256(fmt::format("{}/{}", aStart.m_id, born));
+  const std::int64_t startTime =
+    aIncarnation.m_startedAt
+      ? aIncarnation.m_startedAt->time_since_epoch().count()
+      : -1;
+  const Digest digest =
+    Sha256(fmt::format("{}/{}", aIncarnation.m_id, startTime));
   IncarnationTag tag = 0;
   for (std::size_t i = 0; i < sizeof(tag); ++i) {
     tag = (tag << 8U) | digest.m_bytes[i];
--- a/src/calls/worker_presence.cpp
+++ b/src/calls/worker_presence.cpp
@@ -6,15 +6,13 @@
 
 namespace {
 
-/// Missed heartbeats after which the backend server counts as silent; a single
-/// one may be lost or delayed.
+/// A single heartbeat may be lost or delayed.
 constexpr int kMaxMissedHeartbeats = 3;
 /// Heartbeat periods without a report after which the current incarnation is
 /// overdue. Below 2, so that another one is accepted at its second report.
 constexpr double kOverduePeriods = 1.25;
-/// Past incarnations kept; reports are late by seconds, in which there are few
-/// restarts.
-constexpr std::size_t kMaxPast = 16;
+/// Reports are late by seconds, in which there are few restarts.
+constexpr std::size_t kMaxPastIncarnations = 16;
 /// How long a past incarnation without a start time is matched by its ID; a
 /// backend server may restart under the same ID.
 constexpr auto kIdMatchLife = std::chrono::seconds{ 30 };
@@ -24,19 +22,23 @@
 bool
 WorkerPresence::IsSilent(TimePoint aNow) const noexcept
 {
-  return m_current && aNow - m_lastReportAt > kMaxMissedHeartbeats * m_period;
+  return m_current &&
+         aNow - m_lastReportAt > kMaxMissedHeartbeats * m_heartbeatInterval;
 }
 
 const WorkerPresence::PastIncarnation*
-WorkerPresence::FindPast(TimePoint aNow, const WorkerIncarnation& aStart) const
+WorkerPresence::FindPast(TimePoint aNow,
+                         const WorkerIncarnation& aIncarnation) const
 {
-  const auto found = std::find_if(
-    m_past.begin(), m_past.end(), [&](const PastIncarnation& aEach) {
-      const bool isExpired =
-        !aEach.m_start.m_startedAt && aNow - aEach.m_since > kIdMatchLife;
-      return !isExpired && MayBeSame(aEach.m_start, aStart);
-    });
-  return found == m_past.end() ? nullptr : &*found;
+  const auto found =
+    std::find_if(m_pastIncarnations.begin(),
+                 m_pastIncarnations.end(),
+                 [&](const PastIncarnation& aEach) {
+                   const bool isExpired = !aEach.m_start.m_startedAt &&
+                                          aNow - aEach.m_addedAt > kIdMatchLife;
+                   return !isExpired && MayBeSame(aEach.m_start, aIncarnation);
+                 });
+  return found == m_pastIncarnations.end() ? nullptr : &*found;
 }
 
 bool
@@ -73,7 +75,8 @@
     return false;
   }
   m_candidate = aReport;
-  return isRepeated && aNow - m_lastReportAt > kOverduePeriods * m_period;
+  return isRepeated &&
+         aNow - m_lastReportAt > kOverduePeriods * m_heartbeatInterval;
 }
 
 WorkerPresence::Change
@@ -88,7 +91,7 @@
   m_candidate.reset();
   m_lastReportAt = aNow;
   m_current = aReport;
-  // Leaving is final for an incarnation.
+  // An incarnation that is draining never accepts calls again.
   m_current->m_leaving = aReport.m_leaving || wasLeaving;
   if (m_current->m_leaving) {
     return wasLeaving ? Change::None : Change::Leaving;
@@ -103,7 +106,7 @@
     AddPast({ m_current->m_start, m_current->m_sequence, aNow });
     m_previousLastReportAt = m_lastReportAt;
   }
-  std::erase_if(m_past, [&](const PastIncarnation& aEach) {
+  std::erase_if(m_pastIncarnations, [&](const PastIncarnation& aEach) {
     return aEach.m_start == aReport.m_start;
   });
   m_candidate.reset();
@@ -115,9 +118,9 @@
 void
 WorkerPresence::AddPast(PastIncarnation aPast)
 {
-  m_past.push_back(std::move(aPast));
-  if (m_past.size() > kMaxPast) {
-    m_past.pop_front();
+  m_pastIncarnations.push_back(std::move(aPast));
+  if (m_pastIncarnations.size() > kMaxPastIncarnations) {
+    m_pastIncarnations.pop_front();
   }
 }
 
@@ -142,16 +145,16 @@
   if (m_current || FindPast(aNow, aReport.m_start) != nullptr) {
     return Change::None;
   }
-  // Any heartbeat is newer.
+  // Lower than in any heartbeat.
   aReport.m_sequence = 0;
   return Replace(aNow, aReport);
 }
 
 WorkerPresence::Change
-WorkerPresence::OnLeft(TimePoint aNow, const WorkerIncarnation& aStart)
+WorkerPresence::OnLeft(TimePoint aNow, const WorkerIncarnation& aIncarnation)
 {
-  if (!m_current || !MayBeSame(m_current->m_start, aStart)) {
-    AddPast({ aStart, 0, aNow });
+  if (!m_current || !MayBeSame(m_current->m_start, aIncarnation)) {
+    AddPast({ aIncarnation, 0, aNow });
     return Change::None;
   }
   const bool wasLeaving = m_current->m_leaving;
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -12,15 +12,13 @@
 
 /// The weight of a reported load falls linearly to zero over this time.
 constexpr auto kReportLifetime = std::chrono::milliseconds{ 500 };
-/// Weight of an attempt in the moving averages of failures and refusals.
 constexpr double kOutcomeWeight = 0.125;
 /// Load per slot added to the score of a worker that fails every call.
 constexpr double kFailurePenalty = 4.0;
 constexpr double kRefusalPenalty = 4.0;
 /// Share of failures, above the lowest of the service, that ejects a worker.
 constexpr double kEjectionThreshold = 0.55;
-/// Kinds of calls with statistics for each worker.
-constexpr std::size_t kMaxKinds = 16;
+constexpr std::size_t kMaxKindsPerWorker = 16;
 constexpr auto kFirstEjectionTime = std::chrono::milliseconds{ 1000 };
 constexpr std::uint32_t kMaxEjectionDoublings = 5;
 
@@ -126,13 +124,13 @@
 
 namespace {
 
-/// Sets the incarnation and resets the statistics if it changed. Attempts in
-/// flight stay counted until they end.
+/// Resets the statistics for a new incarnation, but not attempts in flight.
 void
-UpdateIncarnation(WorkerRow& aRow, IncarnationTag aStart)
+UpdateIncarnation(WorkerRow& aRow, IncarnationTag aIncarnation)
 {
-  const bool isNewIncarnation = aRow.m_start != 0 && aRow.m_start != aStart;
-  aRow.m_start = aStart;
+  const bool isNewIncarnation =
+    aRow.m_start != 0 && aRow.m_start != aIncarnation;
+  aRow.m_start = aIncarnation;
   if (!isNewIncarnation) {
     return;
   }
@@ -351,7 +349,7 @@
     *known = stats;
     return;
   }
-  if (aRow.m_kindStats.size() < kMaxKinds) {
+  if (aRow.m_kindStats.size() < kMaxKindsPerWorker) {
     aRow.m_kindStats.push_back(stats);
     return;
   }
@@ -427,8 +425,7 @@
     row.m_ejections = row.m_failures < kOutcomeWeight ? 0 : row.m_ejections;
     return;
   }
-  // If all workers fail alike, as when a service that they depend on is down,
-  // the cause isn't local to this one.
+  // Failures common to all workers have no local cause.
   const double excessFailures = row.m_failures - LowestFailures(row.m_service);
   if (m_decisions.m_ejects && excessFailures > kEjectionThreshold &&
       row.m_ejectedUntil <= aNow) {
--- a/tests/calls/call_age_estimator.cpp
+++ b/tests/calls/call_age_estimator.cpp
@@ -24,8 +24,7 @@
 
 TEST_CASE("a first attempt with a short timeout is not treated as a retry")
 {
-  // Measured from the longest timeout, first attempts of callers with shorter
-  // ones would seem late and be queued behind the others.
+  // Guards against first attempts that count as late for a short timeout.
   Random random{ 1 };
   const CallAgeEstimator age = EstimatorWithSamples(random);
   for (int i = 0; i < 200; ++i) {
--- a/tests/calls/canary_routing.cpp
+++ b/tests/calls/canary_routing.cpp
@@ -54,7 +54,6 @@
   }
 
   /// The worker of the last attempt fails.
-  /// \returns Slot of the next attempt.
   std::string Fail()
   {
     CallAnswer answer;
--- a/tests/calls/dispatcher.cpp
+++ b/tests/calls/dispatcher.cpp
@@ -213,8 +213,7 @@
 
 TEST_CASE("calls are retried while workers shed most of their load")
 {
-  // Guards against giving up after the first rejection by a worker while the
-  // retry budget is unused.
+  // Guards against giving up while the retry budget is unused.
   UniformWorkers workers;
   int number = 0;
   int attempts = 0;
@@ -239,8 +238,7 @@
 
 TEST_CASE("a failure common to all workers is not retried")
 {
-  // Guards against retries that add load to an overloaded service behind the
-  // workers.
+  // Guards against retries that overload a service behind the workers.
   UniformWorkers workers;
   const auto serverError = [](std::uint64_t aAttempt) {
     CallAnswer answer;
@@ -329,7 +327,6 @@
   CHECK(second != first);
   CHECK(fixture.m_send.m_refuseIfBusy);
   fixture.RefuseAsBusy(300ms);
-  // After two busy replies the call waits at the worker with the lowest cost.
   CHECK(fixture.m_send.m_slot != second);
   CHECK_FALSE(fixture.m_send.m_refuseIfBusy);
 }
@@ -394,8 +391,7 @@
 
 TEST_CASE("a call does not cross domains because the only near worker is busy")
 {
-  // Guards against excluding the only near worker for a short wait, so that a
-  // large answer crosses.
+  // Guards against a large answer that crosses to avoid a short wait.
   DomainFixture fixture;
   fixture.Put("far", "kista");
   const std::string nearSlot = fixture.m_send.m_slot;
--- a/tests/calls/many_callers.cpp
+++ b/tests/calls/many_callers.cpp
@@ -10,7 +10,6 @@
 
 namespace {
 
-/// \param aRefuseIfBusy whether busy workers are asked to refuse calls.
 /// \param aChoices workers compared for each call; 0: all.
 /// \returns Share of calls without an answer within the target.
 double
@@ -30,8 +29,7 @@
 
 TEST_CASE("with outdated load reports, refusals by busy workers cut late calls")
 {
-  // Guards against daemons that all select the same worker, so that calls queue
-  // there while other workers are idle.
+  // Guards against calls queued at one worker while others are idle.
   const double queueing = MissedShare(0.85, false, 0);
   const double refusing = MissedShare(0.85, true, 0);
   MESSAGE("missed their target: " << queueing << " queueing, " << refusing
--- a/tests/calls/one_worker.hpp
+++ b/tests/calls/one_worker.hpp
@@ -20,7 +20,6 @@
   std::chrono::milliseconds m_deadline{ 0 };
 };
 
-/// \brief Outcomes of the calls of one stream.
 struct StreamResult
 {
   int m_arrived{ 0 };
@@ -51,7 +50,7 @@
   [[nodiscard]] RunTable& Table() noexcept { return m_table; }
   [[nodiscard]] TimePoint Now() const noexcept { return m_now; }
 
-  /// \returns The outcomes, one entry for each stream.
+  /// \returns One entry for each stream.
   std::vector<StreamResult> Run(const std::vector<CallStream>& aStreams,
                                 Duration aDuration)
   {
--- a/tests/calls/overload.cpp
+++ b/tests/calls/overload.cpp
@@ -45,7 +45,6 @@
 
 TEST_CASE("a worker that fails fast does not get every call")
 {
-  // A worker that fails at once always has free slots.
   const Result result = Run(Lockers(0.5), WorkerBehavior::OneFailsFast);
   CHECK(AnsweredShare(result.m_classes[0]) > 0.995);
 }
--- a/tests/calls/placement.cpp
+++ b/tests/calls/placement.cpp
@@ -3,8 +3,6 @@
 
 #include <doctest/doctest.h>
 
-// Worker selection and queue order under load.
-
 using namespace greengagehub;
 using namespace std::chrono_literals;
 
@@ -83,8 +81,7 @@
 
 TEST_CASE("the request body counts for the cost of crossing")
 {
-  // Guards against calls with large request bodies that cross for a small gain
-  // in time.
+  // Guards against large request bodies that cross for a small gain.
   const DecisionSettings decisions;
   const double crossingCost = CrossingCost(decisions, 4000.0, 1500.0);
   CHECK(crossingCost > 0.5);
@@ -211,8 +208,7 @@
 
 TEST_CASE("in a long burst nearly all calls that run meet their target")
 {
-  // Guards against a first-come, first-served queue in which every call is
-  // late.
+  // Guards against a queue in which every call is late.
   const BurstResult result = RunBurst();
   CHECK(result.m_inTarget > 720);
   CHECK(result.m_late < 60);
--- a/tests/calls/quarantined_calls.cpp
+++ b/tests/calls/quarantined_calls.cpp
@@ -3,8 +3,6 @@
 #include <doctest/doctest.h>
 #include <set>
 
-// Calls that crash workers, and calls to unreachable workers.
-
 using namespace greengagehub;
 using namespace std::chrono_literals;
 
@@ -86,7 +84,6 @@
 
 TEST_CASE("a call that crashes its worker is retried once, then quarantined")
 {
-  // Guards against one call that crashes a worker with each of its attempts.
   TestCaller caller;
   const auto crashes = [&](const SendAttempt&) { return caller.Crash(); };
   CHECK(caller.Call(crashes).m_outcome == CallOutcome::Unknown);
@@ -97,7 +94,7 @@
   CHECK(caller.m_sends.empty());
   CHECK(quarantined.m_outcome == CallOutcome::NotRun);
   CHECK(quarantined.m_reason == RefusalReason::Held);
-  // Not before the quarantine ends.
+  // The call is refused until the quarantine expires.
   CHECK(quarantined.m_retryAfter > 9min);
 }
 
@@ -130,8 +127,7 @@
 
 TEST_CASE("a call skips unreachable workers")
 {
-  // Guards against a call that is refused after attempts at three unreachable
-  // workers while five are idle.
+  // Guards against refusing a call while reachable workers are idle.
   TestCaller caller;
   for (int i = 0; i < 200; ++i) {
     const CallAnswer answer = caller.Call([](const SendAttempt& aSend) {
--- a/tests/calls/queue_order.cpp
+++ b/tests/calls/queue_order.cpp
@@ -2,17 +2,13 @@
 
 #include <doctest/doctest.h>
 
-// Queue order and refusals at an overloaded worker whose calls differ in
-// length.
-
 using namespace greengagehub;
 using namespace greengagehub::test;
 using namespace std::chrono_literals;
 
 namespace {
 
-// Reads alone fill the worker. Credits and price checks are short; a booking at
-// another worker fails if its price check fails.
+// Reads alone fill the worker.
 constexpr CallStream kRead{ 400ms, 2, 28ms, 250ms, 400ms, 800ms };
 constexpr CallStream kCredit{ 150ms, 2, 58ms, 80ms, 150ms, 600ms };
 constexpr CallStream kPriceCheck{ 60ms, 0, 16ms, 25ms, 60ms, 200ms };
@@ -29,7 +25,6 @@
   CHECK(results[2].OnTimeShare() > 0.95);
   CHECK(results[1].RefusedShare() < 0.02);
   CHECK(results[1].OnTimeShare() > 0.8);
-  // The refusals hit the calls with the lowest value for their slot time.
   CHECK(results[0].RefusedShare() > 0.2);
   CHECK(results[0].RefusedShare() < 0.4);
 }
--- a/tests/calls/replay.hpp
+++ b/tests/calls/replay.hpp
@@ -13,7 +13,6 @@
 
 using namespace std::chrono_literals;
 
-/// \brief One failure domain of a simulation.
 struct ReplayDomain
 {
   std::size_t m_callers{ 40 };
--- a/tests/calls/retry_budget.cpp
+++ b/tests/calls/retry_budget.cpp
@@ -34,8 +34,7 @@
 
 TEST_CASE("retries stay a share of the window's calls")
 {
-  // Guards against retries that add load to a service that sheds, so that it
-  // sheds more.
+  // Guards against retries that overload a service further.
   RetryBudget budget{ { .m_share = 0.2, .m_slack = 3.0, .m_window = 10s } };
   CHECK(CountRetries(budget, kStart, 1000, 10ms) <= 203);
   CHECK(CountRetries(budget, kStart + 10s, 1000, 10ms) <= 203);
@@ -79,8 +78,7 @@
 
 TEST_CASE("a part of the budget is reserved for calls of higher priority")
 {
-  // Guards against calls of low priority that use up the retries of calls that
-  // others wait for.
+  // Guards against low-priority calls that use up all retries.
   RetryBudget budget{ { .m_share = 0.2, .m_slack = 0.0, .m_window = 10s } };
   std::uint32_t plans = 0;
   std::uint32_t probes = 0;
@@ -114,9 +112,8 @@
 
 namespace {
 
-/// Simulates desks whose runs each call a service twice. Failed runs and
-/// rejected calls are retried.
-class DesksAndService
+/// Each run calls a service twice; failed runs and rejected calls are retried.
+class CallersAndService
 {
 public:
   /// \returns Highest ratio, over all windows, of repeated calls at the service
@@ -147,8 +144,7 @@
   static constexpr int kRunsPerStep = 8;
   static constexpr double kShare = 0.2;
   static constexpr double kSlack = 216.0;
-  /// Share of the limits that the budget uses.
-  static constexpr double kUsedShare = 0.85;
+  static constexpr double kUsedLimitShare = 0.85;
   static constexpr double kShedShare = 0.55;
 
   struct Run
@@ -208,7 +204,9 @@
   TimePoint m_now{};
   bool m_sheds{ false };
   Random m_random{ 3 };
-  RetryBudget m_budget{ { kUsedShare * kShare, kUsedShare* kSlack, kWindow } };
+  RetryBudget m_budget{
+    { kUsedLimitShare * kShare, kUsedLimitShare* kSlack, kWindow }
+  };
   RetriedRunShare m_retryShare;
   WindowCounter m_calls;
   WindowCounter m_repeatedCalls;
@@ -221,5 +219,5 @@
 {
   // Guards against retried runs that, within their own budget, exceed the
   // budget of the service they call.
-  CHECK(DesksAndService{}.HighestRetryUse(12s, 30s) <= 1.0);
+  CHECK(CallersAndService{}.HighestRetryUse(12s, 30s) <= 1.0);
 }
--- a/tests/calls/run_table.cpp
+++ b/tests/calls/run_table.cpp
@@ -32,8 +32,7 @@
 
 TEST_CASE("a request that arrives after its cancellation is not executed")
 {
-  // The cancellation was answered with "not started", and the call reported as
-  // not run.
+  // The call has already been reported as not run.
   RunTable table{ {} };
   CHECK(table.Cancel(kStart, { 1, 7 }) == CancelResult::NotStarted);
   CHECK(Admit(table, 7).m_kind == Admission::Kind::Refused);
@@ -50,8 +49,7 @@
 
 TEST_CASE("attempts queued from an older connection never start")
 {
-  // After reconnecting, the caller receives "not run" and may retry elsewhere,
-  // so the old attempt must not start when a slot becomes free.
+  // Guards against executing a call twice after its caller reconnects.
   RunTable table{ { .m_slots = 1 } };
   REQUIRE(Admit(table, 1).m_kind == Admission::Kind::Start);
   REQUIRE(Admit(table, 2).m_kind == Admission::Kind::Queued);
@@ -125,8 +123,7 @@
 
 TEST_CASE("an evicted attempt is never reported as not started")
 {
-  // The attempt was executed and its entry evicted. On "not started" its caller
-  // would retry it and execute it twice.
+  // Guards against a retry that executes the call twice.
   RunTable table{ { .m_retention = 10s } };
   REQUIRE(Admit(table, 5).m_kind == Admission::Kind::Start);
   static_cast<void>(table.Finish(kStart, { 1, 5 }));
@@ -139,7 +136,6 @@
   const auto duplicate = table.Admit(
     kStart + 11s, { 1, 5 }, 1, Demand(CallClass::Critical, 1s), out);
   CHECK(duplicate.m_kind == Admission::Kind::Duplicate);
-  // Later attempts and other processes are not affected.
   CHECK(Admit(table, 6).m_kind == Admission::Kind::Start);
   CHECK(table.Cancel(kStart + 11s, { 2, 5 }) == CancelResult::NotStarted);
 }
@@ -156,8 +152,7 @@
 
 TEST_CASE("a call that asks not to be queued is refused as busy")
 {
-  // Callers with old load reports select the same worker; their calls would be
-  // queued there while other workers are idle.
+  // Guards against calls queued at one worker while others are idle.
   RunTable table{ { .m_slots = 2, .m_queue = 10 } };
   RunActions out;
   const auto admit = [&](std::uint64_t aCall, bool aRefuseIfBusy) {
@@ -178,6 +173,5 @@
   const Admission busy = admit(4, true);
   CHECK(busy.m_kind == Admission::Kind::Refused);
   CHECK(busy.m_reason == RefusalReason::Busy);
-  // Without the flag the call is queued.
   CHECK(admit(5, false).m_kind == Admission::Kind::Queued);
 }
--- a/tests/calls/slow_worker.cpp
+++ b/tests/calls/slow_worker.cpp
@@ -6,8 +6,6 @@
 #include <map>
 #include <random>
 
-// A worker whose runs suddenly take many times longer.
-
 using namespace greengagehub;
 using namespace std::chrono_literals;
 
@@ -21,10 +19,10 @@
 class FullWorker
 {
 public:
-  explicit FullWorker(bool aSeesSlowness = true)
+  explicit FullWorker(bool aDetectsSlowness = true)
     : m_table({ .m_slots = kSlots,
                 .m_queue = 4 * kSlots,
-                .m_decisions = { .m_detectsSlowness = aSeesSlowness } })
+                .m_decisions = { .m_detectsSlowness = aDetectsSlowness } })
   {
     for (std::uint32_t i = 0; i < kSlots; ++i) {
       SendCall(kTarget);
@@ -38,7 +36,6 @@
   [[nodiscard]] std::size_t Refused() const noexcept { return m_refused; }
   void SetSlowdown(double aFactor) noexcept { m_slowdown = aFactor; }
 
-  /// \returns The admission of a call that arrives now.
   Admission SendCall(std::chrono::milliseconds aTargetLeft,
                      bool aRefuseIfBusy = false)
   {
@@ -60,7 +57,7 @@
     return admission;
   }
 
-  /// \brief Advances the time; each run that ends is followed by a new call.
+  /// \brief Replaces each run that ends by a new call.
   void Run(Duration aFor)
   {
     const TimePoint end = m_now + aFor;
--- a/tests/calls/unequal_domains.cpp
+++ b/tests/calls/unequal_domains.cpp
@@ -2,8 +2,6 @@
 
 #include <doctest/doctest.h>
 
-// Failure domains whose load is out of proportion to their capacity.
-
 using namespace greengagehub;
 using test::Replay;
 using test::ReplayResult;
@@ -27,8 +25,7 @@
 
 TEST_CASE("an overloaded domain sends a part of its calls to other domains")
 {
-  // Guards against daemons that treat workers with outdated reports as idle and
-  // send calls from one full worker to the next.
+  // Guards against sending calls from one full worker to the next.
   const ReplayResult ownReports = RunReplay(false, 1.2);
   const ReplayResult sharedReports = RunReplay(true, 1.2);
   MESSAGE("missed " << ownReports.Missed() << ", sharing reports "
--- a/tests/calls/worker_presence.cpp
+++ b/tests/calls/worker_presence.cpp
@@ -24,8 +24,8 @@
 
 TEST_CASE("an incarnation that leaves never takes calls again")
 {
-  // A delayed report from before the leave must not send calls to a worker that
-  // is shutting down.
+  // Guards against a delayed report that sends calls to a worker that is
+  // shutting down.
   WorkerPresence worker{ 1500ms };
   CHECK(worker.OnReport(kStart, Report("a", 1)) == Change::Arrived);
   CHECK(worker.TakesCalls());
@@ -47,8 +47,7 @@
 
 TEST_CASE("a late report of a past incarnation is ignored")
 {
-  // Requests would be addressed to an incarnation that no longer runs, and be
-  // rejected.
+  // Guards against requests to an incarnation that no longer runs.
   WorkerPresence worker{ 1500ms };
   SUBCASE("the past incarnation was known")
   {
@@ -66,8 +65,7 @@
 
 TEST_CASE("a health check response is used until the first heartbeat")
 {
-  // After a restart of the daemon the worker would get no calls until its next
-  // heartbeat.
+  // Guards against a restarted daemon that sends no calls until a heartbeat.
   WorkerPresence worker{ 1500ms };
   CHECK(worker.OnProbed(kStart, Report("a", 7)) == Change::Arrived);
   CHECK(worker.TakesCalls());
--- a/tests/calls/worker_restart.cpp
+++ b/tests/calls/worker_restart.cpp
@@ -224,7 +224,6 @@
     CHECK(now.m_ejectedUntil <= kStart);
     CHECK(now.m_kindStats.empty());
     CHECK(now.m_reportedAt == TimePoint{});
-    // The attempt is still in flight.
     CHECK(now.m_inFlight == 1);
   }
 }
