--- a/include/greengagehub/membership/domain_discovery.hpp
+++ b/include/greengagehub/membership/domain_discovery.hpp
@@ -22,8 +22,7 @@
     MemberPeer m_peer;
   };
 
-  /// \brief Replaces the known seeds by those read from the store.
-  /// \param aSeeds addresses in other failure domains.
+  /// \param aSeeds all seeds of other failure domains, read from the store.
   void OnSeeds(std::vector<Seed> aSeeds) { m_seeds = std::move(aSeeds); }
 
   /// \returns Seeds to contact now, of domains with no known member; empty
@@ -31,12 +30,10 @@
   [[nodiscard]] std::vector<MemberPeer> PeersToContact(
     TimePoint aNow,
     const Membership& aMembership);
-  /// \returns Whether the seeds are to be read from the store again; if so,
-  /// schedules the next read.
+  /// \returns Whether to read the seeds now; if so, schedules the next read.
   [[nodiscard]] bool IsReadDue(TimePoint aNow);
 
 private:
-  /// Bounds of the interval between two reads of the seeds.
   static constexpr std::chrono::milliseconds kMinReadInterval{ 1000 };
   static constexpr std::chrono::milliseconds kMaxReadInterval{ 30'000 };
 
--- a/include/greengagehub/membership/gossip_message.hpp
+++ b/include/greengagehub/membership/gossip_message.hpp
@@ -20,7 +20,7 @@
   Digest m_chain;
 };
 
-/// \brief Payload of one gossip datagram between daemons.
+/// \brief Payload of one gossip datagram.
 struct GossipMessage
 {
   enum class Kind : std::uint8_t
@@ -42,8 +42,7 @@
   VersionDigest m_head{};
   std::vector<MemberRecord> m_updates{};
   std::vector<VersionEntry> m_entries{};
-  /// Highest version observed at the receiver's slot; the receiver must not run
-  /// an older one.
+  /// The receiver must not run a version older than this.
   Version m_minimumVersion{};
   bool m_watching{ false };
   /// MemberDigests::Summary() of the sender's view, itself included.
@@ -54,14 +53,12 @@
   std::vector<RolloutRecord> m_rollouts{};
   /// RolloutTable::Summary() at the sender.
   std::uint64_t m_rolloutsDigest{ 0 };
-  /// Run counts of the sender's worker, for the leader of its service's
-  /// roll-out.
+  /// For the leader of the roll-out of the sender's service.
   std::optional<WorkerCounts> m_counts{};
   std::optional<QuotaQuery> m_quotaQuery{};
   std::optional<QuotaReport> m_quotaReport{};
 };
 
-/// \brief An outgoing message and its destination.
 struct GossipSend
 {
   MemberPeer m_to;
--- a/include/greengagehub/membership/member.hpp
+++ b/include/greengagehub/membership/member.hpp
@@ -33,8 +33,8 @@
   [[nodiscard]] bool operator==(const MemberAddress&) const = default;
 };
 
-/// \brief Destination of a message, and whether it is in another failure
-/// domain, where traffic is expensive.
+/// \brief Destination of a message. Traffic between failure domains is
+/// expensive.
 struct MemberPeer
 {
   MemberAddress m_address;
@@ -46,7 +46,7 @@
 /// \brief Properties of the backend server that a daemon announces.
 struct WorkerDescription
 {
-  /// Number of concurrent calls.
+  /// Maximum number of concurrent calls.
   std::uint32_t m_slots{ 0 };
   /// Same as MemberRecord::m_workerIncarnation.
   std::uint32_t m_start{ 0 };
@@ -57,7 +57,7 @@
 /// \brief What a daemon publishes about itself; peers forward it.
 struct MemberRecord
 {
-  /// Name of the daemon's slot; stable across restarts.
+  /// Stable across restarts.
   std::string m_slot;
   /// Start time in milliseconds since the epoch, shifted left by 16 bits, plus
   /// one for each refutation; a restart overrides all earlier records.
@@ -67,10 +67,9 @@
   std::string m_domain;
   std::string m_region;
   MemberAddress m_address;
-  /// Number of concurrent calls configured for the worker.
+  /// Maximum number of concurrent calls of the worker.
   std::uint32_t m_slots{ 0 };
-  /// Identifies the incarnation of the backend server; 0 if unknown.
-  /// Statistics of one incarnation don't apply to another.
+  /// 0 if unknown. Statistics of one incarnation don't apply to another.
   std::uint32_t m_workerIncarnation{ 0 };
   /// Version of the backend server's software, empty if unknown.
   std::string m_workerVersion{};
@@ -78,15 +77,14 @@
   std::uint32_t m_linkMbps{ 0 };
 };
 
-/// \returns Whether calls may be sent to a member in this state. A suspect
-/// still takes calls: their outcome is better evidence than a lost probe.
+/// A suspect still takes calls: their outcome is better evidence than a lost
+/// probe.
 [[nodiscard]] constexpr bool
 TakesCalls(MemberState aState) noexcept
 {
   return aState == MemberState::Alive || aState == MemberState::Suspect;
 }
 
-/// \returns Whether a member in this state is treated as running.
 [[nodiscard]] constexpr bool
 IsPresent(MemberState aState) noexcept
 {
--- a/include/greengagehub/membership/member_sync.hpp
+++ b/include/greengagehub/membership/member_sync.hpp
@@ -11,9 +11,9 @@
 /// \brief Schedules anti-entropy exchanges of the member table with peers,
 /// which repair differences left by lost updates.
 ///
-/// The interval doubles from exchange to exchange and is reset by one that
-/// brings many changes, as when all daemons start together. Only relays and
-/// daemons that haven't joined yet exchange with another failure domain.
+/// The interval doubles with each exchange; an exchange with many changes
+/// resets it. Only relays and daemons that haven't joined yet exchange with
+/// another failure domain.
 class MemberSync
 {
 public:
@@ -23,7 +23,6 @@
   {
   }
 
-  /// \brief Comparison with the sender of a message.
   struct Peer
   {
     /// The digest of its member table differs.
@@ -31,30 +30,28 @@
     bool m_crossesDomains{ false };
   };
 
-  [[nodiscard]] bool HasJoined() const noexcept { return m_joined; }
-  /// \brief Records that this daemon's view matches a peer's.
-  void Joined() noexcept { m_joined = true; }
+  [[nodiscard]] bool HasJoined() const noexcept { return m_hasJoined; }
+  /// To be called once the member table matches that of a peer.
+  void Joined() noexcept { m_hasJoined = true; }
 
-  /// \returns Whether to exchange members with this peer now; if so, schedules
-  /// the next exchange.
+  /// \returns Whether to exchange now; if so, schedules the next exchange.
   [[nodiscard]] bool TryBegin(TimePoint aNow, Peer aPeer, bool aIsDomainRelay)
   {
-    const bool mayCross = !m_joined || aIsDomainRelay;
-    if (!aPeer.m_differs || aNow < m_next ||
+    const bool mayCross = !m_hasJoined || aIsDomainRelay;
+    if (!aPeer.m_differs || aNow < m_nextExchange ||
         (aPeer.m_crossesDomains && (!mayCross || aNow < m_nextCrossDomain))) {
       return false;
     }
     if (aPeer.m_crossesDomains) {
       m_nextCrossDomain = aNow + Jittered(m_random, kCrossDomainInterval);
     }
-    m_next = aNow + Jittered(m_random, m_interval);
+    m_nextExchange = aNow + Jittered(m_random, m_interval);
     m_interval = std::min(2 * m_interval, kMaxInterval);
     return true;
   }
 
   /// \brief The exchange failed; another peer may be tried at once.
-  void Failed() noexcept { m_next = TimePoint{}; }
-  /// \brief The exchange succeeded.
+  void Failed() noexcept { m_nextExchange = TimePoint{}; }
   /// \param aChanges number of records that were new or changed.
   void Ended(std::size_t aChanges) noexcept
   {
@@ -64,22 +61,20 @@
   }
 
 private:
-  /// Bounds of the interval between two exchanges.
   static constexpr std::chrono::milliseconds kMinInterval{ 200 };
   static constexpr std::chrono::milliseconds kMaxInterval{ 30'000 };
-  /// Interval between exchanges with other failure domains, and the delay of
-  /// the first one. Changes spread within the domain from one daemon that has
-  /// them.
+  /// Exchanges with other domains are rarer: changes also spread within a
+  /// domain.
   static constexpr std::chrono::milliseconds kCrossDomainInterval{ 3000 };
   static constexpr std::chrono::milliseconds kFirstCrossDomainDelay{ 750 };
   /// Changes in one exchange that reset the interval.
   static constexpr std::size_t kManyChanges = 8;
 
   Random m_random;
-  TimePoint m_next{};
+  TimePoint m_nextExchange{};
   TimePoint m_nextCrossDomain;
   std::chrono::milliseconds m_interval{ kMinInterval };
-  bool m_joined{ false };
+  bool m_hasJoined{ false };
 };
 
 }
--- a/include/greengagehub/membership/member_table.hpp
+++ b/include/greengagehub/membership/member_table.hpp
@@ -21,18 +21,16 @@
   Version m_minimumVersion{};
   /// Highest version observed at its current process.
   Version m_version{};
-  /// When a suspect is declared dead.
+  /// A suspect is declared dead at this time.
   TimePoint m_suspectUntil{};
-  /// When it became dead or left.
   TimePoint m_goneSince{};
-  /// Number of times the record was sent since its last change, and whether it
-  /// is still queued: within the failure domain, and to other domains.
+  /// Times that the record was sent since its last change, and whether it is
+  /// queued: within the own failure domain, and to other domains.
   std::array<std::uint16_t, 2> m_transmits{};
   std::array<bool, 2> m_pending{};
   bool m_watching{ false };
 };
 
-/// \brief Change of a member, for routing, dissemination and logs.
 struct MemberEvent
 {
   enum class Kind : std::uint8_t
@@ -45,8 +43,8 @@
   MemberRecord m_record;
 };
 
-/// \brief Digests of the present members, in buckets by hash of the slot. Two
-/// daemons exchange only the buckets whose digests differ.
+/// \brief Digests of the present members, in buckets by hash of the slot.
+/// Daemons exchange only buckets that differ.
 struct MemberDigests
 {
   static constexpr std::size_t kBuckets = 256;
@@ -55,10 +53,10 @@
 
   [[nodiscard]] bool operator==(const MemberDigests&) const noexcept = default;
 
-  /// \brief Adds a member; the result doesn't depend on the order.
+  /// The result doesn't depend on the order of calls.
   void Add(const MemberRecord& aRecord);
   void Remove(const MemberRecord& aRecord);
-  /// \returns A digest over all buckets, sent with every probe.
+  /// \returns A digest over all buckets.
   [[nodiscard]] std::uint64_t Summary() const noexcept;
   /// \param aRankKey RankKey() of the member's slot.
   [[nodiscard]] static std::size_t BucketOf(std::uint64_t aRankKey) noexcept;
@@ -114,7 +112,6 @@
 [[nodiscard]] std::uint64_t
 RankKey(std::string_view aSlot);
 
-/// \returns Whether a received record replaces the known one.
 [[nodiscard]] bool
 Overrides(const MemberRecord& aOffered, const MemberRecord& aKnown) noexcept;
 
--- a/include/greengagehub/membership/membership.hpp
+++ b/include/greengagehub/membership/membership.hpp
@@ -12,10 +12,9 @@
 
 namespace greengagehub {
 
-/// \brief Parameters of failure detection and gossip.
 struct MembershipSettings
 {
-  /// Probe period.
+  /// Interval between probes.
   std::chrono::milliseconds m_period{ 1000 };
   /// Timeout of a direct probe, after which indirect probes are requested.
   std::chrono::milliseconds m_ackTimeout{ 300 };
@@ -27,15 +26,14 @@
   /// Number of times each member sends an update, multiplied by log2 of the
   /// number of members. MemberSync delivers the updates that gossip misses.
   std::uint32_t m_transmitFactor{ 1 };
-  /// Maximum number of updates in one datagram.
+  /// Per datagram.
   std::uint32_t m_maxUpdates{ 6 };
   /// Interval in periods between probes of lost members, dead or left.
   std::uint32_t m_lostProbePeriods{ 5 };
-  /// How long a lost member is kept and probed.
+  /// Lost members are kept and probed for this time.
   std::chrono::milliseconds m_forgetAfter{ std::chrono::hours{ 24 } };
 };
 
-/// \brief Messages to send and changes to report.
 struct MembershipActions
 {
   std::vector<GossipSend> m_sends;
@@ -47,8 +45,7 @@
 /// Each period one member of the own failure domain is probed, in shuffled
 /// rounds. Without an ack it is probed indirectly, then suspected, and declared
 /// dead after a timeout that grows with the log of the number of members,
-/// unless it refutes the suspicion with a higher incarnation. The load of each
-/// daemon doesn't depend on the number of members.
+/// unless it refutes the suspicion with a higher incarnation.
 ///
 /// Only the relays of a failure domain probe other domains. Updates sent there
 /// concern the own domain or a suspicion raised by this daemon, so that traffic
@@ -70,75 +67,69 @@
   }
   /// \returns Up to `aCount` distinct present members, drawn at random.
   [[nodiscard]] std::vector<MemberPeer> Sample(std::size_t aCount);
-  /// \returns Same, only from the own failure domain.
+  /// \returns Up to `aCount` present members of the own failure domain.
   [[nodiscard]] std::vector<MemberPeer> SampleOwnDomain(std::size_t aCount);
-  /// \returns Same, from other domains only if the own has too few; those may
-  /// be repeated.
+  /// \returns Members of the own failure domain, then of all domains if the own
+  /// has too few; members may be repeated.
   [[nodiscard]] std::vector<MemberPeer> SampleOwnDomainFirst(
     std::size_t aCount);
   /// \returns One present member of each other failure domain, drawn at random.
   [[nodiscard]] std::vector<MemberPeer> SampleOtherDomains();
-  /// \returns Failure domains with a present member, the own included.
+  /// \returns Failure domains with a present member, including the own.
   [[nodiscard]] std::set<std::string, std::less<>> DomainsPresent() const;
-  /// \returns Whether this member is a relay of its failure domain, which
-  /// exchanges probes, members and versions with other domains. The first
-  /// kRelaysPerDomain by RankInDomain() are; a suspected relay is replaced
-  /// within a period.
+  /// \returns Whether this member is among the first kRelaysPerDomain by
+  /// RankInDomain(). Relays exchange probes, members and versions with other
+  /// domains; a suspected relay is replaced within a period.
   [[nodiscard]] bool IsDomainRelay() const noexcept { return m_isDomainRelay; }
   /// Two, so that updates survive the loss of one.
   static constexpr std::size_t kRelaysPerDomain = 2;
-  /// \returns Rank of this daemon among the live members of its failure domain,
-  /// by link rate and then by hash of the slot.
+  /// \returns The rank, from 0, among the live members of the own failure
+  /// domain, by link rate and then by hash of the slot.
   [[nodiscard]] std::size_t RankInDomain() const;
-  /// \returns Whether it is the first of the live members of all domains in the
-  /// same order.
+  /// \returns Whether this daemon ranks first among the live members of all
+  /// domains.
   [[nodiscard]] bool IsHighestRanked() const;
-  /// \returns The first member in that order; nothing if it is this one.
+  /// \returns Nothing if this daemon ranks first.
   [[nodiscard]] std::optional<MemberPeer> HighestRanked() const;
-  /// \returns The destination for messages to the member.
   [[nodiscard]] MemberPeer PeerOf(const MemberRecord& aRecord) const;
   [[nodiscard]] Version MinimumVersionOf(std::string_view aSlot) const;
-  /// \returns Digests of all present members, this one included.
+  /// \returns Digests of all present members, including this one.
   [[nodiscard]] MemberDigests Digests() const;
-  /// \returns Records of the buckets whose digests differ, starting at a random
-  /// bucket. About kMaxSyncRecords at most, since after the loss of a failure
-  /// domain all buckets differ; a joining daemon gets all records.
+  /// \returns Records of differing buckets, from a random bucket on; about
+  /// kMaxSyncRecords at most, or all records for a joining daemon.
   [[nodiscard]] std::vector<MemberRecord> DifferingRecords(
     const MemberDigests& aTheirs);
   static constexpr std::size_t kMaxSyncRecords = 512;
 
-  /// \brief Probes an address, to join through it.
+  /// \brief Probes an address to join the group.
   [[nodiscard]] MembershipActions Contact(const MemberPeer& aPeer);
   [[nodiscard]] MembershipActions OnTick(TimePoint aNow);
   [[nodiscard]] MembershipActions OnMessage(TimePoint aNow,
                                             const MemberAddress& aFrom,
                                             const GossipMessage& aMessage);
-  /// \brief Applies records from a peer's table; they are not gossiped further.
+  /// \brief Applies records from a peer's table without gossiping them further.
   [[nodiscard]] MembershipActions OnRecords(
     TimePoint aNow,
     const std::vector<MemberRecord>& aRecords);
   /// \brief Sets the own state and sends it to several members at once.
   [[nodiscard]] MembershipActions Announce(MemberState aState);
-  /// \brief Same, with new properties of the worker; increments the incarnation
-  /// to override all earlier records.
+  /// \brief Announces new properties of the worker with a new incarnation.
   [[nodiscard]] MembershipActions Announce(MemberState aState,
                                            WorkerDescription aWorker);
-  /// \brief Records that a version was observed at a slot.
   void RecordVersion(std::string_view aSlot, Version aVersion);
 
 private:
-  /// A pending probe.
   struct Probe
   {
     MemberTable::Index m_target{ 0 };
     std::string m_slot;
     std::uint64_t m_sequence{ 0 };
     TimePoint m_sent;
-    TimePoint m_ends;
+    TimePoint m_deadline;
     bool m_active{ false };
     bool m_indirect{ false };
   };
-  /// A pending probe on behalf of another member.
+  /// A probe on behalf of another member.
   struct IndirectProbe
   {
     std::uint64_t m_sequence{ 0 };
@@ -148,7 +139,6 @@
     TimePoint m_expires;
   };
 
-  /// Whether a probe or an update goes to the own or another failure domain.
   enum class DomainScope : std::uint8_t
   {
     OwnDomain,
@@ -156,9 +146,9 @@
   };
   static constexpr std::size_t kDomainScopes = 2;
 
-  [[nodiscard]] GossipMessage Make(GossipMessage::Kind aKind,
-                                   DomainScope aScope);
-  [[nodiscard]] std::vector<MemberRecord> TakeUpdates(DomainScope aScope);
+  [[nodiscard]] GossipMessage MakeMessage(GossipMessage::Kind aKind,
+                                          DomainScope aScope);
+  [[nodiscard]] std::vector<MemberRecord> SelectUpdates(DomainScope aScope);
   [[nodiscard]] DomainScope ScopeOf(const MemberRecord& aRecord) const;
   [[nodiscard]] static DomainScope ScopeOf(const MemberPeer& aPeer);
   [[nodiscard]] std::uint32_t TransmitLimit() const;
@@ -179,12 +169,11 @@
                MembershipActions& aOut,
                MemberTable::Index aIndex);
   void ExpireSuspects(TimePoint aNow, MembershipActions& aOut);
-  void ForgetLost(TimePoint aNow);
+  void ForgetLostMembers(TimePoint aNow);
   void ContinueProbe(TimePoint aNow, MembershipActions& aOut, Probe& aProbe);
-  /// \brief Starts a probe period.
   void StartProbes(TimePoint aNow, MembershipActions& aOut);
   void StartProbe(TimePoint aNow, MembershipActions& aOut, DomainScope aScope);
-  void ProbeLost(MembershipActions& aOut);
+  void ProbeLostMember(MembershipActions& aOut);
   void OnPing(MembershipActions& aOut,
               const MemberAddress& aFrom,
               const GossipMessage& aMessage);
@@ -195,16 +184,16 @@
   void OnProcessResumed(TimePoint aNow);
   [[nodiscard]] std::optional<MemberTable::Index> NextTarget(
     DomainScope aScope);
-  [[nodiscard]] std::vector<MemberTable::Index>& RoundOf(
+  [[nodiscard]] std::vector<MemberTable::Index>& ProbeRoundOf(
     const MemberRecord& aRecord);
 
   MemberRecord m_self;
   MembershipSettings m_settings;
   Random m_random;
   MemberTable m_members;
-  /// Remaining targets of the probe round and queued updates, by scope.
-  std::array<std::vector<MemberTable::Index>, kDomainScopes> m_rounds;
-  std::array<std::vector<MemberTable::Index>, kDomainScopes> m_pending;
+  /// Remaining targets of the current round.
+  std::array<std::vector<MemberTable::Index>, kDomainScopes> m_probeRounds;
+  std::array<std::vector<MemberTable::Index>, kDomainScopes> m_pendingUpdates;
   std::vector<MemberTable::Index> m_suspects;
   std::vector<MemberTable::Index> m_lostMembers;
   std::vector<IndirectProbe> m_indirectProbes;
@@ -214,8 +203,8 @@
   TimePoint m_lastTick{};
   std::uint64_t m_sequence{ 0 };
   std::uint32_t m_periods{ 0 };
-  /// Recently failed probes less acked ones; extends the timeouts, since the
-  /// process itself may be slow.
+  /// Failed probes less acked ones, at least 0; extends the timeouts, since
+  /// this process may be slow.
   std::uint32_t m_localHealthScore{ 0 };
 };
 
--- a/include/greengagehub/membership/seed_publisher.hpp
+++ b/include/greengagehub/membership/seed_publisher.hpp
@@ -19,23 +19,19 @@
 class SeedPublisher
 {
 public:
-  /// Number of seeds of a failure domain.
-  static constexpr std::size_t kPlacesPerDomain = 2;
+  static constexpr std::size_t kSeedsPerDomain = 2;
 
   SeedPublisher(MemberRecord aSelf, std::uint64_t aSeed);
 
-  /// \param aRank RankInDomain(); nothing before this daemon has joined.
+  /// \param aRank RankInDomain(); empty before this daemon has joined.
   /// \returns The next request to the store, if any; at most one is pending.
   [[nodiscard]] std::optional<StoreRequest> OnTick(
     TimePoint aNow,
     std::optional<std::size_t> aRank);
-  /// \brief The seeds were read from the store.
-  /// \param aHasOthers whether they contain the address of another daemon.
+  /// \param aHasOthers whether the store holds the address of another daemon.
   void OnSeeds(TimePoint aNow, bool aHasOthers);
-  /// \brief The store was restored from a backup; the address is written again
-  /// at the next tick.
+  /// \brief Causes the address to be written again at the next tick.
   void OnStoreRestored() noexcept;
-  /// \brief The store answered the request returned by OnTick().
   void OnReply(TimePoint aNow, const StoreReply& aReply);
 
 private:
@@ -44,11 +40,11 @@
   MemberRecord m_self;
   Random m_random;
   std::size_t m_place{ 0 };
-  /// Last known revision of the seed key.
+  /// Last known revision of the seed key; 0 if unknown.
   Revision m_revision{ 0 };
-  bool m_written{ false };
-  bool m_requestPending{ false };
-  TimePoint m_next{};
+  bool m_isWritten{ false };
+  bool m_isRequestPending{ false };
+  TimePoint m_nextAttempt{};
   /// When to write the first seed if the store holds no other address.
   std::optional<TimePoint> m_firstWriteAt{};
 };
--- a/include/greengagehub/membership/watch_lease.hpp
+++ b/include/greengagehub/membership/watch_lease.hpp
@@ -11,8 +11,7 @@
 
 namespace greengagehub {
 
-/// \brief Number of daemons of a failure domain that watch the store, and the
-/// times of their leases.
+/// \brief Limits the daemons of a failure domain that watch the store.
 struct WatchLeaseSettings
 {
   std::uint32_t m_watchers{ 2 };
@@ -20,17 +19,15 @@
   /// Initial interval between attempts to acquire a place, jittered; doubles
   /// with each failure.
   std::chrono::milliseconds m_retry{ std::chrono::seconds{ 2 } };
-  /// Upper bound of the interval; also used while all places are taken, which
-  /// bounds the time until a lost watcher is replaced.
+  /// Upper bound of the interval; also used while all places are taken.
   std::chrono::milliseconds m_maxRetry{ std::chrono::seconds{ 5 } };
 };
 
 /// \brief Acquires and renews a lease on one of the seed keys of a failure
 /// domain; its holder watches the store.
 ///
-/// The lease only limits the number of watchers: a daemon that resumes with an
-/// expired lease causes one superfluous read and no inconsistency. Joining
-/// daemons use the addresses in the keys.
+/// A daemon that resumes with an expired lease causes one superfluous read and
+/// no inconsistency. Joining daemons use the addresses in the keys.
 class WatchLease
 {
 public:
@@ -40,13 +37,12 @@
 
   [[nodiscard]] bool Holds(TimePoint aNow) const noexcept
   {
-    return m_isQuarantined && aNow < m_expires;
+    return m_hasLease && aNow < m_expires;
   }
 
-  /// \brief Delays the next attempt, since all places of the domain are taken.
   void OnAllPlacesTaken(TimePoint aNow);
-  /// \returns Whether the next OnTick() uses the rank, which takes a pass over
-  /// all members to compute.
+  /// \returns Whether the next OnTick() uses the rank, which is expensive to
+  /// compute.
   [[nodiscard]] bool NeedsRank(TimePoint aNow) const noexcept;
   /// \param aRank Membership::RankInDomain().
   /// \returns The next request to the store, if any; at most one is pending.
@@ -59,7 +55,6 @@
   enum class State : std::uint8_t
   {
     Idle,
-    /// Reads the taken places first, to avoid conflicting writes.
     ListingPlaces,
     RequestingLease,
     WritingSeed,
@@ -79,7 +74,7 @@
   std::uint64_t m_lease{ 0 };
   std::uint32_t m_place{ 0 };
   std::uint32_t m_placesTried{ 0 };
-  bool m_isQuarantined{ false };
+  bool m_hasLease{ false };
   TimePoint m_requestedAt{};
   TimePoint m_expires{};
   TimePoint m_nextTry{};
@@ -92,10 +87,9 @@
 /// \returns The failure domain of a seed key; empty for any other key.
 [[nodiscard]] std::string
 DomainOfSeed(std::string_view aKey);
-/// \returns The address, or nothing if the value is malformed.
+/// \returns Nothing if the value is malformed.
 [[nodiscard]] std::optional<MemberAddress>
 ParseSeed(std::string_view aText);
-/// \returns The common prefix of the seed keys of a failure domain.
 [[nodiscard]] std::string
 SeedPrefix(std::string_view aDomain);
 [[nodiscard]] std::string
--- a/src/membership/domain_discovery.cpp
+++ b/src/membership/domain_discovery.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Short, because calls may wait for a worker in an undiscovered domain.
+/// Short, since calls may wait for a worker in an undiscovered domain.
 constexpr std::chrono::milliseconds kContactInterval{ 200 };
 
 }
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -78,12 +78,9 @@
   m_rows.Erase(aIndex);
 }
 
-// ---------------------------------------------------------------------------
-// Digests
-
 namespace {
 
-/// Excludes the state: short-lived suspicions must not trigger exchanges.
+/// Excludes the state, so that short suspicions don't trigger exchanges.
 std::uint64_t
 DigestElement(const MemberRecord& aRecord)
 {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -41,9 +41,6 @@
   return std::chrono::duration_cast<Duration>(m_settings.m_period * periods);
 }
 
-// ---------------------------------------------------------------------------
-// Messages
-
 Membership::DomainScope
 Membership::ScopeOf(const MemberRecord& aRecord) const
 {
@@ -59,18 +56,18 @@
 }
 
 std::vector<MemberTable::Index>&
-Membership::RoundOf(const MemberRecord& aRecord)
+Membership::ProbeRoundOf(const MemberRecord& aRecord)
 {
-  return m_rounds[static_cast<std::size_t>(ScopeOf(aRecord))];
+  return m_probeRounds[static_cast<std::size_t>(ScopeOf(aRecord))];
 }
 
 GossipMessage
-Membership::Make(Kind aKind, DomainScope aScope)
+Membership::MakeMessage(Kind aKind, DomainScope aScope)
 {
   GossipMessage message;
   message.m_kind = aKind;
   message.m_sender = m_self;
-  message.m_updates = TakeUpdates(aScope);
+  message.m_updates = SelectUpdates(aScope);
   message.m_members = Digests().Summary();
   return message;
 }
@@ -84,11 +81,11 @@
 }
 
 std::vector<MemberRecord>
-Membership::TakeUpdates(DomainScope aScope)
+Membership::SelectUpdates(DomainScope aScope)
 {
   const std::uint32_t limit = TransmitLimit();
   const auto scope = static_cast<std::size_t>(aScope);
-  auto& pending = m_pending[scope];
+  auto& pending = m_pendingUpdates[scope];
   std::erase_if(pending, [&](MemberTable::Index aIndex) {
     if (!m_members.Has(aIndex)) {
       return true;
@@ -126,7 +123,7 @@
   row.m_transmits[scope] = 0;
   if (!row.m_pending[scope]) {
     row.m_pending[scope] = true;
-    m_pending[scope].push_back(aIndex);
+    m_pendingUpdates[scope].push_back(aIndex);
   }
 }
 
@@ -139,14 +136,10 @@
   }
 }
 
-// ---------------------------------------------------------------------------
-// Received records and messages
-
 void
 Membership::ApplyRecordOfSelf(const MemberRecord& aRecord)
 {
-  // A peer treats this process as suspect or lost, or has a record from before
-  // a restart with the clock set back: refute it.
+  // Refute a suspicion, or a record from before the clock was set back.
   const bool contradicts = aRecord.m_incarnation > m_self.m_incarnation ||
                            (aRecord.m_incarnation == m_self.m_incarnation &&
                             aRecord.m_state > MemberState::Leaving);
@@ -172,7 +165,7 @@
       MarkPending(index);
     }
     if (IsPresent(aRecord.m_state)) {
-      RoundOf(aRecord).push_back(index);
+      ProbeRoundOf(aRecord).push_back(index);
       aOut.m_events.push_back({ MemberEvent::Kind::Joined, aRecord });
     } else {
       m_members.At(index).m_goneSince = aNow;
@@ -206,7 +199,7 @@
     return;
   }
   if (!wasPresent) {
-    RoundOf(aRecord).push_back(*known);
+    ProbeRoundOf(aRecord).push_back(*known);
   }
   aOut.m_events.push_back(
     { wasPresent ? MemberEvent::Kind::Changed : MemberEvent::Kind::Joined,
@@ -217,7 +210,7 @@
 Membership::OnRecords(TimePoint aNow, const std::vector<MemberRecord>& aRecords)
 {
   MembershipActions out;
-  // The records are not new to the group; queueing them would delay updates.
+  // The group already knows these records; queueing them would delay updates.
   for (const MemberRecord& each : aRecords) {
     ApplyRecord(aNow, out, each, false);
   }
@@ -260,10 +253,10 @@
                    const MemberAddress& aFrom,
                    const GossipMessage& aMessage)
 {
-  GossipMessage ack = Make(Kind::Ack, ScopeOf(aMessage.m_sender));
+  GossipMessage ack = MakeMessage(Kind::Ack, ScopeOf(aMessage.m_sender));
   ack.m_sequence = aMessage.m_sequence;
   ack.m_minimumVersion = MinimumVersionOf(aMessage.m_sender.m_slot);
-  // A sender that is treated as lost receives its record, to refute it.
+  // The sender refutes its record if it is treated as lost.
   const auto known = m_members.Find(aMessage.m_sender.m_slot);
   if (known && !IsPresent(m_members.At(*known).m_record.m_state)) {
     ack.m_updates.push_back(m_members.At(*known).m_record);
@@ -292,7 +285,7 @@
   if (forwarded == m_indirectProbes.end()) {
     return;
   }
-  GossipMessage ack = Make(Kind::Ack, ScopeOf(forwarded->m_origin));
+  GossipMessage ack = MakeMessage(Kind::Ack, ScopeOf(forwarded->m_origin));
   ack.m_sequence = forwarded->m_originSequence;
   ack.m_target = forwarded->m_target;
   SendTo(aOut, forwarded->m_origin, std::move(ack));
@@ -309,7 +302,7 @@
     return;
   }
   const MemberPeer peer = PeerOf(m_members.At(*target).m_record);
-  GossipMessage ping = Make(Kind::Ping, ScopeOf(peer));
+  GossipMessage ping = MakeMessage(Kind::Ping, ScopeOf(peer));
   ping.m_sequence = ++m_sequence;
   m_indirectProbes.push_back(IndirectProbe{ ping.m_sequence,
                                             aMessage.m_sequence,
--- a/src/membership/membership_time.cpp
+++ b/src/membership/membership_time.cpp
@@ -22,7 +22,7 @@
 Membership::Contact(const MemberPeer& aPeer)
 {
   MembershipActions out;
-  GossipMessage ping = Make(Kind::Ping, ScopeOf(aPeer));
+  GossipMessage ping = MakeMessage(Kind::Ping, ScopeOf(aPeer));
   ping.m_sequence = ++m_sequence;
   SendTo(out, aPeer, std::move(ping));
   return out;
@@ -44,7 +44,7 @@
   for (Probe& each : m_probes) {
     ContinueProbe(aNow, out, each);
   }
-  // After the start, members ahead in rank may become known at any time.
+  // During warm-up, members of higher rank become known at any time.
   if (aNow >= m_nextProbe || m_periods < kWarmUpPeriods) {
     m_isDomainRelay = RankInDomain() < kRelaysPerDomain;
   }
@@ -78,7 +78,7 @@
   if (row.m_record.m_state >= MemberState::Suspect) {
     return;
   }
-  // A draining member that stops answering has exited: no suspicion timeout.
+  // A draining member that stops answering has exited.
   const bool leaving = row.m_record.m_state == MemberState::Leaving;
   m_members.SetState(aIndex, MemberState::Suspect);
   row.m_suspectUntil = leaving ? aNow : aNow + SuspicionTime();
@@ -112,7 +112,7 @@
 }
 
 void
-Membership::ForgetLost(TimePoint aNow)
+Membership::ForgetLostMembers(TimePoint aNow)
 {
   std::erase_if(m_lostMembers, [&](MemberTable::Index aIndex) {
     if (!m_members.Has(aIndex) ||
@@ -135,7 +135,7 @@
   if (!aProbe.m_active) {
     return;
   }
-  if (aNow >= aProbe.m_ends) {
+  if (aNow >= aProbe.m_deadline) {
     aProbe.m_active = false;
     m_localHealthScore = std::min(m_localHealthScore + 1, kMaxLocalHealthScore);
     const auto index = m_members.Find(aProbe.m_slot);
@@ -151,7 +151,7 @@
   }
   aProbe.m_indirect = true;
   for (const MemberPeer& each : SampleOwnDomainFirst(m_settings.m_indirect)) {
-    GossipMessage request = Make(Kind::PingRequest, ScopeOf(each));
+    GossipMessage request = MakeMessage(Kind::PingRequest, ScopeOf(each));
     request.m_sequence = aProbe.m_sequence;
     request.m_target = aProbe.m_slot;
     SendTo(aOut, each, std::move(request));
@@ -161,7 +161,7 @@
 std::optional<MemberTable::Index>
 Membership::NextTarget(DomainScope aScope)
 {
-  auto& round = m_rounds[static_cast<std::size_t>(aScope)];
+  auto& round = m_probeRounds[static_cast<std::size_t>(aScope)];
   while (!round.empty()) {
     const auto index = round.back();
     round.pop_back();
@@ -191,8 +191,8 @@
   m_nextProbe = aNow + m_settings.m_period;
   ++m_periods;
   if (m_periods % m_settings.m_lostProbePeriods == 0) {
-    ForgetLost(aNow);
-    ProbeLost(aOut);
+    ForgetLostMembers(aNow);
+    ProbeLostMember(aOut);
   }
   StartProbe(aNow, aOut, DomainScope::OwnDomain);
   if (m_isDomainRelay) {
@@ -211,7 +211,7 @@
     return;
   }
   const MemberRecord& record = m_members.At(*target).m_record;
-  GossipMessage ping = Make(Kind::Ping, aScope);
+  GossipMessage ping = MakeMessage(Kind::Ping, aScope);
   ping.m_sequence = ++m_sequence;
   // A suspect receives its record, so that its ack refutes the suspicion.
   if (record.m_state == MemberState::Suspect) {
@@ -228,10 +228,9 @@
 }
 
 void
-Membership::ProbeLost(MembershipActions& aOut)
+Membership::ProbeLostMember(MembershipActions& aOut)
 {
-  // Rejoins the sides of a network partition, and members that restart while
-  // the store is unavailable.
+  // The sides of a network partition rejoin through these probes.
   if (m_lostMembers.empty()) {
     return;
   }
@@ -245,7 +244,7 @@
   if (IsPresent(record.m_state) || !mayProbe) {
     return;
   }
-  GossipMessage ping = Make(Kind::Ping, ScopeOf(record));
+  GossipMessage ping = MakeMessage(Kind::Ping, ScopeOf(record));
   ping.m_sequence = ++m_sequence;
   ping.m_updates.push_back(record);
   SendTo(aOut, PeerOf(record), std::move(ping));
@@ -266,15 +265,14 @@
 {
   MembershipActions out;
   m_self.m_state = aState;
-  // Callers in other domains learn of it from rejected calls on their links and
-  // from the relays.
+  // Other domains receive the state from the relays.
   const std::size_t count = std::max<std::size_t>(8, TransmitLimit());
   auto targets = SampleOwnDomain(count);
   if (targets.empty()) {
     targets = Sample(count);
   }
   for (const MemberPeer& each : targets) {
-    GossipMessage message = Make(Kind::Push, ScopeOf(each));
+    GossipMessage message = MakeMessage(Kind::Push, ScopeOf(each));
     SendTo(out, each, std::move(message));
   }
   return out;
--- a/src/membership/membership_views.cpp
+++ b/src/membership/membership_views.cpp
@@ -25,16 +25,16 @@
 std::vector<MemberPeer>
 Membership::SampleOwnDomain(std::size_t aCount)
 {
-  std::vector<MemberPeer> near;
+  std::vector<MemberPeer> peers;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
     const MemberRecord& record = aRow.m_record;
     if (IsPresent(record.m_state) && record.m_domain == m_self.m_domain) {
-      near.push_back(PeerOf(record));
+      peers.push_back(PeerOf(record));
     }
   });
-  std::shuffle(near.begin(), near.end(), m_random);
-  near.resize(std::min(near.size(), aCount));
-  return near;
+  std::shuffle(peers.begin(), peers.end(), m_random);
+  peers.resize(std::min(peers.size(), aCount));
+  return peers;
 }
 
 std::vector<MemberPeer>
@@ -43,17 +43,18 @@
   std::vector<MemberPeer> sampled;
   const auto capacity = m_members.Capacity();
   const std::size_t wanted = std::min(aCount, m_members.Present());
-  std::vector<MemberTable::Index> taken;
-  // Most rows are present members, so a bounded number of draws suffices.
+  std::vector<MemberTable::Index> drawnIndices;
+  // Most rows are present members, so few draws fail.
   std::size_t draws = 16 * (wanted + 1);
-  while (taken.size() < wanted && draws-- > 0) {
+  while (drawnIndices.size() < wanted && draws-- > 0) {
     const auto index =
       static_cast<MemberTable::Index>(Below(m_random, capacity));
     const bool usable =
       m_members.Has(index) && IsPresent(m_members.At(index).m_record.m_state) &&
-      std::find(taken.begin(), taken.end(), index) == taken.end();
+      std::find(drawnIndices.begin(), drawnIndices.end(), index) ==
+        drawnIndices.end();
     if (usable) {
-      taken.push_back(index);
+      drawnIndices.push_back(index);
       sampled.push_back(PeerOf(m_members.At(index).m_record));
     }
   }
@@ -65,7 +66,6 @@
 {
   std::vector<MemberPeer> sampled = SampleOwnDomain(aCount);
   if (sampled.size() < aCount) {
-    // May repeat members of the own domain.
     const auto more = Sample(aCount - sampled.size());
     sampled.insert(sampled.end(), more.begin(), more.end());
   }
@@ -119,9 +119,9 @@
   std::size_t rank = 0;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
     const MemberRecord& record = aRow.m_record;
-    const bool counts = record.m_state == MemberState::Alive &&
-                        record.m_domain == m_self.m_domain;
-    if (counts && RanksBefore(aRow, m_self, own)) {
+    const bool isCandidate = record.m_state == MemberState::Alive &&
+                             record.m_domain == m_self.m_domain;
+    if (isCandidate && RanksBefore(aRow, m_self, own)) {
       ++rank;
     }
   });
@@ -134,8 +134,8 @@
   const std::uint64_t own = RankKey(m_self.m_slot);
   bool isFirst = true;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
-    const bool counts = aRow.m_record.m_state == MemberState::Alive;
-    isFirst = isFirst && !(counts && RanksBefore(aRow, m_self, own));
+    const bool isCandidate = aRow.m_record.m_state == MemberState::Alive;
+    isFirst = isFirst && !(isCandidate && RanksBefore(aRow, m_self, own));
   });
   return isFirst;
 }
@@ -145,10 +145,10 @@
 {
   const MemberRow* first = nullptr;
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
-    const bool counts = aRow.m_record.m_state == MemberState::Alive;
+    const bool isCandidate = aRow.m_record.m_state == MemberState::Alive;
     const bool goesBefore =
       first == nullptr || RanksBefore(aRow, first->m_record, first->m_rankKey);
-    if (counts && goesBefore) {
+    if (isCandidate && goesBefore) {
       first = &aRow;
     }
   });
@@ -183,22 +183,23 @@
 {
   const MemberDigests own = Digests();
   std::array<std::vector<const MemberRecord*>, MemberDigests::kBuckets> buckets;
-  std::size_t known = 0;
-  const auto take = [&](const MemberRecord& aRecord, std::uint64_t aRankKey) {
+  std::size_t nonEmptyBuckets = 0;
+  const auto collect = [&](const MemberRecord& aRecord,
+                           std::uint64_t aRankKey) {
     const std::size_t bucket = MemberDigests::BucketOf(aRankKey);
     if (own.m_sums[bucket] != aTheirs.m_sums[bucket]) {
       buckets[bucket].push_back(&aRecord);
     }
   };
-  take(m_self, RankKey(m_self.m_slot));
+  collect(m_self, RankKey(m_self.m_slot));
   m_members.Rows().Each([&](MemberTable::Index, const MemberRow& aRow) {
-    take(aRow.m_record, aRow.m_rankKey);
+    collect(aRow.m_record, aRow.m_rankKey);
   });
   for (const std::uint64_t each : aTheirs.m_sums) {
-    known += each != 0 ? 1 : 0;
+    nonEmptyBuckets += each != 0 ? 1 : 0;
   }
-  // A joining daemon knows itself and few others.
-  const bool isJoining = known <= MemberDigests::kBuckets / 8;
+  // A joining daemon knows only itself and a few seeds.
+  const bool isJoining = nonEmptyBuckets <= MemberDigests::kBuckets / 8;
   std::vector<MemberRecord> records;
   const std::size_t first = Below(m_random, buckets.size());
   for (std::size_t i = 0; i < buckets.size(); ++i) {
--- a/src/membership/seed_publisher.cpp
+++ b/src/membership/seed_publisher.cpp
@@ -11,16 +11,14 @@
 
 using Status = StoreReply::Status;
 
-/// Interval between attempts while the store is unavailable.
 constexpr auto kRetryInterval = std::chrono::milliseconds{ 1000 };
 /// Interval between checks that the published address is unchanged.
 constexpr auto kVerifyInterval = std::chrono::milliseconds{ 60'000 };
-/// Upper bound of the random delay before a daemon that finds no seed publishes
-/// its own address.
+/// Upper bound of the random delay before a daemon publishes the first seed.
 constexpr auto kMaxFirstWriteDelay = std::chrono::milliseconds{ 800 };
 
-/// The cube root of a uniform value favours long delays: few of many daemons
-/// write early, and the rest read their seeds before their own delay ends.
+/// The cube root favours long delays: few daemons write early, and the rest
+/// read those seeds before their own delay has passed.
 std::chrono::milliseconds
 FirstWriteDelay(Random& aRandom)
 {
@@ -40,7 +38,7 @@
 StoreRequest
 SeedPublisher::Write()
 {
-  m_requestPending = true;
+  m_isRequestPending = true;
   return MakePut(SeedKey(m_self.m_domain, static_cast<std::uint32_t>(m_place)),
                  SeedToJson(m_self.m_address),
                  m_revision);
@@ -49,30 +47,31 @@
 std::optional<StoreRequest>
 SeedPublisher::OnTick(TimePoint aNow, std::optional<std::size_t> aRank)
 {
-  if (m_requestPending || aNow < m_next) {
+  if (m_isRequestPending || aNow < m_nextAttempt) {
     return std::nullopt;
   }
   if (!aRank) {
-    const bool isDue = m_firstWriteAt && aNow >= *m_firstWriteAt && !m_written;
+    const bool isDue =
+      m_firstWriteAt && aNow >= *m_firstWriteAt && !m_isWritten;
     if (!isDue) {
       return std::nullopt;
     }
     m_place = 0;
     return Write();
   }
-  if (*aRank >= kPlacesPerDomain) {
-    m_written = false;
+  if (*aRank >= kSeedsPerDomain) {
+    m_isWritten = false;
     return std::nullopt;
   }
   if (*aRank != m_place) {
     m_place = *aRank;
     m_revision = 0;
-    m_written = false;
+    m_isWritten = false;
   }
-  if (!m_written) {
+  if (!m_isWritten) {
     return Write();
   }
-  m_requestPending = true;
+  m_isRequestPending = true;
   return MakeCheck(
     SeedKey(m_self.m_domain, static_cast<std::uint32_t>(m_place)), m_revision);
 }
@@ -90,33 +89,32 @@
 void
 SeedPublisher::OnStoreRestored() noexcept
 {
-  m_written = false;
+  m_isWritten = false;
   m_revision = 0;
-  m_next = TimePoint{};
+  m_nextAttempt = TimePoint{};
 }
 
 void
 SeedPublisher::OnReply(TimePoint aNow, const StoreReply& aReply)
 {
-  m_requestPending = false;
+  m_isRequestPending = false;
   if (aReply.m_status == Status::Conflict) {
     m_revision = aReply.m_revision;
-    m_written = aReply.m_value == SeedToJson(m_self.m_address);
-    // The next attempt overwrites the address of another daemon if this one
-    // still has the rank.
-    m_next =
-      aNow + Jittered(m_random, m_written ? kVerifyInterval : kRetryInterval);
+    m_isWritten = aReply.m_value == SeedToJson(m_self.m_address);
+    // The next attempt overwrites the address of another daemon.
+    m_nextAttempt =
+      aNow + Jittered(m_random, m_isWritten ? kVerifyInterval : kRetryInterval);
     return;
   }
   if (aReply.m_status != Status::Ok) {
-    m_next = aNow + Jittered(m_random, kRetryInterval);
+    m_nextAttempt = aNow + Jittered(m_random, kRetryInterval);
     return;
   }
-  if (!m_written) {
+  if (!m_isWritten) {
     m_revision = aReply.m_revision;
-    m_written = true;
+    m_isWritten = true;
   }
-  m_next = aNow + Jittered(m_random, kVerifyInterval);
+  m_nextAttempt = aNow + Jittered(m_random, kVerifyInterval);
 }
 
 }
--- a/src/membership/watch_lease.cpp
+++ b/src/membership/watch_lease.cpp
@@ -14,11 +14,11 @@
 using Status = StoreReply::Status;
 
 constexpr int kRenewalsPerLease = 3;
-/// Daemons that compete for each place. More than one, so that a lost watcher
-/// is replaced before its death is detected.
+/// More than one, so that a lost watcher is replaced before it is declared
+/// dead.
 constexpr std::size_t kCandidatesPerPlace = 2;
 
-/// \returns Whether it is an IP address; host names are not resolved.
+/// \returns Whether the host is an IP address; names are not resolved.
 bool
 IsNumeric(const std::string& aHost)
 {
@@ -43,7 +43,7 @@
 WatchLease::BackOff(TimePoint aNow)
 {
   m_state = State::Idle;
-  m_isQuarantined = false;
+  m_hasLease = false;
   m_nextTry = aNow + Jittered(m_random, m_backoff);
   m_backoff = std::min(2 * m_backoff, m_settings.m_maxRetry);
 }
@@ -61,7 +61,7 @@
 void
 WatchLease::OnAllPlacesTaken(TimePoint aNow)
 {
-  if (m_state == State::Idle && !m_isQuarantined) {
+  if (m_state == State::Idle && !m_hasLease) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_maxRetry);
   }
 }
@@ -79,14 +79,14 @@
   if (m_nextTry == TimePoint{}) {
     m_nextTry = aNow + Jittered(m_random, m_settings.m_retry);
   }
-  if (m_isQuarantined && aNow >= m_expires) {
+  if (m_hasLease && aNow >= m_expires) {
     // The process was paused or disconnected for longer than the lease.
-    m_isQuarantined = false;
+    m_hasLease = false;
   }
   if (m_state != State::Idle || aNow < m_nextTry) {
     return std::nullopt;
   }
-  if (m_isQuarantined) {
+  if (m_hasLease) {
     m_state = State::RenewingLease;
     m_requestedAt = aNow;
     return StoreRequest{ .m_kind = StoreRequest::Kind::LeaseKeep,
@@ -148,7 +148,7 @@
     return std::nullopt;
   }
   m_state = State::Idle;
-  m_isQuarantined = true;
+  m_hasLease = true;
   m_backoff = m_settings.m_retry;
   // Counted from the request, since the store grants the lease after it.
   m_expires = m_requestedAt + m_settings.m_leaseTime;
--- a/tests/membership/domains.cpp
+++ b/tests/membership/domains.cpp
@@ -2,9 +2,6 @@
 
 #include <doctest/doctest.h>
 
-// Traffic between failure domains must not grow with the number of members, and
-// updates must reach all domains although relays are lost.
-
 using namespace greengagehub;
 using namespace std::chrono_literals;
 using test::Group;
@@ -78,8 +75,7 @@
 
 TEST_CASE("domains rejoin after a network partition")
 {
-  // Members that are treated as dead must be found again through the addresses
-  // that their peers keep.
+  // Relays must probe members that they treat as dead.
   constexpr std::uint16_t kCount = 30;
   Group group{ kCount, kDomains };
   group.SetCut([](std::uint16_t aFrom, std::uint16_t aTo) {
@@ -96,9 +92,8 @@
 
 TEST_CASE("domains rejoin after all daemons restart at once")
 {
-  // Each daemon joins through its own domain. Without DomainDiscovery the
-  // domains stay separate, and one without a worker of a service rejects its
-  // calls.
+  // Each daemon joins through its own domain, so without DomainDiscovery the
+  // domains would stay separate.
   constexpr std::uint16_t kCount = 30;
   Group group{ kCount, kDomains };
   group.RestartAll(2);
--- a/tests/membership/group.hpp
+++ b/tests/membership/group.hpp
@@ -13,9 +13,7 @@
 
 using namespace std::chrono_literals;
 
-/// \returns The record of a member.
-/// \param aStart incarnation of its process, without refutations.
-/// \param aDomain number of its failure domain.
+/// \param aStart incarnation of the process, without refutations.
 inline MemberRecord
 Record(std::uint16_t aNumber, std::uint64_t aStart = 1, int aDomain = 0)
 {
@@ -27,8 +25,7 @@
   return record;
 }
 
-/// \brief Members that exchange messages in memory, in virtual time. A filter
-/// simulates network partitions.
+/// \brief Members that exchange messages in memory, in virtual time.
 class Group
 {
 public:
@@ -63,7 +60,7 @@
         aSeed.m_peer.m_crossesDomains = true;
         return aSeed.m_domain == At(i).Self().m_domain;
       });
-      m_finders[i].OnSeeds(std::move(others));
+      m_discoveries[i].OnSeeds(std::move(others));
       if (i > m_domains) {
         const auto first = static_cast<std::uint16_t>((i - 1) % m_domains + 1);
         Send(i, At(i).Contact({ At(first).Self().m_address }));
@@ -87,6 +84,7 @@
   }
   void Pause(std::uint16_t aNumber) { m_paused.insert(aNumber); }
   void Resume(std::uint16_t aNumber) { m_paused.erase(aNumber); }
+  /// \param aCut returns whether messages from one member to another are lost.
   void SetCut(std::function<bool(std::uint16_t, std::uint16_t)> aCut)
   {
     m_cut = std::move(aCut);
@@ -125,16 +123,15 @@
                  : MemberState::Left;
   }
 
-  /// \brief Removes a member without an announcement.
+  /// Removes a member without an announcement.
   void Kill(std::uint16_t aNumber) { m_members.erase(aNumber); }
-  /// \returns Messages sent to another domain so far.
   [[nodiscard]] std::uint64_t CrossDomainSends() const noexcept
   {
     return m_crossDomainSends;
   }
-  [[nodiscard]] std::uint64_t CrossDomainComparisons() const noexcept
+  [[nodiscard]] std::uint64_t CrossDomainExchanges() const noexcept
   {
-    return m_crossDomainComparisons;
+    return m_crossDomainExchanges;
   }
   /// \returns The number of members that see `aNumber` in this state.
   [[nodiscard]] std::size_t CountSeeing(std::uint16_t aNumber,
@@ -157,12 +154,12 @@
 
   void DiscoverDomains(std::uint16_t aNumber, Membership& aMember)
   {
-    const auto finder = m_finders.find(aNumber);
-    if (finder == m_finders.end() || !aMember.IsDomainRelay()) {
+    const auto discovery = m_discoveries.find(aNumber);
+    if (discovery == m_discoveries.end() || !aMember.IsDomainRelay()) {
       return;
     }
     for (const MemberPeer& each :
-         finder->second.PeersToContact(m_now, aMember)) {
+         discovery->second.PeersToContact(m_now, aMember)) {
       Send(aNumber, aMember.Contact(each));
     }
   }
@@ -181,13 +178,13 @@
                .OnMessage(m_now,
                           { "127.0.0.1", message.m_from, 0, 0 },
                           message.m_message));
-        Synchronise(message);
+        SyncMembers(message);
       }
     }
   }
 
   /// Fetches records from the sender if the receiver's view differs from it.
-  void Synchronise(const Message& aMessage)
+  void SyncMembers(const Message& aMessage)
   {
     Membership& here = At(aMessage.m_to);
     MemberSync& sync = m_syncs.at(aMessage.m_to);
@@ -204,7 +201,7 @@
                                      here.IsDomainRelay())) {
       return;
     }
-    m_crossDomainComparisons += crossesDomains ? 1 : 0;
+    m_crossDomainExchanges += crossesDomains ? 1 : 0;
     const auto records = At(aMessage.m_from).DifferingRecords(here.Digests());
     const MembershipActions actions = here.OnRecords(m_now, records);
     sync.Ended(actions.m_events.size());
@@ -216,11 +213,11 @@
 
   int m_domains;
   std::uint64_t m_crossDomainSends{ 0 };
-  std::uint64_t m_crossDomainComparisons{ 0 };
+  std::uint64_t m_crossDomainExchanges{ 0 };
   TimePoint m_now{ 1h };
   std::map<std::uint16_t, Membership> m_members;
   std::map<std::uint16_t, MemberSync> m_syncs;
-  std::map<std::uint16_t, DomainDiscovery> m_finders;
+  std::map<std::uint16_t, DomainDiscovery> m_discoveries;
   std::set<std::uint16_t> m_paused;
   std::deque<Message> m_messages;
   std::function<bool(std::uint16_t, std::uint16_t)> m_cut;
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -73,7 +73,7 @@
 
 TEST_CASE("members that restart without seeds are found by their peers")
 {
-  // The restarted members know no address; their peers must probe lost members.
+  // The restarted members know no address.
   Group group{ 8 };
   for (std::uint16_t i = 5; i <= 8; ++i) {
     group.Pause(i);
@@ -134,8 +134,8 @@
 
 TEST_CASE("an exchange between entirely different views is bounded")
 {
-  // Without the bound, all daemons exchange whole tables after the loss of a
-  // failure domain. A joining daemon still gets the whole table.
+  // All buckets differ after the loss of a failure domain. A joining daemon
+  // still gets the whole table.
   Membership one{ Record(1), {}, 1 };
   Membership other{ Record(2), {}, 2 };
   std::vector<MemberRecord> records;
--- a/tests/membership/quarantine_spread.cpp
+++ b/tests/membership/quarantine_spread.cpp
@@ -4,9 +4,6 @@
 
 #include <doctest/doctest.h>
 
-// Quarantine updates must reach all daemons before callers retry a quarantined
-// request.
-
 using namespace greengagehub;
 using namespace std::chrono_literals;
 using test::Record;
@@ -29,9 +26,9 @@
   Duration m_lastDelivery{};
 };
 
-/// Simulates the gossip of one update: its origin sends it to kFanout members
-/// of its domain and two of each other domain, and each member that receives it
-/// first to kFanout members of its own domain.
+/// The origin sends the update to kFanout members of its domain and two of each
+/// other domain; each receiver forwards it to kFanout members of its own
+/// domain.
 SpreadResult
 SimulateSpread(std::uint16_t aCount, int aDomains, std::uint64_t aSeed)
 {
