--- a/include/greengagehub/dissemination/disseminator.hpp
+++ b/include/greengagehub/dissemination/disseminator.hpp
@@ -9,7 +9,6 @@
 
 namespace greengagehub {
 
-/// \brief Parameters of version dissemination.
 struct DisseminationSettings
 {
   /// Number of peers to which each daemon pushes a new version.
@@ -18,17 +17,14 @@
   std::size_t m_maxDatagramBytes{ 1200 };
   /// Delay before a pull, jittered; a push usually arrives first.
   std::chrono::milliseconds m_pullDelay{ 150 };
-  /// Additional delay before a pull from another failure domain, in which a
-  /// peer of the own domain may get the version.
+  /// Additional delay before a pull from another failure domain; a peer of the
+  /// own domain may get the version first.
   std::chrono::milliseconds m_otherDomainDelay{ 0 };
-  /// Time after which a pull without a result is given up.
   std::chrono::milliseconds m_pullTimeout{ 1000 };
 };
 
-/// \brief Distributes configuration versions between daemons: push on arrival,
-/// digest on each probe, pull of missing versions.
-///
-/// Does no I/O; ConfigHolder verifies and applies the entries.
+/// \brief Distributes configuration versions between daemons: pushes new ones,
+/// compares digests with each probe and pulls missing ones. Does no I/O.
 class Disseminator
 {
 public:
@@ -60,7 +56,7 @@
   /// \returns The peer to pull from now, if a pull is due.
   [[nodiscard]] std::optional<MemberPeer> NextPull(TimePoint aNow,
                                                    const ConfigHolder& aHolder);
-  /// \brief The pending pull has ended, with or without a result.
+  /// To be called after success and failure.
   void OnPullEnded() noexcept;
 
 private:
@@ -73,10 +69,10 @@
   Random m_random;
   Version m_highestKnownVersion;
   std::vector<MemberPeer> m_sources;
-  /// Most recent source in the own failure domain; takes precedence.
+  /// Takes precedence over m_sources.
   std::optional<MemberPeer> m_ownDomainSource;
   std::optional<TimePoint> m_pullAt;
-  std::optional<TimePoint> m_pullUntil;
+  std::optional<TimePoint> m_pullDeadline;
 };
 
 }
--- a/src/dissemination/disseminator.cpp
+++ b/src/dissemination/disseminator.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMaxSources = 8;
-/// Bytes of digests, version number and framing of an entry on the wire.
+/// Bytes of an entry on the wire beside its patch.
 constexpr std::size_t kEntryOverhead = 80;
 /// Bytes available in a probe beside its membership records.
 constexpr std::size_t kMaxRepairBytes = 600;
@@ -83,7 +83,7 @@
 std::optional<MemberPeer>
 Disseminator::NextPull(TimePoint aNow, const ConfigHolder& aHolder)
 {
-  if (m_pullUntil && aNow >= *m_pullUntil) {
+  if (m_pullDeadline && aNow >= *m_pullDeadline) {
     OnPullEnded();
   }
   if (m_highestKnownVersion <= aHolder.GetVersion()) {
@@ -92,27 +92,27 @@
     m_pullAt.reset();
     return std::nullopt;
   }
-  const bool due = m_pullAt && aNow >= *m_pullAt && !m_pullUntil;
+  const bool due = m_pullAt && aNow >= *m_pullAt && !m_pullDeadline;
   if (!due || m_sources.empty()) {
     return std::nullopt;
   }
   if (m_ownDomainSource) {
     const MemberPeer source = *m_ownDomainSource;
     m_ownDomainSource.reset();
-    m_pullUntil = aNow + m_settings.m_pullTimeout;
+    m_pullDeadline = aNow + m_settings.m_pullTimeout;
     return source;
   }
   const std::size_t drawn = Below(m_random, m_sources.size());
   const MemberPeer source = m_sources[drawn];
   m_sources.erase(m_sources.begin() + static_cast<std::ptrdiff_t>(drawn));
-  m_pullUntil = aNow + m_settings.m_pullTimeout;
+  m_pullDeadline = aNow + m_settings.m_pullTimeout;
   return source;
 }
 
 void
 Disseminator::OnPullEnded() noexcept
 {
-  m_pullUntil.reset();
+  m_pullDeadline.reset();
   m_pullAt.reset();
 }
 
--- a/tests/dissemination/disseminator.cpp
+++ b/tests/dissemination/disseminator.cpp
@@ -85,7 +85,6 @@
 
 TEST_CASE("a peer of the own domain is preferred over other domains")
 {
-  // Otherwise each daemon transfers the configuration from another domain.
   ConfigHolder holder;
   Disseminator disseminator{ { .m_otherDomainDelay = 400ms }, 1 };
   const MemberPeer ownDomainPeer{ { "127.0.0.2", 1, 2, 3 }, false };
