--- a/include/greengagehub/quarantine/fingerprint.hpp
+++ b/include/greengagehub/quarantine/fingerprint.hpp
@@ -13,8 +13,8 @@
 /// request ids are not among them.
 struct FingerprintInput
 {
-  /// Calling service as its own daemon reports it. Request headers are not
-  /// trusted here, so that a caller cannot impersonate another one.
+  /// Calling service as its own daemon reports it; request headers could
+  /// impersonate another caller.
   std::string_view m_caller{};
   std::string_view m_host{};
   std::string_view m_method{};
--- a/include/greengagehub/quarantine/quarantine.hpp
+++ b/include/greengagehub/quarantine/quarantine.hpp
@@ -9,23 +9,20 @@
 
 namespace greengagehub {
 
-/// \brief Changes made by one operation on the quarantine.
 struct QuarantineChanges
 {
   /// To be sent to other daemons.
   QuarantineUpdate m_update{};
   /// New verdicts, already in force on this daemon.
   std::vector<QuarantineVerdict> m_verdicts{};
-  /// The subset of m_verdicts that this daemon reached itself, rather than
-  /// received.
+  /// The subset of m_verdicts that this daemon reached itself.
   std::vector<QuarantineVerdict> m_ownVerdicts{};
 };
 
 /// \brief Quarantine of requests that crash the backend servers they run on.
 ///
-/// Targets a request that is retried through any daemon, under new ids, and
-/// crashes each backend server that runs it. Every daemon receives the same
-/// crash reports and verdicts, so each decides on its own.
+/// A request may be retried through any daemon and under new ids. Every daemon
+/// receives the same crash reports and verdicts, so each decides on its own.
 ///
 /// A crash interrupts unrelated requests too. These rules find the cause:
 /// - a successful run clears the crashes before it and doubles the threshold
@@ -43,65 +40,61 @@
 {
 public:
   /// Crashes after which a request without a recent success is quarantined. Two
-  /// would also catch an unrelated request that is retried once and meets the
-  /// cause again.
+  /// would catch unrelated requests that are retried beside the cause.
   static constexpr std::uint32_t kCrashLimit = 3;
   /// Crashes after which a request is a suspect: it runs in isolation and is
   /// not retried at once.
   static constexpr std::uint32_t kSuspectCrashes = 2;
-  /// Threshold for a request that succeeded within kRecentSuccess before its
-  /// first counted crash.
+  /// Applies to a request that succeeded within kRecentSuccess before its first
+  /// counted crash.
   static constexpr std::uint32_t kCrashLimitAfterSuccess = 2 * kCrashLimit;
   static constexpr std::chrono::seconds kRecentSuccess{ 60 };
-  /// Crashes of overlapping runs within this time count once. It covers the
-  /// delay between daemons in noticing one outage; a longer window would merge
-  /// separate crashes of concurrent copies.
+  /// Crashes of overlapping runs within this time count once. Daemons notice
+  /// one outage at slightly different times; a longer window would merge
+  /// separate crashes.
   static constexpr std::chrono::milliseconds kSameCauseWindow{ 15 };
-  /// Error of an age reported by another daemon: network delay is not included.
+  /// Error of a reported age, which excludes the network delay.
   static constexpr std::chrono::milliseconds kAgeTolerance{ 10 };
-  /// How long a request stays quarantined; also the lease time of its key in
-  /// the store. A single crash afterwards quarantines it again.
+  /// Also the lease time of a request's key in the store. A single crash
+  /// afterwards quarantines the request again.
   static constexpr std::chrono::minutes kQuarantineTime{ 10 };
-  /// How long crashes and verdicts are kept.
   static constexpr std::chrono::minutes kRetention{ 20 };
   static constexpr std::size_t kMaxCrashes = 512;
   static constexpr std::size_t kMaxVerdicts = 1024;
 
   [[nodiscard]] bool IsQuarantined(TimePoint aNow,
                                    Fingerprint aFingerprint) const;
-  /// \returns The remaining quarantine time, if the request is quarantined.
+  /// \returns Nothing if the request is not quarantined.
   [[nodiscard]] std::optional<std::chrono::milliseconds> QuarantineTimeLeft(
     TimePoint aNow,
     Fingerprint aFingerprint) const;
   /// \returns The number of crashes that count against the request.
   [[nodiscard]] std::uint32_t CrashCount(Fingerprint aFingerprint) const;
-  /// \returns Whether the request must run in isolation.
+  /// \returns Whether the request must run without other suspects.
   [[nodiscard]] bool IsSuspect(Fingerprint aFingerprint) const
   {
     return CrashCount(aFingerprint) >= kSuspectCrashes;
   }
 
-  /// \brief Adds a crash of the local backend server.
-  /// \param aReport without m_lastSuccess, which is filled in here.
+  /// \param aReport crash of the local backend server; m_lastSuccess of its
+  /// runs is filled in here.
   [[nodiscard]] QuarantineChanges OnLocalCrash(TimePoint aNow,
                                                EndReport aReport);
-  /// \brief Applies crashes and verdicts from another daemon or the store.
+  /// \param aUpdate crashes and verdicts from another daemon or the store.
   [[nodiscard]] QuarantineChanges OnUpdate(TimePoint aNow,
-                                           const QuarantineUpdate& aNews);
-  /// \brief Records a successful run on the local backend server.
+                                           const QuarantineUpdate& aUpdate);
+  /// The request succeeded on the local backend server.
   [[nodiscard]] QuarantineChanges OnSuccess(TimePoint aNow,
                                             Fingerprint aFingerprint);
-  /// \brief Lifts a quarantine on behalf of an operator.
+  /// \brief Lifts a quarantine by order of an operator.
   /// \returns Nothing if the request is not quarantined.
   [[nodiscard]] std::optional<QuarantineChanges> Lift(TimePoint aNow,
                                                       Fingerprint aFingerprint);
   /// \brief Lifts expired quarantines and drops old crashes and verdicts.
   [[nodiscard]] QuarantineChanges OnTick(TimePoint aNow);
 
-  /// \brief One crash, as shown to operators.
   struct KnownCrash
   {
-    /// Slot of the daemon that reported the crash.
     std::string m_slot{};
     Duration m_age{};
     /// How long the request had been running.
@@ -112,18 +105,17 @@
   [[nodiscard]] std::vector<KnownCrash> KnownCrashes(
     TimePoint aNow,
     Fingerprint aFingerprint) const;
-  /// \returns All verdicts, to synchronize another daemon.
+  /// \returns All verdicts with current ages.
   [[nodiscard]] std::vector<QuarantineVerdict> Verdicts(TimePoint aNow) const;
   /// \returns A digest of Verdicts() without ages; 0 if there are none.
   [[nodiscard]] std::uint64_t Summary() const noexcept { return m_summary; }
-  /// \returns The number of quarantined requests.
   [[nodiscard]] std::size_t CountQuarantined() const noexcept
   {
     return m_quarantinedCount;
   }
 
 private:
-  /// A run that a crash runs.
+  /// A run that a crash interrupted.
   struct LostRun
   {
     std::uint64_t m_crashId{ 0 };
@@ -140,8 +132,7 @@
   struct Crash
   {
     std::string m_slot{};
-    TimePoint m_at;
-    /// Whether the local backend server crashed.
+    TimePoint m_crashedAt;
     bool m_isLocal{ false };
     std::vector<Fingerprint> m_fingerprints{};
   };
@@ -153,17 +144,15 @@
   struct Record
   {
     QuarantineVerdict m_verdict;
-    /// When the verdict was given; m_verdict.m_age is not updated.
-    TimePoint m_at;
+    /// m_verdict.m_age is not updated.
+    TimePoint m_givenAt;
   };
 
-  /// \returns The crashes that count against the request since its last
-  /// success.
   [[nodiscard]] CrashTally CountCrashes(
     const Suspect& aSuspect,
     Fingerprint aFingerprint,
     std::optional<TimePoint> aLastSuccess) const;
-  /// \returns The last success known to all daemons or to this one only.
+  /// \returns The later success of those known to all daemons and to this one.
   [[nodiscard]] std::optional<TimePoint> LastSuccess(
     const Suspect& aSuspect,
     Fingerprint aFingerprint) const;
@@ -172,7 +161,7 @@
   [[nodiscard]] bool HasKnownCause(std::uint64_t aCrash,
                                    Fingerprint aFingerprint) const;
   [[nodiscard]] bool HasLocalCrash(const Suspect& aSuspect) const;
-  /// \returns Whether the report added runs that were not known yet.
+  /// \returns Whether the report contained new runs.
   bool AddCrash(TimePoint aNow, const EndReport& aReport, bool aIsLocal);
   void EvaluateCrash(TimePoint aNow,
                      const EndReport& aReport,
@@ -193,7 +182,6 @@
   void ApplySuccess(TimePoint aNow,
                     const QuarantineVerdict& aVerdict,
                     QuarantineChanges& aOut);
-  /// \brief Stores a new verdict and adds it to the changes.
   void SetVerdict(TimePoint aAt,
                   const QuarantineVerdict& aVerdict,
                   QuarantineChanges& aOut);
--- a/include/greengagehub/quarantine/quarantine_update.hpp
+++ b/include/greengagehub/quarantine/quarantine_update.hpp
@@ -20,29 +20,26 @@
   Fingerprint m_content{};
   /// How long the request had been running.
   Duration m_ran{};
-  /// Expired from the last success of this request on the same backend server
-  /// to the crash; unset if none is known.
+  /// Time from the last success of this request on the same backend server to
+  /// the crash; unset if no success is known.
   std::optional<Duration> m_lastSuccess{};
 };
 
-/// \brief A crash of one backend server, reported by its daemon.
+/// \brief A crash of a backend server, as reported by its daemon.
 struct EndReport
 {
   /// Unique across the fleet.
   std::uint64_t m_id{ 0 };
-  /// Slot of the reporting daemon.
   std::string m_slot{};
   std::string m_service{};
   Duration m_age{};
+  /// The interrupted runs.
   std::vector<Witness> m_ran{};
 };
 
-/// \brief Why a verdict was given.
 enum class VerdictCause : std::uint8_t
 {
-  /// Too many crashes.
   Crashes,
-  /// A successful run.
   Succeeded,
   Operator,
   /// The quarantine time is over.
@@ -66,11 +63,12 @@
   std::uint32_t m_generation{ 0 };
   bool m_isQuarantined{ false };
   VerdictCause m_cause{ VerdictCause::Crashes };
-  /// Number of crashes that count against the request.
+  /// Crashes that count against the request.
   std::uint32_t m_ends{ 0 };
   Duration m_age{};
 };
 
+/// \brief Crash reports and verdicts exchanged between daemons.
 struct QuarantineUpdate
 {
   std::vector<EndReport> m_ends{};
@@ -82,10 +80,9 @@
   }
 };
 
-/// \returns The update in parts that each fit into a datagram of 1,400 bytes
-/// together with the sender. A crash with many runs is split over several
-/// parts.
+/// \returns Parts that each fit into a datagram of 1,400 bytes together with
+/// the sender. A crash with many runs is split.
 [[nodiscard]] std::vector<QuarantineUpdate>
-SplitIntoDatagrams(const QuarantineUpdate& aNews);
+SplitIntoDatagrams(const QuarantineUpdate& aUpdate);
 
 }
--- a/include/greengagehub/quarantine/success_log.hpp
+++ b/include/greengagehub/quarantine/success_log.hpp
@@ -8,8 +8,7 @@
 
 namespace greengagehub {
 
-/// Hash for unordered containers; the bits of a fingerprint are already
-/// uniformly distributed.
+/// The bits of a fingerprint are already uniformly distributed.
 struct FingerprintHash
 {
   std::size_t operator()(const Fingerprint& aFingerprint) const noexcept
@@ -20,14 +19,12 @@
 
 /// \brief Last success of each request on the local backend server.
 ///
-/// Two generations of entries: a full newer one replaces the older one. At
-/// least the last kGenerationSize fingerprints are kept, and at most twice as
-/// many. Eviction can only lower the number of crashes that a quarantine takes.
+/// Keeps two generations of entries: a full newer one replaces the older one.
+/// Without an entry, fewer crashes lead to a quarantine.
 class SuccessLog
 {
 public:
-  /// Covers one minute of a worker that runs 66 requests per second; about 400
-  /// KB.
+  /// Covers a minute at 66 requests per second.
   static constexpr std::size_t kGenerationSize = 4096;
 
   void Record(TimePoint aNow, Fingerprint aFingerprint)
--- a/include/greengagehub/quarantine/verdict_writer.hpp
+++ b/include/greengagehub/quarantine/verdict_writer.hpp
@@ -10,31 +10,27 @@
 
 namespace greengagehub {
 
-/// Prefix of the keys of quarantined requests in the platform store.
+/// Prefix of store keys; a fingerprint in hexadecimal follows.
 inline constexpr std::string_view kVerdictPrefix = "quarantine/";
 
-/// \returns The value that represents the verdict in the store.
 [[nodiscard]] std::string
 VerdictToJson(const QuarantineVerdict& aVerdict);
 
 /// \param aKey full key, including kVerdictPrefix.
-/// \returns The verdict with an age of zero, or an error if the key or value is
-/// malformed.
+/// \returns The verdict with an age of zero.
 [[nodiscard]] Outcome<QuarantineVerdict>
 ParseVerdict(std::string_view aKey, std::string_view aValue);
 
 /// \brief Persists quarantined requests in the platform store, so that they
 /// survive a restart of all daemons.
 ///
-/// Each verdict takes two calls to the store. Its key has a lease that is not
-/// renewed, so the store expires it without any daemon running.
+/// Each key has a lease that is not renewed, so the store removes it even if no
+/// daemon runs.
 class VerdictWriter
 {
 public:
-  /// \brief Queues the write of a quarantined request.
-  /// \param aNotBefore when to write it.
-  /// \param aChecksFirst whether to read the key first and skip the write if
-  /// another daemon has done it.
+  /// \brief Queues a write of the verdict.
+  /// \param aChecksFirst whether to skip the write if the key already exists.
   void Hold(QuarantineVerdict aVerdict,
             TimePoint aNotBefore,
             bool aChecksFirst);
@@ -43,11 +39,14 @@
   /// \returns The next call to the store, if one is due and none is in
   /// progress.
   [[nodiscard]] std::optional<StoreRequest> OnTick(TimePoint aNow);
-  /// \returns The follow-up call, if there is one.
+  /// \returns The follow-up call, if any.
   [[nodiscard]] std::optional<StoreRequest> OnReply(TimePoint aNow,
                                                     const StoreReply& aReply);
   /// \returns The number of queued changes, including the one in progress.
-  [[nodiscard]] std::size_t Waiting() const noexcept { return m_jobs.size(); }
+  [[nodiscard]] std::size_t CountQueued() const noexcept
+  {
+    return m_jobs.size();
+  }
 
 private:
   enum class Step : std::uint8_t
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -19,15 +19,14 @@
                                aVerdict.m_isQuarantined));
 }
 
-/// \returns Whether the request counts as the cause of crashes that it was part
-/// of. An expired quarantine does not clear it.
+/// \returns Whether crashes during the request's runs are attributed to it. An
+/// expired quarantine does not clear the request.
 bool
 IsKnownCause(const QuarantineVerdict& aVerdict) noexcept
 {
   return aVerdict.m_isQuarantined || aVerdict.m_cause == VerdictCause::Expired;
 }
 
-/// \returns Whether the new verdict takes precedence over the old one.
 bool
 Overrides(const QuarantineVerdict& aNew, const QuarantineVerdict& aOld) noexcept
 {
@@ -62,7 +61,7 @@
   if (found == m_records.end() || !found->second.m_verdict.m_isQuarantined) {
     return std::nullopt;
   }
-  const TimePoint until = found->second.m_at + kQuarantineTime;
+  const TimePoint until = found->second.m_givenAt + kQuarantineTime;
   if (aNow >= until) {
     return std::nullopt;
   }
@@ -167,7 +166,7 @@
   all.reserve(m_records.size());
   for (const auto& [fingerprint, record] : m_records) {
     all.push_back(record.m_verdict);
-    all.back().m_age = aNow - record.m_at;
+    all.back().m_age = aNow - record.m_givenAt;
   }
   return all;
 }
@@ -198,7 +197,7 @@
   Crash& crash = found->second;
   if (isNew) {
     crash.m_slot = aReport.m_slot;
-    crash.m_at = aNow - aReport.m_age;
+    crash.m_crashedAt = aNow - aReport.m_age;
     crash.m_isLocal = aIsLocal;
     m_crashOrder.push_back(aReport.m_id);
   }
@@ -212,10 +211,10 @@
     crash.m_fingerprints.push_back(each.m_content);
     Suspect& suspect = m_suspects[each.m_content];
     suspect.m_runs.push_back(
-      { aReport.m_id, crash.m_at - each.m_ran, crash.m_at });
+      { aReport.m_id, crash.m_crashedAt - each.m_ran, crash.m_crashedAt });
     if (each.m_lastSuccess) {
       suspect.m_lastSuccess = std::max<std::optional<TimePoint>>(
-        suspect.m_lastSuccess, crash.m_at - *each.m_lastSuccess);
+        suspect.m_lastSuccess, crash.m_crashedAt - *each.m_lastSuccess);
     }
   }
   if (m_crashes.size() > kMaxCrashes) {
@@ -312,8 +311,8 @@
   if (!localSuccess || localSuccess <= aSuspect.m_lastSuccess) {
     return;
   }
-  // Most requests that were interrupted once succeed soon after. Publishing
-  // each of these would dominate the traffic.
+  // Most requests that were interrupted once succeed soon after; publishing
+  // those successes would dominate the traffic.
   const auto counted =
     CountCrashes(aSuspect, aFingerprint, aSuspect.m_lastSuccess).m_count;
   const bool lowersCount =
@@ -353,15 +352,15 @@
 }
 
 QuarantineChanges
-Quarantine::OnUpdate(TimePoint aNow, const QuarantineUpdate& aNews)
+Quarantine::OnUpdate(TimePoint aNow, const QuarantineUpdate& aUpdate)
 {
   QuarantineChanges out;
   // Verdicts first; otherwise this daemon would reach them again from the
   // crashes.
-  for (const QuarantineVerdict& each : aNews.m_verdicts) {
+  for (const QuarantineVerdict& each : aUpdate.m_verdicts) {
     ApplyVerdict(aNow, each, out);
   }
-  for (const EndReport& each : aNews.m_ends) {
+  for (const EndReport& each : aUpdate.m_ends) {
     if (AddCrash(aNow, each, false)) {
       out.m_update.m_ends.push_back(each);
       EvaluateCrash(aNow, each, out);
@@ -391,7 +390,7 @@
       Overrides(aVerdict, known->second.m_verdict)) {
     SetVerdict(at, aVerdict, aOut);
   } else if (!Overrides(known->second.m_verdict, aVerdict)) {
-    known->second.m_at = std::min(known->second.m_at, at);
+    known->second.m_givenAt = std::min(known->second.m_givenAt, at);
   }
 }
 
@@ -447,13 +446,13 @@
 {
   QuarantineChanges out;
   while (!m_crashOrder.empty() &&
-         aNow - m_crashes.at(m_crashOrder.front()).m_at > kRetention) {
+         aNow - m_crashes.at(m_crashOrder.front()).m_crashedAt > kRetention) {
     DropOldestCrash();
   }
   std::vector<QuarantineVerdict> expired;
   std::vector<Fingerprint> forgotten;
   for (const auto& [fingerprint, record] : m_records) {
-    const Duration age = aNow - record.m_at;
+    const Duration age = aNow - record.m_givenAt;
     if (record.m_verdict.m_isQuarantined && age >= kQuarantineTime) {
       expired.push_back(record.m_verdict);
     } else if (age > kRetention) {
@@ -490,7 +489,7 @@
   const auto oldest =
     std::ranges::min_element(m_records, {}, [](const auto& aEach) {
       return std::pair{ aEach.second.m_verdict.m_isQuarantined,
-                        aEach.second.m_at };
+                        aEach.second.m_givenAt };
     });
   EraseRecord(oldest->first);
 }
--- a/src/quarantine/quarantine_update.cpp
+++ b/src/quarantine/quarantine_update.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Limits that keep a datagram below 1,200 bytes, at about 30 bytes per run, 50
-/// per verdict and 200 for the sender.
+/// Keep a datagram below 1,200 bytes, at about 30 bytes per run, 50 per verdict
+/// and 200 for the sender.
 constexpr std::size_t kMaxRunsPerPart = 30;
 constexpr std::size_t kMaxVerdictsPerPart = 18;
 
@@ -29,20 +29,20 @@
 }
 
 std::vector<QuarantineUpdate>
-SplitIntoDatagrams(const QuarantineUpdate& aNews)
+SplitIntoDatagrams(const QuarantineUpdate& aUpdate)
 {
   std::vector<QuarantineUpdate> parts;
   // Verdicts first, so that receivers need not reach them from the crashes.
-  for (std::size_t i = 0; i < aNews.m_verdicts.size();
+  for (std::size_t i = 0; i < aUpdate.m_verdicts.size();
        i += kMaxVerdictsPerPart) {
     const std::size_t end =
-      std::min(i + kMaxVerdictsPerPart, aNews.m_verdicts.size());
-    const auto first = aNews.m_verdicts.begin();
+      std::min(i + kMaxVerdictsPerPart, aUpdate.m_verdicts.size());
+    const auto first = aUpdate.m_verdicts.begin();
     parts.push_back({ {},
                       { first + static_cast<std::ptrdiff_t>(i),
                         first + static_cast<std::ptrdiff_t>(end) } });
   }
-  for (const EndReport& each : aNews.m_ends) {
+  for (const EndReport& each : aUpdate.m_ends) {
     AppendCrash(parts, each);
   }
   return parts;
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -13,9 +13,7 @@
 using Json = nlohmann::json;
 using Status = StoreReply::Status;
 
-/// Delay after a failed call to the store.
 constexpr std::chrono::milliseconds kRetryDelay{ 1000 };
-/// Version of the stored JSON format.
 constexpr std::uint64_t kFormatVersion = 1;
 
 std::string
@@ -66,8 +64,6 @@
   return verdict;
 }
 
-// ---------------------------------------------------------------------------
-
 void
 VerdictWriter::DropJobs(Fingerprint aFingerprint)
 {
--- a/tests/quarantine/crash_replay.hpp
+++ b/tests/quarantine/crash_replay.hpp
@@ -13,19 +13,18 @@
 
 using namespace std::chrono_literals;
 
-/// Workload and faults of one replay.
 struct CrashScenario
 {
   std::uint64_t m_seed{ 1 };
   int m_workers{ 9 };
-  /// Rate of requests that are each sent once.
+  /// Requests per second that are each sent once.
   double m_uniquePerSecond{ 100.0 };
   /// Number of distinct requests that are sent repeatedly.
   int m_repeatedCount{ 20 };
   Duration m_repeatInterval{ 500ms };
   /// Interval of the crashing request; zero disables it.
   Duration m_crashingInterval{};
-  /// An external kill of a share of the workers.
+  /// Kills a share of the workers.
   struct Kill
   {
     Duration m_at;
@@ -37,7 +36,6 @@
 
 struct CrashResult
 {
-  /// Crashes caused by the crashing request.
   int m_crashes{ 0 };
   /// Runs of the crashing request that started more than three seconds after
   /// its third crash.
@@ -90,7 +88,7 @@
   struct Running
   {
     std::uint64_t m_id{ 0 };
-    Fingerprint m_content{};
+    Fingerprint m_fingerprint{};
     TimePoint m_started{};
     int m_attempts{ 0 };
     int m_clientTries{ 0 };
@@ -137,17 +135,16 @@
       if (aIsUnique) {
         fingerprint.m_low = ++m_lastUnique;
       }
-      SendFromClient({ .m_content = fingerprint });
+      SendFromClient({ .m_fingerprint = fingerprint });
       if (m_now < kStart + m_scenario.m_length) {
         ScheduleRepeated(aFingerprint, aInterval, aIsUnique);
       }
     });
   }
 
-  /// A client sends the request through a random daemon.
   void SendFromClient(Running aRun)
   {
-    m_result.m_otherRequests += aRun.m_content == kCrashing ? 0 : 1;
+    m_result.m_otherRequests += aRun.m_fingerprint == kCrashing ? 0 : 1;
     aRun.m_caller = Below(m_random, m_workers.size());
     aRun.m_attempts = 0;
     ++aRun.m_clientTries;
@@ -162,9 +159,9 @@
         available.push_back(i);
       }
     }
-    if (m_workers[aRun.m_caller].m_quarantine.IsQuarantined(m_now,
-                                                            aRun.m_content)) {
-      RecordQuarantined(aRun.m_content);
+    if (m_workers[aRun.m_caller].m_quarantine.IsQuarantined(
+          m_now, aRun.m_fingerprint)) {
+      RecordQuarantined(aRun.m_fingerprint);
       return;
     }
     if (available.empty()) {
@@ -173,9 +170,9 @@
     }
     // Suspects always go to the same worker.
     const bool isSuspect =
-      m_workers[aRun.m_caller].m_quarantine.IsSuspect(aRun.m_content);
+      m_workers[aRun.m_caller].m_quarantine.IsSuspect(aRun.m_fingerprint);
     const std::size_t index = isSuspect
-                                ? aRun.m_content.m_low % available.size()
+                                ? aRun.m_fingerprint.m_low % available.size()
                                 : Below(m_random, available.size());
     Begin(available[index], aRun);
   }
@@ -202,14 +199,14 @@
   void Begin(std::size_t aWorker, Running aRun)
   {
     Worker& worker = m_workers[aWorker];
-    if (worker.m_quarantine.IsQuarantined(m_now, aRun.m_content)) {
-      RecordQuarantined(aRun.m_content);
+    if (worker.m_quarantine.IsQuarantined(m_now, aRun.m_fingerprint)) {
+      RecordQuarantined(aRun.m_fingerprint);
       return;
     }
     const bool isRejected =
-      worker.m_quarantine.IsSuspect(aRun.m_content) &&
+      worker.m_quarantine.IsSuspect(aRun.m_fingerprint) &&
       std::ranges::any_of(worker.m_running, [&](const Running& aOther) {
-        return worker.m_quarantine.IsSuspect(aOther.m_content);
+        return worker.m_quarantine.IsSuspect(aOther.m_fingerprint);
       });
     if (isRejected) {
       RetryFromClient(aRun);
@@ -219,7 +216,7 @@
     aRun.m_started = m_now;
     ++aRun.m_attempts;
     worker.m_running.push_back(aRun);
-    const bool isCrashing = aRun.m_content == kCrashing;
+    const bool isCrashing = aRun.m_fingerprint == kCrashing;
     if (isCrashing && m_result.m_crashes >= 3 && m_now > m_thirdCrash + 3s) {
       ++m_result.m_lateRuns;
     }
@@ -245,7 +242,7 @@
       Crash(aWorker);
       return;
     }
-    const Fingerprint fingerprint = found->m_content;
+    const Fingerprint fingerprint = found->m_fingerprint;
     worker.m_running.erase(found);
     Broadcast(aWorker, worker.m_quarantine.OnSuccess(m_now, fingerprint));
   }
@@ -271,7 +268,7 @@
     EndReport report{ ++m_lastCrash, "w", "s", {}, {} };
     for (const Running& each : lost) {
       report.m_ran.push_back(
-        { each.m_content, m_now - each.m_started, std::nullopt });
+        { each.m_fingerprint, m_now - each.m_started, std::nullopt });
     }
     Broadcast(aWorker,
               worker.m_quarantine.OnLocalCrash(m_now, std::move(report)));
@@ -281,7 +278,7 @@
       ScheduleAt(m_now + RandomDuration(1ms, 5ms), [this, aWorker, each] {
         const bool isRetried =
           each.m_attempts < kMaxAttempts &&
-          !m_workers[aWorker].m_quarantine.IsSuspect(each.m_content);
+          !m_workers[aWorker].m_quarantine.IsSuspect(each.m_fingerprint);
         if (isRetried) {
           Send(each);
         } else {
@@ -299,9 +296,9 @@
     for (std::size_t i = 0; i < m_workers.size(); ++i) {
       if (i != aSender) {
         ScheduleAt(m_now + RandomDuration(1ms, 20ms),
-                   [this, i, news = aChanges.m_update] {
+                   [this, i, update = aChanges.m_update] {
                      static_cast<void>(
-                       m_workers[i].m_quarantine.OnUpdate(m_now, news));
+                       m_workers[i].m_quarantine.OnUpdate(m_now, update));
                    });
       }
     }
--- a/tests/quarantine/error_rates.cpp
+++ b/tests/quarantine/error_rates.cpp
@@ -2,9 +2,6 @@
 
 #include <doctest/doctest.h>
 
-// Error rates of the quarantine: crashing requests that are missed, and other
-// requests that are quarantined.
-
 using namespace greengagehub;
 using namespace std::chrono_literals;
 using test::CrashReplay;
@@ -19,7 +16,7 @@
 /// crash.
 constexpr int kMaxLateRuns = 3;
 
-/// Totals over replays with different seeds.
+/// Sums over replays with different seeds.
 struct Totals
 {
   CrashResult m_sum;
@@ -56,7 +53,7 @@
 
 }
 
-TEST_CASE("a crashing request is quarantined in time, and no other")
+TEST_CASE("only the crashing request is quarantined, and in time")
 {
   // Guards against a retried request that crashes worker after worker.
   CrashScenario scenario;
--- a/tests/quarantine/quarantine.cpp
+++ b/tests/quarantine/quarantine.cpp
@@ -2,8 +2,6 @@
 
 #include <doctest/doctest.h>
 
-// Which crashes count against a request.
-
 using namespace greengagehub;
 using namespace std::chrono_literals;
 
@@ -75,8 +73,7 @@
 
 TEST_CASE("an outage of many workers counts as one crash")
 {
-  // Guards against quarantining a request that was running on four workers when
-  // they lost power.
+  // The request was running on four workers when they lost power.
   Quarantine quarantine;
   for (std::uint64_t i = 1; i <= 4; ++i) {
     static_cast<void>(quarantine.OnUpdate(
@@ -90,8 +87,7 @@
 
 TEST_CASE("each crash of a retried request counts")
 {
-  // The crashes are close together, but each retry starts after the crash
-  // before it.
+  // Each retry starts after the crash before it.
   Quarantine quarantine;
   TimePoint now = kStart;
   for (std::uint64_t i = 1; i <= 3; ++i) {
@@ -116,10 +112,9 @@
   CHECK(elsewhere.CrashCount(kOther) == 0);
 }
 
-TEST_CASE("a recent success doubles the number of crashes to quarantine")
+TEST_CASE("a recent success doubles the crash limit")
 {
-  // Guards against quarantining a frequent lookup that is running during most
-  // crashes.
+  // A frequent lookup is running during most crashes.
   Quarantine quarantine;
   static_cast<void>(quarantine.OnSuccess(kStart, kOther));
   ReportCrashes(quarantine, kStart + 1s, 3, { kOther });
@@ -142,7 +137,7 @@
 
 TEST_CASE("a successful run lifts a quarantine on all daemons")
 {
-  // A copy that was already running succeeds after the quarantine.
+  // A concurrent copy succeeds after the verdict.
   Quarantine quarantine;
   ReportCrashes(quarantine, kStart, 3, { kOther });
   REQUIRE(quarantine.IsQuarantined(kStart + 2s, kOther));
@@ -222,13 +217,13 @@
 
 TEST_CASE("a crash with many runs is split into datagrams")
 {
-  QuarantineUpdate news;
-  news.m_ends.push_back(MakeReport(1, std::vector<Fingerprint>(100, kOther)));
+  QuarantineUpdate update;
+  update.m_ends.push_back(MakeReport(1, std::vector<Fingerprint>(100, kOther)));
   for (std::uint64_t i = 0; i < 100; ++i) {
-    news.m_ends[0].m_ran[i].m_content = { i, i };
+    update.m_ends[0].m_ran[i].m_content = { i, i };
   }
   Quarantine quarantine;
-  for (const QuarantineUpdate& each : SplitIntoDatagrams(news)) {
+  for (const QuarantineUpdate& each : SplitIntoDatagrams(update)) {
     REQUIRE(each.m_ends.size() == 1);
     CHECK(each.m_ends[0].m_ran.size() <= 30);
     static_cast<void>(quarantine.OnUpdate(kStart, each));
--- a/tests/quarantine/verdict_writer.cpp
+++ b/tests/quarantine/verdict_writer.cpp
@@ -81,14 +81,14 @@
   SUBCASE("written")
   {
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
-    CHECK(writer.Waiting() == 0);
+    CHECK(writer.CountQueued() == 0);
   }
   SUBCASE("another daemon wrote the same verdict")
   {
     StoreReply conflict = MakeReply(Status::Conflict);
     conflict.m_value = VerdictToJson(MakeVerdict());
     CHECK_FALSE(writer.OnReply(kStart, conflict));
-    CHECK(writer.Waiting() == 0);
+    CHECK(writer.CountQueued() == 0);
   }
   SUBCASE("an earlier verdict is replaced")
   {
@@ -101,7 +101,7 @@
   SUBCASE("a lost answer is retried")
   {
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Unknown)));
-    CHECK(writer.Waiting() == 1);
+    CHECK(writer.CountQueued() == 1);
     CHECK_FALSE(writer.OnTick(kStart));
     CHECK(writer.OnTick(kStart + 2s)->m_kind == Kind::LeaseGrant);
   }
@@ -114,7 +114,7 @@
     REQUIRE(gone);
     CHECK(gone->m_kind == Kind::Delete);
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
-    CHECK(writer.Waiting() == 0);
+    CHECK(writer.CountQueued() == 0);
   }
 }
 
@@ -130,7 +130,7 @@
   SUBCASE("the key exists")
   {
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
-    CHECK(writer.Waiting() == 0);
+    CHECK(writer.CountQueued() == 0);
   }
   SUBCASE("the key is missing")
   {
@@ -140,6 +140,6 @@
   SUBCASE("the store is unavailable")
   {
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Unavailable)));
-    CHECK(writer.Waiting() == 1);
+    CHECK(writer.CountQueued() == 1);
   }
 }
