--- a/include/greengagehub/rollout/canary_analyzer.hpp
+++ b/include/greengagehub/rollout/canary_analyzer.hpp
@@ -20,11 +20,9 @@
 /// \brief Compares the runs of a canary with concurrent runs of the version in
 /// service: failures, lost answers and slow runs.
 ///
-/// Other faults of the fleet affect both versions alike, so the version in
-/// service is the baseline at each moment. The worst quarter of the canary's
-/// workers is ignored, to exclude faults of single workers. Each route is
-/// evaluated by itself, since a fault may affect only one. Runs count for about
-/// three seconds, so that earlier good runs don't hide a fault that begins
+/// The worst quarter of the canary's workers is ignored, to exclude faults of
+/// single workers. Each route is evaluated by itself, since a fault may affect
+/// only one. Recent runs, of about three seconds, reveal a fault that begins
 /// late.
 class CanaryAnalyzer
 {
@@ -36,28 +34,29 @@
     Bad,
   };
 
-  /// \brief A verdict with its evidence.
   struct Judgement
   {
     Verdict m_verdict{ Verdict::Inconclusive };
     RollbackCause m_cause{ RollbackCause::None };
     /// Route with the fault; 0 for all routes together.
     std::uint64_t m_route{ 0 };
-    /// Evaluated runs of the canary, the bad ones among them, and the number of
-    /// bad runs expected from the baseline.
+    /// Runs of the canary.
     double m_runs{ 0.0 };
     double m_badRuns{ 0.0 };
+    /// Bad runs expected at the rates of the baseline.
     double m_expected{ 0.0 };
   };
 
-  /// \brief Traffic of both versions since the previous evaluation.
+  /// \brief Calls to the canary (new) and the version in service (old).
   struct Traffic
   {
+    /// Since the order.
     std::uint64_t m_newRuns{ 0 };
+    /// Since the previous evaluation.
     std::uint32_t m_oldArrived{ 0 };
     std::uint32_t m_newArrived{ 0 };
-    /// Running and queued calls at workers of the version in service.
-    std::uint32_t m_oldAtWork{ 0 };
+    /// Running and queued.
+    std::uint32_t m_oldPendingCalls{ 0 };
   };
 
   explicit CanaryAnalyzer(std::string aTarget)
@@ -66,15 +65,13 @@
   }
 
   void OnCounts(const WorkerCounts& aCounts);
-  /// \brief Evaluates the counts received since the previous evaluation.
   [[nodiscard]] Judgement Evaluate();
   [[nodiscard]] const Traffic& LastTraffic() const noexcept
   {
     return m_traffic;
   }
 
-  /// Probability of a bad verdict on a good version, over all routes and
-  /// measures.
+  /// Probability of a bad verdict on a good version, over routes and measures.
   static constexpr double kFalseBadRate = 1e-4;
   /// Probability of a good verdict on a version whose rates have risen by the
   /// lift of their measure.
@@ -82,7 +79,7 @@
 
 private:
   static constexpr std::size_t kMeasureCount = 3;
-  /// Runs, the bad ones among them, and the number of bad runs expected.
+  /// See Judgement.
   struct Tally
   {
     double m_runs{ 0.0 };
@@ -91,7 +88,6 @@
 
     void Add(const Tally& aOther) noexcept;
     void Decay() noexcept;
-    /// \returns The number of bad runs beyond those expected.
     [[nodiscard]] double Excess() const noexcept;
   };
   /// Indexed by measure: failures, lost answers, slowness.
@@ -118,14 +114,16 @@
   };
   struct Route
   {
-    /// Since the previous evaluation, over about three seconds, and since the
-    /// order.
+    /// Since the previous evaluation.
     Baseline m_latest;
+    /// Over about three seconds.
     Baseline m_recent;
+    /// Since the order.
     Baseline m_all;
     /// Recent counts of the canary, by worker.
-    std::map<std::string, Tallies> m_workers;
-    Tallies m_sum;
+    std::map<std::string, Tallies> m_recentByWorker;
+    /// Counts of the canary since the order.
+    Tallies m_canaryTotals;
   };
 
   [[nodiscard]] bool IsCanary(const WorkerCounts& aCounts) const
@@ -138,25 +136,22 @@
                     Route& aRoute,
                     const RouteCounts& aCurrent,
                     const RouteCounts& aPrevious);
-  /// \returns The baseline rate of a count. It is the higher of the latest and
-  /// the recent rate, because workers see the start or end of a fault at
-  /// slightly different times.
+  /// \returns The higher of the latest and the recent rate, since workers see a
+  /// fault begin and end at slightly different times.
   template<class Count, class Total>
   [[nodiscard]] static double BaselineRate(const Route& aRoute,
                                            double aMinRate,
                                            Count aCount,
                                            Total aTotal);
-  /// \returns The first bucket of run times that count as slow.
   [[nodiscard]] static std::size_t FirstSlowBucket(
     const Route& aRoute) noexcept;
-  /// \returns The likelihood ratio of the recent runs on a route, without the
-  /// worst workers.
+  /// \returns The log-likelihood ratio without the worst workers.
   [[nodiscard]] static double RecentRatio(const Route& aRoute,
                                           std::size_t aMeasure);
   [[nodiscard]] Judgement FindBadRoute() const;
   [[nodiscard]] Judgement FindExcess() const;
-  /// \returns Whether each frequent route has enough runs and looks good so
-  /// far.
+  /// \returns Whether each frequent route has enough runs and recently few
+  /// failures.
   [[nodiscard]] bool IsProbablyGood() const;
   [[nodiscard]] bool IsGood() const;
 
@@ -164,7 +159,7 @@
   std::map<std::string, Worker> m_workers;
   std::map<std::uint64_t, Route> m_routes;
   /// Counts of the canary since the order, by worker.
-  std::map<std::string, Tallies> m_totals;
+  std::map<std::string, Tallies> m_totalsByWorker;
   Traffic m_traffic;
 };
 
--- a/include/greengagehub/rollout/rollout_leader.hpp
+++ b/include/greengagehub/rollout/rollout_leader.hpp
@@ -9,8 +9,8 @@
 /// \brief Leads one roll-out: collects run counts, evaluates them and grants
 /// permits step by step.
 ///
-/// Every daemon receives the record and the counts, so any of them can take
-/// over and continue at the current step. Two concurrent leaders grant the same
+/// Every daemon receives the record and the counts, so any of them can continue
+/// at the current step. Two concurrent leaders grant the same
 /// permits or smaller ones, and the store accepts the result of one of them.
 class RolloutLeader
 {
@@ -26,8 +26,7 @@
   struct Lead
   {
     RolloutRecord m_record;
-    /// Whether the state or the canary share changes; false if the permit is
-    /// only renewed.
+    /// Whether the state or the canary share changes.
     bool m_isStep{ false };
     CanaryAnalyzer::Judgement m_judgement{};
     StepInputs m_view{};
@@ -36,9 +35,7 @@
   RolloutLeader(TimePoint aNow, std::string aTarget, RolloutLimits aLimits);
 
   [[nodiscard]] const std::string& Target() const noexcept { return m_target; }
-  void OnCounts(const WorkerCounts& aCounts) { m_judge.OnCounts(aCounts); }
-  /// \param aRecord the current record.
-  /// \returns The decision to publish, if one is due.
+  void OnCounts(const WorkerCounts& aCounts) { m_analyzer.OnCounts(aCounts); }
   [[nodiscard]] std::optional<Lead> OnTick(TimePoint aNow,
                                            const RolloutRecord& aRecord,
                                            const Workers& aWorkers);
@@ -51,12 +48,12 @@
 
   std::string m_target;
   RolloutLimits m_limits;
-  CanaryAnalyzer m_judge;
+  CanaryAnalyzer m_analyzer;
   CanaryAnalyzer::Judgement m_judgement;
   TimePoint m_startedAt;
   TimePoint m_evaluatedAt{};
   TimePoint m_publishedAt{};
-  /// Current canary share, in thousandths, and when it was set.
+  /// Current canary share, in thousandths.
   std::uint32_t m_permille{ 0 };
   TimePoint m_permilleSince{};
   std::uint32_t m_idleEvaluations{ 0 };
--- a/include/greengagehub/rollout/rollout_record.hpp
+++ b/include/greengagehub/rollout/rollout_record.hpp
@@ -9,12 +9,11 @@
 
 namespace greengagehub {
 
-/// \brief An operator's order to move a service's calls to another version,
-/// whose workers run beside those of the version in service.
+/// \brief An operator's order to move a service's calls to another version.
 struct RolloutOrder
 {
   std::string m_service{};
-  /// The new version.
+  /// Version to move to.
   std::string m_target{};
   /// Time allowed until completion or rollback.
   std::chrono::milliseconds m_duration{ 0 };
@@ -37,14 +36,12 @@
 [[nodiscard]] std::string_view
 NameOf(RolloutState aState) noexcept;
 
-/// \returns Whether no other state follows.
 [[nodiscard]] constexpr bool
 IsFinal(RolloutState aState) noexcept
 {
   return aState >= RolloutState::RolledBack;
 }
 
-/// \brief Why a version was rolled back.
 enum class RollbackCause : std::uint8_t
 {
   None,
@@ -67,29 +64,25 @@
 [[nodiscard]] std::string_view
 NameOf(RollbackCause aCause) noexcept;
 
-/// \brief Permit to send calls to the canary. It expires unless renewed, so a
-/// daemon without updates stops on its own.
+/// \brief Permit to send calls to the canary; expires unless renewed.
 struct CanaryPermit
 {
   /// Canary share of the service's calls, in thousandths.
   std::uint32_t m_permille{ 0 };
-  /// Number of new workers in use, the same ones on all daemons; 0 for all. A
-  /// few workers reach the load per worker of the others with a small share.
+  /// Number of new workers in use, the same ones on all daemons; 0 for all.
   std::uint32_t m_workers{ 0 };
   /// Index of the first worker in use, in an order that all daemons share;
   /// wraps around.
   std::uint32_t m_first{ 0 };
-  /// Remaining validity.
+  /// Remaining time.
   Duration m_left{};
 };
 
-/// \brief Counts behind a verdict on a version.
 struct VerdictEvidence
 {
-  /// Evaluated runs of the version, the bad ones among them, and the number of
-  /// bad runs expected from the version in service.
   std::uint32_t m_runs{ 0 };
   std::uint32_t m_badRuns{ 0 };
+  /// Bad runs expected at the rates of the version in service.
   std::uint32_t m_expected{ 0 };
 };
 
@@ -105,8 +98,8 @@
   RolloutState m_state{ RolloutState::Running };
   /// Whether the store has accepted the final state.
   bool m_isWritten{ false };
-  /// Whether the roll-out is known only from the store, as running; such a
-  /// record is not sent to other daemons.
+  /// Whether the roll-out is known only from the store; such a record is not
+  /// sent to other daemons.
   bool m_isFromStore{ false };
   RollbackCause m_cause{ RollbackCause::None };
   VerdictEvidence m_evidence{};
--- a/include/greengagehub/rollout/rollout_table.hpp
+++ b/include/greengagehub/rollout/rollout_table.hpp
@@ -17,9 +17,7 @@
 {
   enum class Kind : std::uint8_t
   {
-    /// Only workers of the version.
     Only,
-    /// All workers except those of the version.
     AllBut,
   };
   Kind m_kind{ Kind::Only };
@@ -39,8 +37,8 @@
   }
 };
 
-/// \brief Rules for one call, tried in order; without rules, any worker may be
-/// selected. Valid until the table changes.
+/// \brief Rules for one call, tried in order; without rules, any worker is
+/// allowed. Valid until the table changes.
 class VersionRules
 {
 public:
@@ -60,28 +58,25 @@
   std::size_t m_count{ 0 };
 };
 
-/// \brief The known roll-outs, and the routing rules that follow from them.
+/// \brief The known roll-outs and their routing rules.
 ///
-/// A canary receives calls only under a valid permit, so a daemon that is cut
-/// off from its peers stops using it after kPermitTime. A version that was
-/// rolled back receives no calls, and a completed one receives all.
+/// A daemon that is cut off from its peers stops using a canary after
+/// kPermitTime. A version that was rolled back receives no calls, and a
+/// completed one receives all.
 ///
-/// An order is identified by its service and version. A decided order is not
-/// run again, even if the store is restored from an older copy that still
-/// contains it.
+/// A service and a version identify an order. A decided order is not run again,
+/// even if an older copy of the store still contains it.
 class RolloutTable
 {
 public:
-  /// Validity of a permit. It outlasts three renewals and limits the use of a
-  /// bad version without updates.
+  /// Outlasts three renewals.
   static constexpr std::chrono::milliseconds kPermitTime{ 1500 };
-  /// Time after a final state until a worker without a reported version is
-  /// assumed to be of the remaining version, since the others have stopped.
+  /// Time after a final state from which a worker without a reported version is
+  /// assumed to run the remaining version.
   static constexpr std::chrono::seconds kOldWorkersGoneAfter{ 5 };
   /// Number of earlier orders kept per service.
   static constexpr std::size_t kMaxEarlierTargets = 16;
 
-  /// \brief Effect of an update on the table.
   enum class Change : std::uint8_t
   {
     None,
@@ -91,14 +86,13 @@
     State,
   };
 
-  /// \brief Handles an order read from the store.
   /// \param aInService version of most workers of the service, if known.
-  /// \param aIsRunning whether the store lists it as running already.
+  /// \param aIsRunning whether the store lists the order as running already.
   [[nodiscard]] Change OnOrder(TimePoint aNow,
                                const RolloutOrder& aOrder,
                                const std::string& aInService,
                                bool aIsRunning = false);
-  /// \brief Handles a status read from the store.
+  /// \param aState status read from the store.
   [[nodiscard]] Change OnStatus(TimePoint aNow,
                                 const std::string& aService,
                                 const std::string& aTarget,
@@ -114,25 +108,21 @@
   [[nodiscard]] VersionRules RulesFor(TimePoint aNow,
                                       const std::string& aService,
                                       bool aIsCanary) const;
-  /// \returns Whether a worker of the version may run a call now.
   [[nodiscard]] bool MayRun(TimePoint aNow,
                             const std::string& aService,
                             std::string_view aVersion) const;
 
-  /// \returns The service's newest order with current ages, if there is one.
+  /// \returns The service's newest order with current ages.
   [[nodiscard]] std::optional<RolloutRecord> Find(
     TimePoint aNow,
     const std::string& aService) const;
-  /// \returns All records, to synchronize another daemon.
   [[nodiscard]] std::vector<RolloutRecord> All(TimePoint aNow) const;
   [[nodiscard]] bool IsEmpty() const noexcept { return m_entries.empty(); }
-  /// \returns The number of roll-outs that are neither completed nor rolled
-  /// back.
+  /// \returns The number of roll-outs that are not final.
   [[nodiscard]] std::size_t CountOpen() const;
   /// \returns A digest of All() without permits and ages; 0 if there are none.
   [[nodiscard]] std::uint64_t Summary() const noexcept { return m_summary; }
-  /// \brief Revokes all permits, after the process was paused for longer than
-  /// they last.
+  /// To be called after the process was paused for longer than kPermitTime.
   void RevokePermits();
 
 private:
--- a/include/greengagehub/rollout/run_counts.hpp
+++ b/include/greengagehub/rollout/run_counts.hpp
@@ -21,18 +21,17 @@
   using Buckets = std::array<std::uint32_t, kBuckets>;
 
   [[nodiscard]] static std::size_t BucketOf(Duration aTook) noexcept;
-  /// \returns The sum of the buckets from `aFirst` on.
   [[nodiscard]] static double SumFrom(const Buckets& aBuckets,
                                       std::size_t aFirst) noexcept;
 };
 
-/// \brief Results of the runs of one route on one worker since the order.
+/// \brief Counts of one route on one worker since the order.
 struct RouteCounts
 {
   /// Digest of the route's key; 0 for all routes beyond RunCounter::kMaxRoutes.
   std::uint64_t m_route{ 0 };
   std::uint32_t m_runs{ 0 };
-  /// The worker answered with an error of its own.
+  /// The worker answered with an error.
   std::uint32_t m_failed{ 0 };
   /// The answer was lost or incomplete.
   std::uint32_t m_lost{ 0 };
@@ -40,12 +39,12 @@
   RunTimeHistogram::Buckets m_times{};
 };
 
-/// \brief Counts of one daemon's worker. They only grow, so lost and duplicate
-/// reports are harmless.
+/// \brief Counts of one worker. They only grow, so lost and duplicate reports
+/// are harmless.
 struct WorkerCounts
 {
   std::string m_slot{};
-  /// Process of the daemon; counts restart with a new one.
+  /// Process of the daemon; counts restart with a new process.
   std::uint64_t m_process{ 0 };
   std::string m_service{};
   std::string m_version{};
@@ -56,7 +55,6 @@
   std::vector<RouteCounts> m_routes{};
 };
 
-/// \brief Counts the runs of the local worker.
 class RunCounter
 {
 public:
@@ -72,7 +70,7 @@
     Expired,
   };
 
-  /// \brief Resets all counts for a new order.
+  /// To be called for a new order.
   void Clear();
   void Arrived() noexcept { ++m_arrived; }
   /// \param aIsCold whether the worker is still warming up.
--- a/include/greengagehub/rollout/status_writer.hpp
+++ b/include/greengagehub/rollout/status_writer.hpp
@@ -12,14 +12,13 @@
 
 namespace greengagehub {
 
-/// \brief Status of a roll-out as stored for operators.
 struct RolloutStatus
 {
   std::string m_service{};
   std::string m_target{};
-  /// Never Completing, which is internal to the daemons.
+  /// Never Completing.
   RolloutState m_state{ RolloutState::Running };
-  /// Written for operators and not read back.
+  /// Written for operators, not read back.
   RollbackCause m_cause{ RollbackCause::None };
 };
 
@@ -41,15 +40,13 @@
 
 /// \brief Writes statuses of roll-outs to the store by compare-and-swap.
 ///
-/// Several daemons may write different statuses of one order, such as an old
-/// and a new leader. The first final status that the store accepts is kept; a
-/// conflict reports it to the other writers, which adopt it. A write whose
-/// answer was lost is repeated, and the conflict shows the stored status.
+/// Several daemons may write different statuses of one order. The first final
+/// status that the store accepts is kept; other writers adopt it after a
+/// conflict. A write whose answer was lost is retried.
 template<StatusCodec Codec>
 class StatusWriter
 {
 public:
-  /// \brief Result of a reply from the store.
   struct Step
   {
     std::optional<StoreRequest> m_next{};
@@ -57,9 +54,8 @@
     std::optional<RolloutStatus> m_written{};
   };
 
-  /// \brief Queues a status, to be written from `aNotBefore` on. It replaces a
-  /// queued status of the same service. Ignored if the store has already
-  /// accepted another final status of the order.
+  /// \brief Queues a status in place of a queued one of the same service.
+  /// Ignored if the store has accepted another final status of the order.
   void Want(RolloutStatus aStatus, TimePoint aNotBefore)
   {
     Drop(aStatus.m_service);
@@ -73,7 +69,6 @@
     m_jobs.push_back({ std::move(aStatus), aNotBefore });
   }
 
-  /// \brief Cancels the queued status of a service.
   void Drop(const std::string& aService)
   {
     const auto first = m_jobs.begin() + (m_isBusy ? 1 : 0);
@@ -84,12 +79,11 @@
     m_jobs.erase(std::remove_if(first, m_jobs.end(), isSame), m_jobs.end());
   }
 
-  /// \brief Forgets the known revisions after the store was restored from a
-  /// copy. Final statuses are kept.
+  /// \brief Forgets the known revisions; final statuses are kept.
   void OnStoreRestored() { m_revisions.clear(); }
 
-  /// \returns Whether this status is queued or being written.
-  [[nodiscard]] bool Wants(const RolloutStatus& aStatus) const
+  /// \returns Whether the status is queued or being written.
+  [[nodiscard]] bool IsQueued(const RolloutStatus& aStatus) const
   {
     return std::ranges::any_of(m_jobs, [&](const Job& aJob) {
       return aJob.m_status.m_service == aStatus.m_service &&
@@ -146,7 +140,6 @@
     TimePoint m_due;
   };
 
-  /// Delay after a failed write.
   static constexpr std::chrono::milliseconds kRetryDelay{ 400 };
 
   [[nodiscard]] StoreRequest Put(Revision aExpected) const
@@ -174,13 +167,11 @@
       return { std::nullopt,
                isSettled ? std::optional{ stored.value() } : std::nullopt };
     }
-    // The stored status is from an earlier order, is not final, or is
-    // malformed.
+    // The stored status is malformed, not final or from an earlier order.
     return { Put(aReply.m_revision), std::nullopt };
   }
 
-  /// Also drops queued statuses of the order, which would overwrite the final
-  /// one now that its revision is known.
+  /// Also drops queued statuses of the order, which would overwrite this one.
   void RecordFinal(const RolloutStatus& aStatus)
   {
     if (!IsFinal(aStatus.m_state)) {
@@ -213,7 +204,7 @@
   std::deque<Job> m_jobs;
   /// Last known revisions of the statuses, by service.
   std::map<std::string, Revision> m_revisions;
-  /// Final statuses accepted by the store, by service.
+  /// As accepted by the store, by service.
   std::map<std::string, RolloutStatus> m_finalStatuses;
   bool m_isBusy{ false };
   /// The job in progress is superseded by a newer status.
--- a/src/rollout/canary_analyzer.cpp
+++ b/src/rollout/canary_analyzer.cpp
@@ -8,17 +8,16 @@
 
 namespace {
 
-/// A kind of bad run, and the increase that a faulty version causes.
+/// A kind of bad run.
 struct Measure
 {
   RollbackCause m_cause;
-  /// Lower bound of the baseline rate, since a few runs may have no bad one by
-  /// chance.
+  /// Lower bound of the baseline rate, which few runs would underestimate.
   double m_minRate;
-  /// Share of the otherwise good runs that the fault makes bad.
+  /// Share of the otherwise good runs that a fault makes bad.
   double m_lift;
 };
-constexpr std::array kMeasureSpecs{
+constexpr std::array kMeasures{
   Measure{ RollbackCause::Failures, 0.01, 0.12 },
   Measure{ RollbackCause::LostAnswers, 0.02, 0.15 },
   Measure{ RollbackCause::Slowness, 0.04, 0.15 },
@@ -27,8 +26,8 @@
 constexpr std::size_t kLost = 1;
 constexpr std::size_t kSlow = 2;
 
-/// Weight kept by earlier runs at each evaluation; runs count for three seconds
-/// on average at one evaluation every 300 ms.
+/// Weight kept by earlier runs at each evaluation; with one every 300 ms, runs
+/// count for three seconds on average.
 constexpr double kDecayFactor = 0.9;
 /// Weight of the recent rate, in runs, when estimating the latest one.
 constexpr double kPriorRuns = 10.0;
@@ -36,19 +35,17 @@
 /// about half its time.
 constexpr double kSlowShare = 0.05;
 constexpr std::size_t kSlowMargin = 2;
-/// Bad runs beyond those expected, without the worst workers, that make a
-/// version bad regardless of routes.
+/// Excess over all routes, without the worst workers, that makes a version bad.
 constexpr double kMaxExcess = 18.0;
-/// The same including the worst workers, if the others show an excess too: a
-/// fault under load affects the busiest workers most.
+/// Including the worst workers, if the rest has an excess too: a fault under
+/// load affects the busiest workers most.
 constexpr double kMaxExcessOfAll = 30.0;
 constexpr double kMinExcessOfRest = 4.0;
-/// Minimum excess of a bad version, in standard deviations of the expected
-/// number.
+/// Minimum excess of a bad version, in standard deviations.
 constexpr double kExcessDeviations = 5.0;
-/// One in this many of the canary's workers is ignored as the worst.
+/// One in this many workers of the canary is ignored as the worst.
 constexpr std::size_t kOutlierDivisor = 4;
-/// Share of the baseline runs from which a route must look good by itself.
+/// Routes with a smaller share of the baseline runs are not evaluated alone.
 constexpr double kMinRouteShare = 0.1;
 constexpr double kMinRouteRuns = 5.0;
 
@@ -61,7 +58,6 @@
   return found == aCounts.m_routes.end() ? kNone : *found;
 }
 
-/// \returns The number of canary workers to ignore as the worst.
 std::size_t
 OutlierCount(std::size_t aWorkers)
 {
@@ -252,12 +248,12 @@
   };
   const double failureRate = BaselineRate(
     aRoute,
-    kMeasureSpecs.at(kFailures).m_minRate,
+    kMeasures.at(kFailures).m_minRate,
     [](const Baseline& aBaseline) { return aBaseline.m_failed; },
     allRuns);
   const double lossRate = BaselineRate(
     aRoute,
-    kMeasureSpecs.at(kLost).m_minRate,
+    kMeasures.at(kLost).m_minRate,
     [](const Baseline& aBaseline) { return aBaseline.m_lost; },
     allRuns);
   Tallies fresh;
@@ -271,19 +267,19 @@
   if (aRoute.m_all.TimesFrom(0) > 0.0) {
     const double slowRate = BaselineRate(
       aRoute,
-      kMeasureSpecs.at(kSlow).m_minRate,
+      kMeasures.at(kSlow).m_minRate,
       [firstSlow](const Baseline& aBaseline) {
         return aBaseline.TimesFrom(firstSlow);
       },
       allTimes);
     fresh.at(kSlow) = { timed, slow, timed * slowRate };
   }
-  Tallies& worker = aRoute.m_workers[aSlot];
-  Tallies& total = m_totals[aSlot];
+  Tallies& worker = aRoute.m_recentByWorker[aSlot];
+  Tallies& total = m_totalsByWorker[aSlot];
   for (std::size_t i = 0; i < kMeasureCount; ++i) {
     worker.at(i).Add(fresh.at(i));
     total.at(i).Add(fresh.at(i));
-    aRoute.m_sum.at(i).Add(fresh.at(i));
+    aRoute.m_canaryTotals.at(i).Add(fresh.at(i));
   }
 }
 
@@ -291,7 +287,7 @@
 CanaryAnalyzer::UpdateCanary()
 {
   for (auto& [id, route] : m_routes) {
-    for (auto& [slot, tallies] : route.m_workers) {
+    for (auto& [slot, tallies] : route.m_recentByWorker) {
       for (Tally& each : tallies) {
         each.Decay();
       }
@@ -314,10 +310,10 @@
 CanaryAnalyzer::RecentRatio(const Route& aRoute, std::size_t aMeasure)
 {
   std::vector<double> ratios;
-  for (const auto& [slot, tallies] : aRoute.m_workers) {
+  for (const auto& [slot, tallies] : aRoute.m_recentByWorker) {
     const Tally& tally = tallies.at(aMeasure);
     if (tally.m_runs > 0.0) {
-      ratios.push_back(RatioOf(tally, kMeasureSpecs.at(aMeasure)));
+      ratios.push_back(RatioOf(tally, kMeasures.at(aMeasure)));
     }
   }
   return SumWithoutWorst(std::move(ratios));
@@ -337,15 +333,11 @@
       if (ratio > highest) {
         highest = ratio;
         Tally sum;
-        for (const auto& [slot, tallies] : route.m_workers) {
+        for (const auto& [slot, tallies] : route.m_recentByWorker) {
           sum.Add(tallies.at(i));
         }
-        worst = { Verdict::Bad,
-                  kMeasureSpecs.at(i).m_cause,
-                  id,
-                  sum.m_runs,
-                  sum.m_badRuns,
-                  sum.m_expected };
+        worst = { Verdict::Bad, kMeasures.at(i).m_cause, id,
+                  sum.m_runs,   sum.m_badRuns,           sum.m_expected };
       }
     }
   }
@@ -357,7 +349,7 @@
 {
   for (std::size_t i = 0; i < kMeasureCount; ++i) {
     std::vector<Tally> workers;
-    for (const auto& [slot, tallies] : m_totals) {
+    for (const auto& [slot, tallies] : m_totalsByWorker) {
       if (tallies.at(i).m_runs > 0.0) {
         workers.push_back(tallies.at(i));
       }
@@ -377,12 +369,8 @@
     const bool isLoadRelated =
       all.Excess() >= kMaxExcessOfAll && rest.Excess() >= kMinExcessOfRest;
     if (rest.Excess() >= maxExcess || isLoadRelated) {
-      return { Verdict::Bad,
-               kMeasureSpecs.at(i).m_cause,
-               0,
-               all.m_runs,
-               all.m_badRuns,
-               all.m_expected };
+      return { Verdict::Bad, kMeasures.at(i).m_cause, 0,
+               all.m_runs,   all.m_badRuns,           all.m_expected };
     }
   }
   return {};
@@ -400,7 +388,7 @@
            const Route& route = aEach.second;
            const bool isRare = route.m_all.m_runs < kMinRouteShare * oldRuns;
            return isRare ||
-                  (route.m_sum.at(kFailures).m_runs >= kMinRouteRuns &&
+                  (route.m_canaryTotals.at(kFailures).m_runs >= kMinRouteRuns &&
                    RecentRatio(route, kFailures) <= 0.0);
          });
 }
@@ -414,10 +402,10 @@
   return std::ranges::all_of(
     std::array{ kFailures, kSlow }, [&](auto aMeasure) {
       std::vector<double> ratios;
-      for (const auto& [slot, tallies] : m_totals) {
+      for (const auto& [slot, tallies] : m_totalsByWorker) {
         const Tally& tally = tallies.at(aMeasure);
         if (tally.m_runs > 0.0) {
-          ratios.push_back(RatioOf(tally, kMeasureSpecs.at(aMeasure)));
+          ratios.push_back(RatioOf(tally, kMeasures.at(aMeasure)));
         }
       }
       return SumWithoutWorst(std::move(ratios)) <= std::log(kFalseGoodRate);
@@ -436,7 +424,7 @@
       m_traffic.m_newArrived += arrived;
     } else {
       m_traffic.m_oldArrived += arrived;
-      m_traffic.m_oldAtWork += worker.m_current.m_pendingCalls;
+      m_traffic.m_oldPendingCalls += worker.m_current.m_pendingCalls;
     }
   }
   UpdateBaseline();
--- a/src/rollout/rollout_leader.cpp
+++ b/src/rollout/rollout_leader.cpp
@@ -9,16 +9,14 @@
 
 namespace {
 
-/// Equals the interval at which daemons publish their counts.
+/// Same as the interval at which daemons publish their counts.
 constexpr std::chrono::milliseconds kEvaluationInterval{ 300 };
-/// Interval for renewing a permit.
 constexpr std::chrono::milliseconds kPublishInterval{ 500 };
-/// A roll-out that the store lists as running, but for which no daemon
-/// publishes a record, is rolled back after this time.
+/// A roll-out that is known only from the store is rolled back after this time.
 constexpr std::chrono::seconds kStateLostAfter{ 3 };
-/// Consecutive evaluations without work at the old workers.
+/// Consecutive evaluations without calls, after which old workers are idle.
 constexpr std::uint32_t kIdleEvaluations = 2;
-/// Weight of the latest evaluation in the moving average of the call rate.
+/// Weight of the latest value in the moving average of the call rate.
 constexpr double kRateWeight = 0.3;
 
 VerdictEvidence
@@ -39,7 +37,7 @@
                              RolloutLimits aLimits)
   : m_target(std::move(aTarget))
   , m_limits(aLimits)
-  , m_judge(m_target)
+  , m_analyzer(m_target)
   , m_startedAt(aNow)
   , m_evaluatedAt(aNow)
 {
@@ -50,13 +48,14 @@
 {
   const std::chrono::duration<double> since = aNow - m_evaluatedAt;
   m_evaluatedAt = aNow;
-  m_judgement = m_judge.Evaluate();
-  const CanaryAnalyzer::Traffic& traffic = m_judge.LastTraffic();
+  m_judgement = m_analyzer.Evaluate();
+  const CanaryAnalyzer::Traffic& traffic = m_analyzer.LastTraffic();
   const double rate = (traffic.m_oldArrived + traffic.m_newArrived) /
                       std::max(since.count(), 1e-3);
   const bool isFirst = m_callsPerSecond <= 0.0;
   m_callsPerSecond += (isFirst ? 1.0 : kRateWeight) * (rate - m_callsPerSecond);
-  const bool isIdle = traffic.m_oldAtWork == 0 && traffic.m_oldArrived == 0;
+  const bool isIdle =
+    traffic.m_oldPendingCalls == 0 && traffic.m_oldArrived == 0;
   m_idleEvaluations = isIdle ? m_idleEvaluations + 1 : 0;
 }
 
@@ -95,25 +94,27 @@
     m_permille = aRecord.m_permit.m_permille;
     m_permilleSince = aNow;
   }
-  Lead lead{ aRecord, false, m_judgement, MakeInputs(aNow, aRecord, aWorkers) };
+  Lead decision{
+    aRecord, false, m_judgement, MakeInputs(aNow, aRecord, aWorkers)
+  };
   RolloutStep step;
   if (isStateLost) {
     step = { RolloutState::RolledBack, RollbackCause::StateLost, {} };
   } else if (m_judgement.m_verdict == CanaryAnalyzer::Verdict::Bad) {
     step = { RolloutState::RolledBack, m_judgement.m_cause, {} };
   } else {
-    step = NextStep(m_limits, lead.m_view);
+    step = NextStep(m_limits, decision.m_view);
   }
   // The state never goes back from completing to running.
   step.m_state = std::max(step.m_state, aRecord.m_state);
   // A change of the number of workers is published with the next permit.
-  lead.m_isStep = step.m_state != aRecord.m_state ||
-                  step.m_permit.m_permille != aRecord.m_permit.m_permille;
-  if (!lead.m_isStep && aNow - m_publishedAt < kPublishInterval) {
+  decision.m_isStep = step.m_state != aRecord.m_state ||
+                      step.m_permit.m_permille != aRecord.m_permit.m_permille;
+  if (!decision.m_isStep && aNow - m_publishedAt < kPublishInterval) {
     return std::nullopt;
   }
   m_publishedAt = aNow;
-  RolloutRecord& record = lead.m_record;
+  RolloutRecord& record = decision.m_record;
   record.m_state = step.m_state;
   record.m_cause = step.m_cause;
   record.m_evidence = EvidenceOf(m_judgement);
@@ -123,7 +124,7 @@
   }
   record.m_isFromStore = false;
   ++record.m_step;
-  return lead;
+  return decision;
 }
 
 }
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -9,26 +9,24 @@
 namespace {
 
 constexpr std::uint32_t kAllPermille = 1000;
-/// Enough to detect a version with a third of its runs failing within a second.
+/// Enough to detect within a second that a third of the runs fail.
 constexpr double kCanaryRunsPerSecond = 60.0;
 constexpr double kMinCanaryShare = 0.03;
 constexpr double kMaxCanaryShare = 0.12;
 /// Part of the allowed exposure that the canary phase may use.
 constexpr double kCanaryBudgetPart = 0.5;
-/// The workers of the canary phase are rotated, so that the verdict covers more
-/// of them.
+/// Rotation covers more of the new workers.
 constexpr std::chrono::milliseconds kRotationInterval{ 1200 };
-/// Parts of the roll-out's duration: end of the canary phase, length of a ramp
-/// step, and a shorter step from kLateFrom on.
+/// End of the canary phase; this and the constants below that end in Until,
+/// From, Part or Deadline are parts of the roll-out's duration.
 constexpr double kCanaryUntil = 0.54;
 constexpr std::array kRampPermilles{ 150U, 400U };
 constexpr double kRampStepPart = 0.08;
 constexpr double kLateFrom = 0.70;
 constexpr double kLateRampStepPart = 0.04;
-/// Part of the duration after which an inconclusive verdict leads to rollback.
+/// An inconclusive verdict leads to a rollback from here on.
 constexpr double kVerdictDeadline = 0.78;
-/// Latest completion: a part of the duration, less the time for two calls to
-/// the store.
+/// Latest completion, less kStoreWriteTime for two calls to the store.
 constexpr double kCompletionDeadline = 0.94;
 constexpr std::chrono::milliseconds kStoreWriteTime{ 300 };
 /// Time at full traffic before completion.
@@ -42,8 +40,7 @@
   return all.count() > 0.0 ? age / all : 1.0;
 }
 
-/// Selects as many workers as carry the share at the load per worker of the old
-/// version, in rotation.
+/// Selects workers in rotation, each with the load of an old worker.
 CanaryPermit
 MakePermit(const StepInputs& aInputs, std::uint32_t aPermille)
 {
--- a/src/rollout/rollout_table.cpp
+++ b/src/rollout/rollout_table.cpp
@@ -90,7 +90,7 @@
     aEntry.m_orderedAt = aNow - aRecord.m_age;
     aEntry.m_finalSince.reset();
   } else {
-    // The daemon that saw the order first has its true age.
+    // The highest age is that of the daemon that saw the order first.
     aEntry.m_orderedAt = std::min(aEntry.m_orderedAt, aNow - aRecord.m_age);
     aRecord.m_base = aRecord.m_base.empty() ? old.m_base : aRecord.m_base;
   }
@@ -261,8 +261,7 @@
   }
   const RolloutRecord& record = entry->m_record;
   if (aVersion != record.m_order.m_target) {
-    // Other versions are stopped externally. Until then they may run calls from
-    // daemons with an outdated table.
+    // Daemons with an outdated table may still send calls to other versions.
     return true;
   }
   switch (record.m_state) {
--- a/src/rollout/run_counts.cpp
+++ b/src/rollout/run_counts.cpp
@@ -7,8 +7,7 @@
 
 namespace {
 
-/// Correction for a cold worker, which takes up to about twice as long. Larger
-/// slowdowns still show from the first runs on.
+/// Corrects the times of a cold worker, which takes about twice as long.
 constexpr std::size_t kColdBuckets = 2;
 
 }
--- a/tests/rollout/replays.cpp
+++ b/tests/rollout/replays.cpp
@@ -85,8 +85,7 @@
 
 TEST_CASE("a good version is completed in time despite other disturbances")
 {
-  // Guards against blaming the new version for faults that affect both
-  // versions.
+  // The disturbances affect both versions.
   for (const Disturbance disturbance : { Disturbance::None,
                                          Disturbance::GreyWorkers,
                                          Disturbance::SlowWorkers,
--- a/tests/rollout/rollout_table.cpp
+++ b/tests/rollout/rollout_table.cpp
@@ -45,8 +45,7 @@
 
 TEST_CASE("a canary receives calls only under a valid permit")
 {
-  // Guards against a daemon that is cut off from its peers and keeps using a
-  // bad version.
+  // A daemon may be cut off from its peers during the roll-out.
   RolloutTable table;
   CHECK(table.RulesFor(kNow, "lockers", true).IsEmpty());
   CHECK(table.OnOrder(kNow, kOrder, "v1") == Change::State);
@@ -118,8 +117,7 @@
   CHECK(table.OnOrder(kNow, kOrder, "v1") == Change::None);
   const auto record = table.Find(kNow, "lockers");
   CHECK(record->m_order.m_target == "v3");
-  // The rolled-back version does not become the base, although its workers may
-  // remain.
+  // The rolled-back version does not become the base.
   CHECK(record->m_base == "v1");
   CHECK(Allowed(table, kNow, true) == Versions{ "v1" });
 }
--- a/tests/rollout/status_writer.cpp
+++ b/tests/rollout/status_writer.cpp
@@ -18,7 +18,6 @@
   return { "lockers", "v2", aState };
 }
 
-/// A single key of a store, with the history of its states.
 class FakeKey
 {
 public:
@@ -50,8 +49,7 @@
   std::vector<RolloutState> m_history;
 };
 
-/// A daemon that writes "running" and then a final state, and the state
-/// reported by its writer.
+/// A daemon that writes "running" and then a final state.
 struct Daemon
 {
   StatusWriter<Codec> m_writer;
@@ -89,8 +87,7 @@
   int m_explored{ 0 };
 
 private:
-  /// One step of a daemon: it queues a status, sends a write or handles a
-  /// reply.
+  /// \returns Whether the daemon made a step.
   static bool Step(Daemon& aDaemon, FakeKey& aKey, bool aIsReplyLost)
   {
     if (aDaemon.m_request) {
@@ -138,8 +135,7 @@
 TEST_CASE("the store accepts one final state despite concurrent writers and "
           "lost replies")
 {
-  // Two leaders write different final states; replies are lost after the store
-  // has decided.
+  // Two leaders write different final states.
   std::vector<Daemon> daemons(2);
   daemons[0].m_finalState = RolloutState::RolledBack;
   daemons[1].m_finalState = RolloutState::Completed;
