--- a/tests/membership/seed_publisher.cpp
+++ b/tests/membership/seed_publisher.cpp
@@ -110,20 +110,20 @@
 TEST_CASE("a daemon that finds no seed writes its address after a delay")
 {
   FakeStore store;
-  SeedPublisher keeper{ Self("10.0.0.1"), 1 };
-  store.Run(keeper, kStart, 2s, std::nullopt);
+  SeedPublisher publisher{ Self("10.0.0.1"), 1 };
+  store.Run(publisher, kStart, 2s, std::nullopt);
   CHECK(store.m_writes == 0);
   SUBCASE("seeds of other daemons exist")
   {
-    keeper.OnSeeds(kStart + 2s, true);
-    store.Run(keeper, kStart + 2s, 2s, std::nullopt);
+    publisher.OnSeeds(kStart + 2s, true);
+    store.Run(publisher, kStart + 2s, 2s, std::nullopt);
     CHECK(store.m_writes == 0);
   }
   SUBCASE("no seed exists")
   {
-    keeper.OnSeeds(kStart + 2s, false);
-    CHECK_FALSE(keeper.OnTick(kStart + 2s, std::nullopt));
-    store.Run(keeper, kStart + 2500ms, 2s, std::nullopt);
+    publisher.OnSeeds(kStart + 2s, false);
+    CHECK_FALSE(publisher.OnTick(kStart + 2s, std::nullopt));
+    store.Run(publisher, kStart + 2500ms, 2s, std::nullopt);
     CHECK(store.m_writes == 1);
   }
 }
@@ -131,10 +131,10 @@
 TEST_CASE("an address that is missing from the store is written again")
 {
   FakeStore store;
-  SeedPublisher keeper{ Self("10.0.0.1"), 1 };
-  store.Run(keeper, kStart, 2s, 0);
+  SeedPublisher publisher{ Self("10.0.0.1"), 1 };
+  store.Run(publisher, kStart, 2s, 0);
   store.m_keys.clear();
-  store.Run(keeper, kStart + 2s, 62s, 0);
+  store.Run(publisher, kStart + 2s, 62s, 0);
   CHECK(store.HostAt(0) == "10.0.0.1");
 }
 
