--- a/include/greengagehub/config/compaction_process.hpp
+++ b/include/greengagehub/config/compaction_process.hpp
@@ -9,10 +9,8 @@
 
 namespace greengagehub {
 
-/// \brief Log size at which compaction starts, and the size it aims for.
-///
-/// Every watcher reads the whole log on every change, so a large log costs
-/// bandwidth.
+/// \brief Log size at which compaction starts, and the size after it. Watchers
+/// read the whole log on every change.
 struct CompactionLimits
 {
   std::size_t m_highBytes{ 24UL * 1024 };
@@ -21,10 +19,9 @@
 
 /// \brief Moves old decisions from the log to the archive.
 ///
-/// Writes the segment, the index, the snapshot and last the log. Each step can
-/// be repeated and can race with another process: segments and snapshots are
-/// create-only and immutable, index lines form a set. An interrupted process
-/// leaves the log intact, and the log's revision rejects a delayed one.
+/// Writes the segment, the index, the snapshot and last the log. Each step is
+/// idempotent and may race with another process: segments and snapshots are
+/// immutable, index lines form a set, and the log is swapped at its revision.
 class CompactionProcess
 {
 public:
@@ -32,7 +29,7 @@
   {
     NothingToDo,
     Compacted,
-    /// Conflict with another process, or the store failed; retry later.
+    /// Conflict or store failure; retry later.
     Aborted,
   };
   using Step = std::variant<StoreRequest, Result>;
@@ -77,8 +74,8 @@
   std::vector<Decision> m_archived;
   std::size_t m_indexedCount{ 0 };
   std::string m_snapshot;
-  std::size_t m_part{ 0 };
-  std::size_t m_parts{ 0 };
+  std::size_t m_nextPart{ 0 };
+  std::size_t m_partCount{ 0 };
   Version m_staleSnapshot;
   std::size_t m_deletedParts{ 0 };
 };
--- a/include/greengagehub/config/config_holder.hpp
+++ b/include/greengagehub/config/config_holder.hpp
@@ -17,10 +17,9 @@
 };
 using ActiveConfigPtr = boost::intrusive_ptr<const ActiveConfig>;
 
-/// \brief Result of staging an entry or a snapshot.
 enum class StageResult : std::uint8_t
 {
-  /// Active now, together with the pending entries that follow it.
+  /// Active now, with the pending entries that follow.
   Applied,
   /// At or below the active version, in the same history.
   NotNewer,
@@ -28,15 +27,14 @@
   Gap,
   /// The chain digest does not follow from the active version.
   Forked,
-  /// A digest or a validation rule failed; nothing was applied.
+  /// A digest or a rule check failed; nothing was applied.
   Corrupt,
 };
 
 /// \brief The active configuration of one proxy and its recent history.
 ///
-/// Versions only increase. Each version is validated on a copy (chain, rules,
-/// digest) and then becomes active by a pointer swap, so readers never see a
-/// partly applied version.
+/// Versions only increase. Each is validated on a copy and becomes active by a
+/// pointer swap, so readers never see a partly applied version.
 class ConfigHolder
 {
 public:
@@ -50,13 +48,11 @@
   {
     return m_active->m_version;
   }
-  /// \param aComplete set to whether the entries lead from `aVersion` to the
-  /// active version.
-  /// \returns Recent entries above `aVersion`, oldest first; empty when they
-  /// are incomplete.
+  /// \param aComplete set to whether all entries above `aVersion` are recent.
+  /// \returns These entries, oldest first; empty when incomplete.
   [[nodiscard]] std::vector<VersionEntry> EntriesAfter(Version aVersion,
                                                        bool& aComplete) const;
-  /// \returns The recent entry of this version, or nullptr.
+  /// \returns nullptr if the version is not recent.
   [[nodiscard]] const VersionEntry* Entry(Version aVersion) const;
 
   /// \brief Applies an entry. One that arrives early and has no m_base is kept
@@ -65,7 +61,6 @@
   /// \brief Applies a version whose number need not follow the active one.
   /// \param aPatch canonical JSON merge patch on the active content.
   StageResult StagePatch(Version aVersion, std::string aPatch);
-  /// \brief Replaces the active configuration by a later one.
   /// \param aSnapshot canonical JSON of the content at `aHead`.
   StageResult StageSnapshot(const VersionEntry& aHead,
                             std::string_view aSnapshot);
--- a/include/greengagehub/config/content.hpp
+++ b/include/greengagehub/config/content.hpp
@@ -15,8 +15,7 @@
 
 namespace greengagehub {
 
-/// \brief Load-shedding class of a call; under overload, later values are shed
-/// first.
+/// \brief Load-shedding class; under overload, later values are shed first.
 enum class CallClass : std::uint8_t
 {
   Critical,
@@ -37,29 +36,28 @@
   std::string m_healthPath{};
 };
 
-/// \brief One service of a route that splits its calls, with its weight.
 struct WeightedService
 {
   std::string m_service;
   std::uint32_t m_weight{ 0 };
 };
 
-/// \brief Maps calls to a service, with their limits and retry rules.
+/// \brief Maps calls to a service.
 struct Route
 {
   /// Host to match, in lower case; empty matches any host.
   std::string m_host;
   /// Path prefix to match; begins with "/".
   std::string m_path{ "/" };
-  /// Target service; empty when m_split is set.
+  /// Empty when m_split is set.
   std::string m_service;
-  /// Weighted target services; empty when m_service is set.
+  /// Empty when m_service is set.
   std::vector<WeightedService> m_split{};
   CallClass m_class{ CallClass::Critical };
   /// Priority in a worker's queue; 0 is served first.
   std::uint32_t m_priority{ 0 };
-  /// Whether a call may run more than once; ByMethod when the patch
-  /// sets nothing.
+  /// Whether a call may run more than once; by default, its HTTP method
+  /// decides.
   enum class Idempotency : std::uint8_t
   {
     ByMethod,
@@ -68,7 +66,7 @@
   } m_idempotency{ Idempotency::ByMethod };
   /// Deadline of a call that carries none.
   std::chrono::milliseconds m_deadline{ 2000 };
-  /// Latency up to which an answer counts as fast; 0: same as m_deadline.
+  /// Latency up to which a response counts as fast; 0: m_deadline.
   std::chrono::milliseconds m_targetLatency{ 0 };
   /// Maximum attempts per call; 0: from the daemon's settings.
   std::uint32_t m_attempts{ 0 };
@@ -89,22 +87,20 @@
   double m_burst{ 0.0 };
 };
 
-/// \brief Fleet-wide limits.
 struct Limits
 {
   /// Retry budget as a percentage of calls.
   std::uint32_t m_retryPercent{ 10 };
-  /// Maximum number of hops; calls beyond it are rejected.
+  /// Maximum number of hops of a call.
   std::uint32_t m_maxDepth{ 24 };
-  /// Limits on callers' requests and connections; 0: from the daemon's
-  /// settings.
+  /// In these limits, 0 stands for the value in the daemon's settings.
   std::uint32_t m_maxHeadBytes{ 0 };
   std::uint32_t m_maxBodyBytes{ 0 };
   std::chrono::milliseconds m_headTimeout{ 0 };
   std::chrono::milliseconds m_idleTimeout{ 0 };
 };
 
-/// \brief An immutable entity with its canonical text, shared by versions.
+/// \brief An immutable entity, shared by versions of the content.
 template<class T>
 struct Entity
   : boost::intrusive_ref_counter<Entity<T>, boost::thread_unsafe_counter>
@@ -119,8 +115,8 @@
 using EntityMap =
   std::map<std::string, boost::intrusive_ptr<const Entity<T>>, std::less<>>;
 
-/// \brief The content of a configuration. Copies share their entities, so a
-/// patch on a copy allocates only the entities that it changes.
+/// \brief The entities and limits of one configuration version. Copies share
+/// unchanged entities.
 ///
 /// \code
 /// Content next = current;
@@ -143,7 +139,7 @@
   }
   [[nodiscard]] const Limits& GetLimits() const noexcept { return m_limits; }
 
-  /// \returns The limits as canonical JSON.
+  /// Canonical JSON.
   [[nodiscard]] const std::string& LimitsText() const noexcept
   {
     return m_limitsText;
@@ -151,8 +147,7 @@
   /// \brief Order-independent digest over all entities.
   [[nodiscard]] const Digest& GetDigest() const noexcept { return m_digest; }
 
-  /// \returns Canonical JSON of the content, which is also the merge patch from
-  /// the empty content to this one.
+  /// \returns Canonical JSON; also the merge patch from the empty content.
   [[nodiscard]] std::string ToJson() const;
 
   /// \brief Applies a JSON merge patch (RFC 7396) and validates the result.
@@ -176,7 +171,6 @@
 [[nodiscard]] Outcome<std::string>
 CanonicalPatch(std::string_view aText);
 
-/// \returns "critical", "lookup" or "export".
 [[nodiscard]] std::string_view
 NameOf(CallClass aClass) noexcept;
 
--- a/include/greengagehub/config/content_diff.hpp
+++ b/include/greengagehub/config/content_diff.hpp
@@ -8,7 +8,7 @@
 
 namespace greengagehub {
 
-/// \brief Name and canonical JSON of an entity. Does not own the JSON.
+/// \brief Name and canonical JSON of an entity; does not own the JSON.
 struct EntityText
 {
   std::string m_name;
--- a/include/greengagehub/config/decision.hpp
+++ b/include/greengagehub/config/decision.hpp
@@ -11,8 +11,7 @@
 
 namespace greengagehub {
 
-/// \brief One accepted version, as daemons exchange it: the patch and the
-/// digests that validate it.
+/// \brief One accepted version, as daemons exchange it.
 struct VersionEntry
 {
   Version m_version;
@@ -22,11 +21,9 @@
   Digest m_chain;
   /// Digest of the content after the patch.
   Digest m_content;
-  /// Version that the patch applies to, if the source's version numbers are not
-  /// consecutive; otherwise unset.
+  /// Version that the patch applies to; unset: the previous number.
   std::optional<Version> m_base{};
 
-  /// \returns Whether the patch applies to `aVersion`.
   [[nodiscard]] bool Follows(Version aVersion) const noexcept
   {
     return m_base ? *m_base == aVersion : m_version == aVersion.Next();
@@ -34,7 +31,6 @@
   [[nodiscard]] bool operator==(const VersionEntry&) const = default;
 };
 
-/// \brief A patch as submitted by an operator.
 struct Submission
 {
   std::string m_id;
@@ -45,7 +41,6 @@
   WallTime m_at;
 };
 
-/// \brief The decision on one patch, with its inputs.
 struct Decision
 {
   /// Position in the sequence of all decisions, from 1.
@@ -55,7 +50,7 @@
   Version m_base;
   std::string m_author;
   WallTime m_at;
-  std::uint32_t m_rules{ kRulesRevision };
+  std::uint32_t m_rulesRevision{ kRulesRevision };
   /// Head version at the time of the decision; m_reasons refer to it.
   Version m_head;
   bool m_accepted{ false };
@@ -97,27 +92,25 @@
 [[nodiscard]] Digest
 NextChain(const Digest& aChain, Version aVersion, std::string_view aPatch);
 
-/// \brief Accepts or rejects a patch whose id is not in the log.
-/// Deterministic: depends only on its arguments.
+/// \brief Accepts or rejects a patch whose id is not in the log. Depends only
+/// on its arguments.
 /// \param aContent content at the log's head.
 [[nodiscard]] Decision
 Decide(const DecisionLog& aLog,
        const Content& aContent,
        const Submission& aSubmission);
 
-/// \returns The log with the decision appended.
 [[nodiscard]] DecisionLog
 WithDecision(DecisionLog aLog, const Decision& aDecision);
 
-/// \returns Canonical JSON of a decision, as stored and as shown to operators.
+/// \returns Canonical JSON, as stored and as shown to operators.
 [[nodiscard]] std::string
 DecisionToJson(const Decision& aDecision);
 
 [[nodiscard]] std::string
 LogToJson(const DecisionLog& aLog);
 
-/// \returns The log, or Corrupt with the first fault. Callers must not
-/// overwrite a value that does not parse.
+/// \returns The log, or Corrupt; such a value must not be overwritten.
 [[nodiscard]] Outcome<DecisionLog>
 ParseLog(std::string_view aText);
 
--- a/include/greengagehub/config/decision_process.hpp
+++ b/include/greengagehub/config/decision_process.hpp
@@ -10,19 +10,15 @@
 
 namespace greengagehub {
 
-/// \brief Result of a lookup or a submission, for the operator.
 struct DecisionAnswer
 {
   enum class Kind : std::uint8_t
   {
-    /// The recorded decision, in m_decision.
     Decided,
-    /// No decision is recorded under this id.
     NotDecided,
     /// The store is unreachable, or too many writers compete.
     NotKnown,
-    /// The id belongs to another patch, whose decision is m_decision; nothing
-    /// was recorded.
+    /// The id belongs to another patch, whose decision is m_decision.
     IdReused,
     /// The store has an older or a different history than this proxy.
     StoreBehind,
@@ -37,11 +33,9 @@
 
 /// \brief Decides one patch, or looks up its decision, through the store.
 ///
-/// A state machine without I/O: each step returns the next store request or
-/// the answer. It reads the log, the index and a segment, then swaps the log at
-/// the revision it read. An id is not decided twice: a decision leaves the log
-/// only after archive and index have it, and any change of the log meanwhile
-/// makes the swap fail.
+/// A state machine without I/O that returns store requests and, last, the
+/// answer. An id is not decided twice: a decision leaves the log only after the
+/// archive and the index have it, and a change of the log makes the swap fail.
 ///
 /// \code
 /// DecisionProcess process{ active, submission };
@@ -57,7 +51,7 @@
 
   /// \brief Looks up the decision on `aId` without deciding.
   DecisionProcess(ActiveConfigPtr aActive, std::string aId);
-  /// \brief Decides a submission unless its id is already decided.
+  /// \brief Decides a submission unless its id has a decision.
   DecisionProcess(ActiveConfigPtr aActive, Submission aSubmission);
 
   [[nodiscard]] Step Start();
--- a/include/greengagehub/config/readiness_gate.hpp
+++ b/include/greengagehub/config/readiness_gate.hpp
@@ -13,9 +13,7 @@
 /// \brief Decides when a started daemon may accept calls.
 ///
 /// A daemon must not serve an older version than its slot served before a
-/// restart. Several peers report their version and the highest version seen
-/// of the slot, as a single peer may be out of date. With PeersFirst, the store
-/// counts only without peers, as it may have been restored from a backup.
+/// restart. Several peers are asked, as a single one may be out of date.
 /// Limitation: if all reporting peers are behind, the gate opens too early.
 class ReadinessGate
 {
@@ -23,10 +21,9 @@
   /// Peers that must report, or all of them if there are fewer.
   static constexpr std::size_t kRequiredPeers = 3;
 
-  /// \brief Source that decides the required version.
   enum class Authority : std::uint8_t
   {
-    /// Peers; the store only when there are none.
+    /// Peers; the store only without peers, as it may be an old backup.
     PeersFirst,
     /// The store, whose versions never decrease, or peers.
     StoreFirst,
@@ -37,21 +34,21 @@
   {
   }
 
-  /// \brief Records a peer's report.
-  /// \param aMinimum highest version that the peer saw this slot run.
-  void RecordPeer(const std::string& aSlot, Version aHead, Version aMinimum)
+  /// \param aHead the peer's own version.
+  /// \param aHighestOfSlot highest version that the peer saw this slot run.
+  void RecordPeer(const std::string& aSlot,
+                  Version aHead,
+                  Version aHighestOfSlot)
   {
-    m_required = std::max({ m_required, aHead, aMinimum });
+    m_required = std::max({ m_required, aHead, aHighestOfSlot });
     if (m_peers.size() < kRequiredPeers) {
       m_peers.insert(aSlot);
     }
   }
-  /// \brief Raises the required version.
   void RequireVersion(Version aRequired)
   {
     m_required = std::max(m_required, aRequired);
   }
-  /// \brief Records the head version read from the store.
   void RecordStoreHead(Version aHead)
   {
     m_storeRead = true;
@@ -60,18 +57,19 @@
   /// \brief Records that a peer's full member table was received.
   void Joined() noexcept { m_joined = true; }
 
-  /// \param aInForce active version of this daemon.
-  /// \param aPresent number of other daemons considered alive.
+  /// \param aActiveVersion version of this daemon.
+  /// \param aAlivePeers number of other daemons considered alive.
   /// \returns Whether the gate is open; once open, it stays open.
-  [[nodiscard]] bool IsOpen(Version aInForce, std::size_t aPresent)
+  [[nodiscard]] bool IsOpen(Version aActiveVersion, std::size_t aAlivePeers)
   {
-    const bool byPeers = aPresent > 0 && m_joined &&
-                         m_peers.size() >= std::min(kRequiredPeers, aPresent);
+    const bool byPeers =
+      aAlivePeers > 0 && m_joined &&
+      m_peers.size() >= std::min(kRequiredPeers, aAlivePeers);
     const bool byStore =
-      m_storeRead && (aPresent == 0 || m_authority == Authority::StoreFirst);
+      m_storeRead && (aAlivePeers == 0 || m_authority == Authority::StoreFirst);
     const bool isConfirmed = byPeers || byStore;
-    m_open =
-      m_open || (isConfirmed && aInForce > Version{} && aInForce >= m_required);
+    m_open = m_open || (isConfirmed && aActiveVersion > Version{} &&
+                        aActiveVersion >= m_required);
     return m_open;
   }
 
--- a/include/greengagehub/config/reason.hpp
+++ b/include/greengagehub/config/reason.hpp
@@ -25,17 +25,15 @@
   StaleBase,
   UnknownBase,
   IdReused,
-  /// Two workspaces hold the same API key.
+  /// Two workspaces have the same API key.
   DuplicateKey,
 };
 
-/// \brief One violated rule, with its place in the patch or content.
 struct Reason
 {
   ReasonCode m_code{ ReasonCode::NotJson };
   /// JSON pointer (RFC 6901); empty for the whole patch.
   std::string m_place;
-  /// Explanation, valid at the decision's head version.
   std::string m_detail;
 
   [[nodiscard]] bool operator==(const Reason&) const = default;
@@ -45,7 +43,6 @@
 [[nodiscard]] std::string_view
 NameOf(ReasonCode aCode) noexcept;
 
-/// \returns The code with this public name, if any.
 [[nodiscard]] std::optional<ReasonCode>
 ParseReasonCode(std::string_view aName) noexcept;
 
--- a/include/greengagehub/config/snapshot_reader.hpp
+++ b/include/greengagehub/config/snapshot_reader.hpp
@@ -8,7 +8,6 @@
 
 namespace greengagehub {
 
-/// \brief Result of reading a snapshot from the store.
 struct SnapshotResult
 {
   enum class Status : std::uint8_t
@@ -44,8 +43,9 @@
   Version m_version;
   SnapshotManifest m_manifest;
   bool m_hasManifest{ false };
-  std::string m_parts;
-  std::size_t m_part{ 0 };
+  /// Parts read so far, joined.
+  std::string m_compressed;
+  std::size_t m_nextPart{ 0 };
 };
 
 }
--- a/include/greengagehub/config/store_layout.hpp
+++ b/include/greengagehub/config/store_layout.hpp
@@ -9,14 +9,12 @@
 
 namespace greengagehub {
 
-/// Keys of the store; defined only here.
 inline constexpr std::string_view kLogKey = "config/log";
 inline constexpr std::string_view kSeedPrefix = "seeds/";
 
 [[nodiscard]] std::string
 ArchiveKey(std::uint64_t aFirstSequence);
-/// \returns Key of the index bucket for a decision id. There are 4,096 buckets,
-/// selected by the id's digest.
+/// \returns Key of the id's index bucket; there are 4,096 buckets.
 [[nodiscard]] std::string
 IndexKey(std::string_view aId);
 [[nodiscard]] std::string
@@ -24,23 +22,22 @@
 [[nodiscard]] std::string
 SnapshotPartKey(Version aVersion, std::size_t aPart);
 
-/// Maximum part size; stays below the store's limit of 1 MB per value.
+/// The store accepts up to 1 MB per value.
 inline constexpr std::size_t kMaxPartBytes = 900UL * 1000;
 /// Maximum decompressed size of a content or a segment.
 inline constexpr std::size_t kMaxUnpackedBytes = 64UL * 1024 * 1024;
 
-/// \brief Describes a snapshot; written after all its parts.
+/// \brief Describes a snapshot; written after its parts.
 struct SnapshotManifest
 {
   VersionEntry m_head;
-  std::size_t m_parts{ 0 };
+  std::size_t m_partCount{ 0 };
 };
 [[nodiscard]] std::string
 ManifestToJson(const SnapshotManifest& aManifest);
 [[nodiscard]] Outcome<SnapshotManifest>
 ParseManifest(std::string_view aText);
 
-/// \brief One line of an index bucket.
 struct IndexLine
 {
   /// First 16 hexadecimal digits of the id's digest.
@@ -54,7 +51,7 @@
 /// more than one on a digest collision.
 [[nodiscard]] std::vector<std::uint64_t>
 FindInIndex(std::string_view aBucket, std::string_view aId);
-/// \returns The bucket with the line added, or unchanged if it has the line.
+/// \returns The bucket with the line; unchanged if the line is present.
 [[nodiscard]] std::string
 AddToIndex(std::string aBucket, const IndexLine& aLine);
 
--- a/src/config/compaction_process.cpp
+++ b/src/config/compaction_process.cpp
@@ -8,7 +8,7 @@
 
 using Status = StoreReply::Status;
 
-/// \returns Number of oldest decisions to archive to get below the low mark.
+/// \returns Number of oldest decisions to archive to get below m_lowBytes.
 std::size_t
 CountToArchive(const DecisionLog& aLog, const CompactionLimits& aLimits)
 {
@@ -76,7 +76,7 @@
       }
       return NextIndex();
     case State::WritePart:
-      ++m_part;
+      ++m_nextPart;
       return NextPart();
     case State::WriteManifest:
       return SwapLog();
@@ -94,8 +94,7 @@
 bool
 CompactionProcess::CanSnapshot() const
 {
-  // The snapshot is the active content, so its version must be in the history
-  // of the log.
+  // The active content becomes the snapshot if the log has its history.
   if (m_active->m_version == m_log.m_head) {
     return m_active->m_chain == m_log.m_chain;
   }
@@ -137,8 +136,8 @@
 CompactionProcess::Step
 CompactionProcess::OnSegmentRead(const StoreReply& aReply)
 {
-  // Another process wrote this segment, possibly with another length. Its
-  // length applies, as the index may already refer to it.
+  // Another process wrote this segment, possibly with another length, and the
+  // index may already refer to it.
   const auto text = Decompress(aReply.m_value, kMaxUnpackedBytes);
   if (!text) {
     return Result::Aborted;
@@ -191,8 +190,8 @@
     return SwapLog();
   }
   m_snapshot = Compress(m_active->m_content.ToJson());
-  m_parts = (m_snapshot.size() + kMaxPartBytes - 1) / kMaxPartBytes;
-  m_part = 0;
+  m_partCount = (m_snapshot.size() + kMaxPartBytes - 1) / kMaxPartBytes;
+  m_nextPart = 0;
   return NextPart();
 }
 
@@ -200,17 +199,17 @@
 CompactionProcess::NextPart()
 {
   const Version version = m_active->m_version;
-  if (m_part < m_parts) {
+  if (m_nextPart < m_partCount) {
     return Request(
       State::WritePart,
-      MakePut(SnapshotPartKey(version, m_part),
-              m_snapshot.substr(m_part * kMaxPartBytes, kMaxPartBytes),
+      MakePut(SnapshotPartKey(version, m_nextPart),
+              m_snapshot.substr(m_nextPart * kMaxPartBytes, kMaxPartBytes),
               0));
   }
   const SnapshotManifest manifest{
     VersionEntry{
       version, {}, m_active->m_chain, m_active->m_content.GetDigest() },
-    m_parts
+    m_partCount
   };
   return Request(State::WriteManifest,
                  MakePut(SnapshotKey(version), ManifestToJson(manifest), 0));
@@ -234,8 +233,7 @@
     next.m_snapshot = m_active->m_version;
   }
   if (next.m_snapshot < next.m_archivedVersion) {
-    // This proxy lags behind the archived entries: the log could no longer
-    // rebuild its head from the snapshot.
+    // The log could no longer rebuild its head from this older snapshot.
     return Result::Aborted;
   }
   return Request(State::Swap,
@@ -248,8 +246,7 @@
   if (m_staleSnapshot == Version{}) {
     return Result::Compacted;
   }
-  // The manifest is deleted first, so that an interruption leaves unreferenced
-  // parts but never an incomplete snapshot.
+  // The manifest goes first, so that no incomplete snapshot can be read.
   return Request(State::DeleteManifest,
                  MakeDelete(SnapshotKey(m_staleSnapshot)));
 }
--- a/src/config/content_diff.cpp
+++ b/src/config/content_diff.cpp
@@ -9,8 +9,7 @@
 
 using Json = nlohmann::json;
 
-/// A merge patch keeps fields that it does not mention, so removed fields are
-/// set to null.
+/// Sets removed fields to null, as a merge patch keeps absent ones.
 Json
 EntityPatch(std::string_view aFrom, std::string_view aTo)
 {
@@ -24,7 +23,6 @@
   return patch;
 }
 
-/// Builds the text of a JSON object.
 class ObjectBuilder
 {
 public:
--- a/src/config/content_patcher.cpp
+++ b/src/config/content_patcher.cpp
@@ -201,8 +201,7 @@
     object.merge_patch(aPatch);
   }
   m_content.m_limits = ParseLimits(object, "/limits", m_reasons);
-  // "{}" has the digest of absent limits, so that removing the limits restores
-  // the digest of a content without them.
+  // Empty limits must have the digest of absent ones.
   const auto digestOf = [](const std::string& aText) {
     return aText == "{}" ? Digest{} : EntityDigest(kLimits, "", aText);
   };
--- a/src/config/content_patcher.hpp
+++ b/src/config/content_patcher.hpp
@@ -7,8 +7,7 @@
 
 namespace greengagehub {
 
-/// \brief Applies one merge patch to a content and collects all violations,
-/// each with its place.
+/// \brief Applies one merge patch and collects all violations.
 class ContentPatcher
 {
 public:
--- a/src/config/decision_json.cpp
+++ b/src/config/decision_json.cpp
@@ -3,8 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-// JSON form of decisions in the store. The parser checks every field it needs
-// and ignores unknown ones.
+// The parser ignores unknown fields.
 
 namespace greengagehub {
 
@@ -23,7 +22,7 @@
             { "base", aDecision.m_base.m_number },
             { "author", aDecision.m_author },
             { "at_ms", aDecision.m_at.time_since_epoch().count() },
-            { "rules", aDecision.m_rules },
+            { "rules", aDecision.m_rulesRevision },
             { "head", aDecision.m_head.m_number },
             { "accepted", aDecision.m_accepted } };
   if (aDecision.m_accepted) {
@@ -99,7 +98,7 @@
   out.m_author = fields.Text("author");
   out.m_at = WallTime{ std::chrono::milliseconds{
     fields.Unsigned("at_ms", INT64_MAX) } };
-  out.m_rules =
+  out.m_rulesRevision =
     static_cast<std::uint32_t>(fields.Unsigned("rules", UINT32_MAX));
   out.m_head = ReadVersion(fields, "head");
   out.m_accepted = fields.Flag("accepted");
--- a/src/config/decision_process.cpp
+++ b/src/config/decision_process.cpp
@@ -8,8 +8,7 @@
 
 using Status = StoreReply::Status;
 
-/// Attempts per operator request. Each conflict means that another decision was
-/// recorded, so the limit only bounds the duration of one request.
+/// Attempts per operator request; bounds its duration.
 constexpr std::uint32_t kMaxAttempts = 64;
 
 bool
@@ -110,9 +109,8 @@
 bool
 DecisionProcess::IsStoreBehind() const
 {
-  // A store that was emptied or restored from a backup has a lower head than
-  // the proxies, or another history. Deciding on it would assign a version
-  // number twice.
+  // Deciding on an emptied or restored store would assign a version number
+  // twice.
   const Version active = m_active->m_version;
   if (m_log.m_head < active) {
     return true;
@@ -222,7 +220,6 @@
   const SnapshotResult& read = std::get<SnapshotResult>(aStep);
   switch (read.m_status) {
     case SnapshotResult::Status::Gone:
-      // A newer snapshot replaced this one after the log was read.
       return Retry();
     case SnapshotResult::Status::Lost:
       return Answer(DecisionAnswer::Kind::NotKnown,
@@ -277,8 +274,8 @@
   if (aReply.m_status == Status::Unavailable) {
     return Answer(DecisionAnswer::Kind::NotKnown, "the store does not answer");
   }
-  // Conflict, or a lost answer to a write that may have taken effect. If it
-  // did, the retry finds the id in the log.
+  // A write whose reply was lost may have taken effect; the retry then finds
+  // the id in the log.
   return Retry();
 }
 
--- a/src/config/entity_parser.hpp
+++ b/src/config/entity_parser.hpp
@@ -25,10 +25,9 @@
   void Real(const char* aName, double& aTarget, double aHigh);
   /// \brief Reads a string of up to `aMax` bytes.
   void Text(const char* aName, std::string& aTarget, std::size_t aMax);
-  /// \brief Reads a boolean.
-  /// \param aPresent set to whether the field is there.
+  /// \param aPresent set to whether the field is present.
   void Flag(const char* aName, bool& aTarget, bool& aPresent);
-  /// \returns The unchecked field, or nullptr when it is absent.
+  /// \returns nullptr when the field is absent.
   [[nodiscard]] const nlohmann::json* Value(const char* aName)
   {
     return Find(aName);
@@ -63,9 +62,8 @@
             const std::string& aPlace,
             std::vector<Reason>& aReasons);
 
-/// \returns Whether the name has 1 to 100 characters of a-z, 0-9, '-', '.', and
-/// starts with a letter or digit. Such a name needs no escape in JSON, a URL or
-/// a metric label.
+/// \returns Whether the name has 1 to 100 characters of a-z, 0-9, '-', '.' and
+/// starts with a letter or digit. It needs no escape in JSON, URLs or metrics.
 [[nodiscard]] bool
 IsValidName(std::string_view aName) noexcept;
 
--- a/src/config/snapshot_reader.cpp
+++ b/src/config/snapshot_reader.cpp
@@ -38,11 +38,11 @@
     m_hasManifest = true;
     return MakeGet(SnapshotPartKey(m_version, 0));
   }
-  m_parts += aReply.m_value;
-  if (++m_part < m_manifest.m_parts) {
-    return MakeGet(SnapshotPartKey(m_version, m_part));
+  m_compressed += aReply.m_value;
+  if (++m_nextPart < m_manifest.m_partCount) {
+    return MakeGet(SnapshotPartKey(m_version, m_nextPart));
   }
-  auto text = Decompress(m_parts, kMaxUnpackedBytes);
+  auto text = Decompress(m_compressed, kMaxUnpackedBytes);
   if (!text) {
     return MakeResult(Status::Corrupt);
   }
--- a/src/config/store_layout.cpp
+++ b/src/config/store_layout.cpp
@@ -11,7 +11,6 @@
 namespace {
 constexpr std::size_t kBucketDigits = 3;
 constexpr std::size_t kDigestDigits = 16;
-/// Upper bound on the parts of a valid snapshot.
 constexpr std::size_t kMaxParts = kMaxUnpackedBytes / kMaxPartBytes + 1;
 }
 
@@ -46,7 +45,7 @@
     { "version", aManifest.m_head.m_version.m_number },
     { "chain", ToHex(aManifest.m_head.m_chain) },
     { "content", ToHex(aManifest.m_head.m_content) },
-    { "parts", aManifest.m_parts }
+    { "parts", aManifest.m_partCount }
   }.dump();
 }
 
@@ -59,7 +58,7 @@
   const auto content = ParseDigest(fields.Text("content"));
   SnapshotManifest manifest;
   manifest.m_head.m_version = Version{ fields.Unsigned("version") };
-  manifest.m_parts = fields.Unsigned("parts", kMaxParts);
+  manifest.m_partCount = fields.Unsigned("parts", kMaxParts);
   if (!chain || !content) {
     fields.AddError("chain", "a digest, as in /content");
   }
--- a/tests/config/config_holder.cpp
+++ b/tests/config/config_holder.cpp
@@ -11,7 +11,6 @@
 
 namespace {
 
-/// Accepted versions and the content at each of them.
 struct History
 {
   std::vector<VersionEntry> m_entries;
--- a/tests/config/decision_interleavings.cpp
+++ b/tests/config/decision_interleavings.cpp
@@ -17,7 +17,6 @@
 
 using Status = StoreReply::Status;
 
-/// Fault injected into one store request.
 enum class Fault
 {
   None,
@@ -38,14 +37,13 @@
   aDigest ^= aDigest >> 29U;
 }
 
-/// A running process: a submission or a compaction.
 struct Actor
 {
   std::optional<DecisionProcess> m_submit;
   std::optional<CompactionProcess> m_compaction;
   std::optional<StoreRequest> m_next;
   std::optional<DecisionAnswer> m_answer;
-  /// Hash of all replies so far, which determine the state of the process.
+  /// Hash of all replies so far; they determine the state of the process.
   std::size_t m_repliesHash{ 0 };
 
   void Advance(DecisionProcess::Step aStep)
@@ -113,7 +111,6 @@
   return digest;
 }
 
-/// Looks up a decision in the log and the archive, as an operator would.
 std::optional<Decision>
 Find(FakeStore aStore, const std::string& aId)
 {
@@ -129,7 +126,6 @@
   return answer.m_decision;
 }
 
-/// \returns All decisions in the store, by sequence number.
 /// \param aFault set when two decisions share a number.
 std::vector<Decision>
 AllDecisions(const FakeStore& aStore, std::string& aFault)
@@ -479,8 +475,8 @@
   }
   CHECK(after.m_answer->m_kind == DecisionAnswer::Kind::StoreBehind);
 
-  // A restarted daemon continues from the backup: the same version number in
-  // another history, which daemons on the first history must detect.
+  // A restarted daemon continues from the backup: daemons on the first history
+  // must detect the fork.
   const ConfigHolder restarted;
   Actor other = Submit(restarted, "other", 2, ServicePatch("other"));
   while (other.m_next) {
--- a/tests/config/malformed_values.cpp
+++ b/tests/config/malformed_values.cpp
@@ -31,7 +31,6 @@
                                            "[1e99999999]",
                                            "\x28\xb5\x2f\xfd garbage" };
 
-/// \returns Whether one value is a valid replacement for the other.
 bool
 IsCompatible(const Json& aLeft, const Json& aRight)
 {
@@ -177,7 +176,7 @@
     static_cast<void>(ParseDecisions(test::Damaged(decisions, random)));
     const auto read = ParseManifest(test::Damaged(manifest, random));
     if (read) {
-      CHECK(read.value().m_parts < 1000);
+      CHECK(read.value().m_partCount < 1000);
     }
     const auto copied = ParseConfigCopy(test::Damaged(copy, random), kMaxBytes);
     if (copied) {
