--- a/include/greengagehub/core/compression.hpp
+++ b/include/greengagehub/core/compression.hpp
@@ -12,9 +12,8 @@
 [[nodiscard]] std::string
 Compress(std::string_view aText);
 
-/// \param aMaxBytes maximum decompressed size; bounds the memory that a
-/// malformed frame can claim.
-/// \returns The text, or an error with the code Corrupt or TooLarge.
+/// \param aMaxBytes maximum decompressed size.
+/// \returns The text, or Corrupt or TooLarge.
 [[nodiscard]] Outcome<std::string>
 Decompress(std::string_view aFrame, std::size_t aMaxBytes);
 
--- a/include/greengagehub/core/digest.hpp
+++ b/include/greengagehub/core/digest.hpp
@@ -19,11 +19,9 @@
 
   [[nodiscard]] bool operator==(const Digest&) const noexcept = default;
 
-  /// \returns The 32 raw bytes.
   [[nodiscard]] std::string_view View() const noexcept;
 };
 
-/// \returns SHA-256 of the text.
 [[nodiscard]] Digest
 Sha256(std::string_view aText);
 
@@ -50,8 +48,7 @@
 
 /// \brief Adds or removes one element of an order-independent set hash.
 ///
-/// The hash is the lane-wise sum of the elements, so an update does not depend
-/// on the size of the set. It detects corruption, not deliberate forgery.
+/// Updates take constant time. The hash detects corruption, not forgery.
 void
 AddTo(Digest& aSum, const Digest& aElement) noexcept;
 void
--- a/include/greengagehub/core/error.hpp
+++ b/include/greengagehub/core/error.hpp
@@ -6,7 +6,6 @@
 
 namespace greengagehub {
 
-/// \brief Category of an error.
 enum class ErrorCode : std::uint8_t
 {
   Invalid,
@@ -28,7 +27,7 @@
   std::uint32_t m_column{ 0 };
 };
 
-/// \brief An error with a readable message and, for parsed text, a position.
+/// \brief An error; m_source is set for parsed text.
 struct Error
 {
   ErrorCode m_code{ ErrorCode::Invalid };
--- a/include/greengagehub/core/field_reader.hpp
+++ b/include/greengagehub/core/field_reader.hpp
@@ -7,10 +7,10 @@
 
 namespace greengagehub {
 
-/// \brief Reads the fields of one JSON object with strict types. nlohmann::json
-/// alone converts 6.5, true and -1 to unsigned integers.
+/// \brief Reads the fields of one JSON object with strict types. Unlike
+/// nlohmann::json, it does not convert 6.5, true or -1 to unsigned integers.
 ///
-/// Keeps the first error, with its place. Invalid fields read as empty or 0.
+/// Keeps the first error. Invalid fields read as empty or 0.
 class FieldReader
 {
 public:
@@ -22,7 +22,7 @@
   {
   }
 
-  /// \returns The first error; empty if there is none.
+  /// \returns Empty if there is no error.
   [[nodiscard]] const std::string& FirstError() const noexcept
   {
     return m_error;
--- a/include/greengagehub/core/random.hpp
+++ b/include/greengagehub/core/random.hpp
@@ -6,8 +6,7 @@
 
 namespace greengagehub {
 
-/// \brief Random number generator. The caller seeds and owns it, which makes
-/// runs reproducible.
+/// \brief Random number generator, seeded by its owner for reproducible runs.
 using Random = std::mt19937_64;
 
 /// \returns A uniform number in [0, aBound); 0 if aBound is 0.
--- a/include/greengagehub/core/store.hpp
+++ b/include/greengagehub/core/store.hpp
@@ -9,8 +9,7 @@
 
 using StoreDone = std::function<void(StoreReply)>;
 
-/// \brief Client of the platform's key-value store. Models implement the
-/// protocol of an actual store.
+/// \brief Client of the platform's key-value store.
 template<class T>
 concept Store = requires(T aStore, StoreRequest aRequest, StoreDone aDone)
 {
--- a/include/greengagehub/core/store_message.hpp
+++ b/include/greengagehub/core/store_message.hpp
@@ -8,12 +8,10 @@
 
 namespace greengagehub {
 
-/// \brief Revision that the store assigns to a key; 0 if the key does not
-/// exist.
+/// \brief Revision of a key in the store; 0 if the key does not exist.
 using Revision = std::uint64_t;
 
-/// \brief One request to the platform's key-value store. Logic without I/O
-/// returns it; a Store executes it.
+/// \brief One request to the platform's key-value store; a Store executes it.
 struct StoreRequest
 {
   enum class Kind : std::uint8_t
@@ -21,7 +19,6 @@
     Get,
     /// Compare-and-swap: writes if the key is at m_expected; 0 creates the key.
     Put,
-    /// Unconditional delete.
     Delete,
     /// Completes when the key changes after store revision m_expected, or with
     /// NotModified after m_wait.
@@ -29,10 +26,8 @@
     /// Reads all keys with the prefix m_key.
     List,
     LeaseGrant,
-    /// Renews m_lease.
     LeaseKeep,
-    /// Linearizable check that the key is at m_expected: Ok, or Conflict with
-    /// the current value. Writes nothing.
+    /// Linearizable check that the key is at m_expected; writes nothing.
     Check,
   };
 
@@ -40,19 +35,17 @@
   std::string m_key{};
   std::string m_value{};
   Revision m_expected{ 0 };
-  /// Put: lease that the key expires with; 0 for none. LeaseKeep: the lease to
-  /// renew.
+  /// Put: lease that the key expires with; 0: none. LeaseKeep: lease to renew.
   std::uint64_t m_lease{ 0 };
   /// Watch: maximum wait. LeaseGrant: time to live.
   std::chrono::milliseconds m_wait{ 0 };
-  /// Watch: a prefix of m_key; changes of other keys with this prefix are
-  /// reported in m_items. Empty for none.
+  /// Watch: prefix of m_key; changes of other keys with the prefix are reported
+  /// in m_items. Empty for none.
   std::string m_watchPrefix{};
   /// Check: second key, which must be at m_secondExpected; empty for none.
   std::string m_secondKey{};
   Revision m_secondExpected{ 0 };
-  /// Get and List: allows a stale read, which is cheaper and does not count
-  /// against the store's rate limits.
+  /// Get and List: allows a stale read, exempt from the store's rate limits.
   bool m_allowStale{ false };
 };
 
@@ -62,15 +55,13 @@
   std::string m_value;
 };
 
-/// \brief Reply to a store request.
 struct StoreReply
 {
   enum class Status : std::uint8_t
   {
     Ok,
     NotFound,
-    /// The key is at another revision; nothing was written. The reply has its
-    /// value and revision if it exists.
+    /// Nothing was written; the reply has the key's current value, if any.
     Conflict,
     /// A watch timed out without a change.
     NotModified,
@@ -83,21 +74,18 @@
   };
 
   Status m_status{ Status::Unknown };
-  /// Revision of the key.
   Revision m_revision{ 0 };
   /// Revision of the store at the reply; the next watch continues from it.
   Revision m_storeRevision{ 0 };
   std::string m_value{};
   std::uint64_t m_lease{ 0 };
   std::vector<StoreItem> m_items{};
-  /// Incremented when the store is restored from a backup, which sets revisions
-  /// back; 0 if unknown.
+  /// Incremented when a restore from a backup sets revisions back; 0: unknown.
   std::uint64_t m_era{ 0 };
 };
 
 [[nodiscard]] StoreRequest
 MakeGet(std::string aKey);
-/// \brief Like MakeGet, as a stale read.
 [[nodiscard]] StoreRequest
 MakeStaleGet(std::string aKey);
 [[nodiscard]] StoreRequest
@@ -117,7 +105,6 @@
 MakeCheck(std::string aKey, Revision aExpected);
 [[nodiscard]] StoreRequest
 MakeList(std::string aPrefix);
-/// \brief Like MakeList, as a stale read.
 [[nodiscard]] StoreRequest
 MakeStaleList(std::string aPrefix);
 
--- a/include/greengagehub/core/table.hpp
+++ b/include/greengagehub/core/table.hpp
@@ -16,7 +16,6 @@
 public:
   using Index = std::uint32_t;
 
-  /// \returns Number of rows in use.
   [[nodiscard]] std::size_t Size() const noexcept { return m_used; }
   /// \returns Upper bound of all indices, including free ones.
   [[nodiscard]] Index Capacity() const noexcept
