--- a/include/greengagehub/workspaces/config_freshness.hpp
+++ b/include/greengagehub/workspaces/config_freshness.hpp
@@ -13,23 +13,20 @@
 /// before m_provenAt.
 struct FreshnessProof
 {
-  /// When the read was sent, on the local clock.
   TimePoint m_provenAt{};
   Version m_version{};
 };
 
-/// \brief Tracks how recently the active configuration was proven to be the
-/// newest one.
+/// \brief Tracks when the active configuration was last proven to be the
+/// newest.
 ///
 /// A linearizable read that was sent at t and returned version v proves that no
 /// newer version had been acknowledged before t. The proof counts once v or a
-/// later version is active in this daemon. All times are read from one clock
-/// that also advances while the process is suspended.
+/// later version is active here. The clock must advance during suspension.
 class ConfigFreshness
 {
 public:
-  /// \param aBound maximum age of a proof for API keys to be accepted; 0: keys
-  /// are accepted without a proof.
+  /// \param aBound maximum age of a proof; 0: API keys need no proof.
   explicit ConfigFreshness(std::chrono::milliseconds aBound) noexcept
     : m_bound(aBound)
   {
@@ -45,14 +42,13 @@
   void OnVersion(Version aActiveVersion);
   /// \returns Whether the newest proof is recent enough to accept API keys.
   [[nodiscard]] bool IsFresh(TimePoint aNow) const noexcept;
-  /// \returns When the read of the newest applicable proof was sent, if any.
+  /// \returns Time of the newest proof that counts, if any.
   [[nodiscard]] std::optional<TimePoint> ProvenAt() const noexcept
   {
     return m_provenAt;
   }
 
-  /// Maximum number of pending proofs; the oldest is dropped first. Several are
-  /// pending while the configuration changes faster than it is activated.
+  /// Maximum number of pending proofs; the oldest is dropped first.
   static constexpr std::size_t kMaxPending = 16;
 
 private:
--- a/include/greengagehub/workspaces/coordinator_role.hpp
+++ b/include/greengagehub/workspaces/coordinator_role.hpp
@@ -18,18 +18,16 @@
 
 /// \brief Elects the daemon that grants quota tokens: at most one at a time.
 ///
-/// The daemon that last wrote kCoordinatorKey is the coordinator. Every
-/// kConfirmInterval it checks that the key is unchanged. Each successful check
-/// renews its lease: it grants tokens for kLeaseDuration after the check was
-/// sent. A successor overwrites the key, so that the predecessor's checks fail,
+/// The daemon that last wrote kCoordinatorKey is the coordinator. A check that
+/// the key is unchanged renews its lease, counted from the sending of the
+/// check. A successor overwrites the key, which fails the predecessor's checks,
 /// and waits for kLeaseDuration before it grants tokens.
 ///
-/// All times are read from one clock that also advances while the process is
-/// suspended. Clocks of different daemons are never compared.
+/// The clock must advance during suspension. Clocks of different daemons are
+/// never compared.
 class CoordinatorRole
 {
 public:
-  /// \param aStarted when this process started.
   CoordinatorRole(std::string aSlot,
                   std::uint64_t aProcess,
                   TimePoint aStarted,
@@ -39,15 +37,13 @@
   enum class Step : std::uint8_t
   {
     None,
-    /// Read kCoordinatorKey.
     Read,
-    /// Write KeyValue() to the key if it is still at revision
-    /// ExpectedRevision().
+    /// Write KeyValue() if the key is at revision ExpectedRevision().
     Claim,
     /// Check that the key is at revision ExpectedRevision().
     Confirm,
-    /// Write an empty value if the key is at revision ExpectedRevision(), so
-    /// that a successor need not wait.
+    /// Write an empty value if the key is at revision ExpectedRevision(); a
+    /// successor then need not wait.
     Release,
   };
 
@@ -64,14 +60,12 @@
   {
     m_newestTerm = std::max(m_newestTerm, aTerm);
   }
-  /// \brief A store call failed or timed out.
   void OnFailed(TimePoint aNow);
-  /// \brief Stops leading after kMaxFailures consecutive failed confirmations,
-  /// for example because the store rejects this daemon.
-  /// \returns Whether this daemon stood down; its ended term is
+  /// \brief Stops leading after kMaxFailures failed confirmations in a row.
+  /// \returns Whether this daemon stopped; the ended term is
   /// ExpectedRevision().
   [[nodiscard]] bool StandDownIfFailing(TimePoint aNow);
-  /// \brief Records that the coordinator of a term has stopped granting tokens.
+  /// \brief The coordinator of a term has stopped granting tokens.
   void OnTermEnded(Revision aTerm) noexcept
   {
     m_endedTerm = std::max(m_endedTerm, aTerm);
@@ -83,37 +77,31 @@
   /// \returns Step::Release if the key is to be released.
   [[nodiscard]] Step Resign() noexcept;
 
-  /// \returns Whether this daemon may grant tokens now.
   [[nodiscard]] bool IsLeading(TimePoint aNow) const noexcept;
-  /// \returns Whether this daemon has claimed the key and waits for its
-  /// predecessor's lease to expire.
+  /// \returns Whether the predecessor's lease delays this coordinator.
   [[nodiscard]] bool IsAwaitingPredecessor(TimePoint aNow) const noexcept
   {
     return m_holdsKey && aNow < m_predecessorLeaseEnd;
   }
-  /// \returns Whether this daemon holds the key, as far as it knows.
+  /// \returns Whether the last claim or confirmation succeeded.
   [[nodiscard]] bool HoldsKey() const noexcept { return m_holdsKey; }
-  /// \returns The last known revision of the key.
   [[nodiscard]] Revision ExpectedRevision() const noexcept
   {
     return m_revision;
   }
-  /// \returns What this process writes to the key: its slot and process id.
+  /// \returns The slot and the process id.
   [[nodiscard]] std::string KeyValue() const;
   /// \returns true once for each time that this daemon starts to lead.
   [[nodiscard]] bool TakeStarted(TimePoint aNow) noexcept;
 
   static constexpr std::chrono::milliseconds kConfirmInterval{ 400 };
   static constexpr std::chrono::milliseconds kLeaseDuration{ 1000 };
-  /// Time for a coordinator that was found in the key to send a first report,
-  /// before the key is overwritten.
+  /// Time for a coordinator found in the key to send a first report.
   static constexpr std::chrono::milliseconds kAnnounceGrace{ 600 };
   /// Maximum delay after a failed store call.
   static constexpr std::chrono::milliseconds kRetryDelay{ 300 };
-  /// Consecutive failed confirmations after which this daemon stands down.
   static constexpr std::uint32_t kMaxFailures = 2;
-  /// Maximum delay before a daemon that stood down, lost the key or failed to
-  /// claim it tries again.
+  /// Maximum delay before the next claim after losing or failing one.
   static constexpr std::chrono::milliseconds kReclaimDelay{ 3000 };
 
 private:
@@ -135,18 +123,16 @@
   /// Highest term whose coordinator has reported that it stopped.
   Revision m_endedTerm{ 0 };
   std::uint32_t m_consecutiveFailures{ 0 };
-  /// The key has been read and may be overwritten.
   bool m_canClaim{ false };
   bool m_holdsKey{ false };
   bool m_isCallPending{ false };
   bool m_hasResigned{ false };
   bool m_hasReportedStart{ false };
-  /// This daemon grants no tokens earlier: its predecessor may still do so.
+  /// The predecessor may grant tokens until then.
   TimePoint m_predecessorLeaseEnd{};
   /// When the last successful claim or confirmation was sent.
   TimePoint m_leaseStart{};
   TimePoint m_nextStepAt{};
-  /// Content of the key that a claim replaces.
   std::string m_predecessorValue{};
 };
 
--- a/include/greengagehub/workspaces/quota_allocation.hpp
+++ b/include/greengagehub/workspaces/quota_allocation.hpp
@@ -22,15 +22,12 @@
 /// \brief Division of a workspace's allowance between tokens and a reserve, so
 /// that no window exceeds it even if daemons are partitioned, paused or killed.
 ///
-/// Tokens used in a window were granted in it or in the kTokenLifetime before:
-/// at most m_capacity + m_rate * (window + kTokenLifetime). Daemons that cannot
-/// reach the coordinator admit at most m_reserve requests per window together.
-/// The sum of both is the allowance.
+/// Invariant: m_capacity + m_rate * (window + kTokenLifetime) + m_reserve is at
+/// most the allowance. Daemons without a coordinator use the reserve.
 struct QuotaAllocation
 {
-  /// Refill rate of the token bucket, in tokens per second.
+  /// Refill of the bucket, in tokens per second.
   double m_rate{ 0.0 };
-  /// Capacity of the token bucket, in tokens.
   double m_capacity{ 0.0 };
   /// Requests per window without a token, over all daemons.
   double m_reserve{ 0.0 };
--- a/include/greengagehub/workspaces/quota_client.hpp
+++ b/include/greengagehub/workspaces/quota_client.hpp
@@ -14,13 +14,12 @@
 
 namespace greengagehub {
 
-/// \brief Whether a request that needs a token is admitted.
 struct QuotaDecision
 {
   enum class Kind : std::uint8_t
   {
     Admitted,
-    /// The next query requests tokens; retry after its report.
+    /// Retry after the next report.
     Waiting,
     /// The workspace has used up its quota.
     OverQuota,
@@ -34,19 +33,17 @@
 /// \brief Admits requests against tokens that the coordinator grants to this
 /// daemon, and queries the coordinator for more.
 ///
-/// Tokens are prefetched for workspaces that send several requests per second
-/// to this daemon. Any other request waits one round trip for its token. While
-/// the coordinator does not answer, requests are admitted from the reserve that
-/// it assigned earlier.
+/// Tokens are prefetched for busy workspaces; other requests wait one round
+/// trip for their token. While the coordinator does not answer, requests are
+/// admitted from the reserve that it assigned earlier.
 class QuotaClient
 {
 public:
   QuotaClient(QuotaTolerance aTolerance, std::uint64_t aSeed);
 
   /// \brief Consumes a token, or part of the reserve, for one request.
-  /// \param aIsNew false for a retry of a waiting request, for which CancelWait
-  /// has been called. \param aIsLate the response would exceed the route's
-  /// target latency.
+  /// \param aIsNew false for the retry of a waiting request, after CancelWait.
+  /// \param aIsLate the response would exceed the route's target latency.
   [[nodiscard]] QuotaDecision TryAdmit(TimePoint aNow,
                                        WorkspaceId aWorkspace,
                                        bool aIsNew,
@@ -54,23 +51,18 @@
   /// \brief Ends the wait of one request whose decision was Waiting.
   void CancelWait(WorkspaceId aWorkspace);
 
-  /// \returns The next query, if one is due.
   [[nodiscard]] std::optional<QuotaQuery> NextQuery(TimePoint aNow);
-  /// \returns When the query that the report answers was sent; nothing for a
-  /// late or duplicate report.
+  /// \returns When the answered query was sent; nothing if late or duplicate.
   [[nodiscard]] std::optional<TimePoint> OnReport(TimePoint aNow,
                                                   const QuotaReport& aReport);
-  /// \brief A coordinator has announced that it grants tokens. Pending queries
-  /// are dropped, so that the next one need not wait for their answers.
+  /// \brief Drops pending queries, so that the next one is sent at once.
   void OnCoordinatorReady() noexcept;
   /// \returns Whether no coordinator has answered for kSilenceTimeout.
   [[nodiscard]] bool IsCoordinatorSilent(TimePoint aNow) const noexcept;
 
-  /// Maximum interval of queries without demand, which renew the freshness
-  /// proof.
+  /// Interval of queries without demands, which renew the freshness proof.
   static constexpr std::chrono::milliseconds kQueryInterval{ 400 };
-  /// Time without an answer after which the next query may be sent. A later
-  /// answer is still accepted until its tokens expire.
+  /// Time without an answer after which the next query may be sent.
   static constexpr std::chrono::milliseconds kAnswerTimeout{ 100 };
   /// Time without an answer after which the reserve is used.
   static constexpr std::chrono::milliseconds kSilenceTimeout{ 400 };
@@ -86,11 +78,10 @@
   struct WorkspaceState
   {
     std::deque<TokenBatch> m_batches{};
-    /// Requests that wait for a token.
     std::uint32_t m_waiting{ 0 };
     /// Requests since the last update of m_rate.
     std::uint32_t m_arrivals{ 0 };
-    /// Requests per second, exponential moving average.
+    /// Requests per second, moving average.
     double m_rate{ 0.0 };
     /// After a partial grant, no tokens are requested and requests without a
     /// token are rejected until then.
@@ -99,7 +90,6 @@
     TimePoint m_scarceUntil{};
     /// Requests per quota window that may be admitted from the reserve.
     std::uint32_t m_reserve{ 0 };
-    /// Times of the admissions from the reserve within the quota window.
     std::deque<TimePoint> m_reserveUses{};
     TimePoint m_lastArrival{};
   };
@@ -126,7 +116,6 @@
   QuotaTolerance m_tolerance;
   Random m_random;
   std::unordered_map<WorkspaceId, WorkspaceState> m_workspaces;
-  /// Waiting requests of all workspaces.
   std::uint32_t m_waiting{ 0 };
   std::uint64_t m_sequence{ 0 };
   /// Unanswered queries, newest last.
--- a/include/greengagehub/workspaces/quota_coordinator.hpp
+++ b/include/greengagehub/workspaces/quota_coordinator.hpp
@@ -13,7 +13,7 @@
 
 namespace greengagehub {
 
-/// \brief Grants quota tokens to all daemons; active only in the coordinator.
+/// \brief Grants quota tokens to all daemons.
 ///
 /// Each workspace has one token bucket. Tokens are granted in the order of the
 /// demands; the reserve is divided in proportion to each daemon's request rate.
@@ -25,11 +25,9 @@
   {
   }
 
-  /// \brief Resets all buckets to empty, because tokens that a predecessor
-  /// granted may still be in use.
+  /// \brief Empties all buckets, as a predecessor's tokens may be in use.
   void Start(TimePoint aNow);
   /// \param aSlot slot of the daemon that sent the demands.
-  /// \returns One grant for each demand.
   [[nodiscard]] std::vector<QuotaGrant> OnDemands(
     TimePoint aNow,
     std::string_view aSlot,
@@ -50,7 +48,6 @@
     TimePoint m_refilledAt{};
     /// By hash of the daemon's slot.
     std::unordered_map<std::uint64_t, DaemonRate> m_daemonRates{};
-    /// Sum of m_daemonRates.
     double m_totalRate{ 0.0 };
   };
 
--- a/include/greengagehub/workspaces/quota_message.hpp
+++ b/include/greengagehub/workspaces/quota_message.hpp
@@ -12,11 +12,10 @@
 
 namespace greengagehub {
 
-/// \brief Tokens that a daemon requests for one workspace.
 struct QuotaDemand
 {
   WorkspaceId m_workspace{ 0 };
-  /// Number of tokens; each admits one request.
+  /// Tokens; each admits one request.
   std::uint32_t m_wanted{ 0 };
   /// Recent request rate at the daemon, in thousandths of requests per second.
   std::uint32_t m_milliRate{ 0 };
@@ -34,11 +33,10 @@
   std::uint32_t m_milliReserve{ 0 };
 };
 
-/// \brief Requests a freshness proof and tokens. The lifetime of both is
-/// counted from the sending of the query.
+/// \brief Requests a freshness proof and tokens, whose lifetimes start when the
+/// query is sent.
 struct QuotaQuery
 {
-  /// Matches the report to the query.
   std::uint64_t m_sequence{ 0 };
   std::vector<QuotaDemand> m_demands{};
 };
@@ -58,12 +56,11 @@
   std::uint64_t m_sequence{ 0 };
   /// Slot of the coordinator as known to the sender; empty: unknown or none.
   std::string m_coordinator{};
-  /// Revision of kCoordinatorKey that the coordinator wrote; 0: unknown.
+  /// Revision of kCoordinatorKey; 0: unknown.
   Revision m_term{ 0 };
-  /// Whether the sender grants tokens. A new coordinator does not until its
-  /// predecessor's lease has expired.
+  /// False while a new coordinator waits for its predecessor's lease.
   bool m_isGranting{ false };
-  /// Age of the sender's freshness proof when it received the query, if any.
+  /// Age of the sender's freshness proof at receipt of the query.
   std::optional<std::chrono::milliseconds> m_proofAge{};
   /// Configuration that the proof applies to.
   StoreConfig m_config{};
--- a/include/greengagehub/workspaces/workspace_id.hpp
+++ b/include/greengagehub/workspaces/workspace_id.hpp
@@ -4,7 +4,7 @@
 
 namespace greengagehub {
 
-/// \brief Identifies a workspace in messages: ShortHash its name.
+/// \brief Identifies a workspace in messages: ShortHash of its name.
 using WorkspaceId = std::uint64_t;
 
 }
--- a/include/greengagehub/workspaces/workspace_table.hpp
+++ b/include/greengagehub/workspaces/workspace_table.hpp
@@ -10,7 +10,6 @@
 
 namespace greengagehub {
 
-/// \brief Attributes of a workspace that are needed to admit requests.
 struct WorkspaceRow
 {
   std::string m_name{};
@@ -26,19 +25,15 @@
 /// \brief Finds the workspace of an API key.
 ///
 /// API keys are looked up by their SHA-256, so that the duration of a lookup
-/// reveals nothing about a key. An update compares all workspaces but rebuilds
-/// only the entries of those that changed.
+/// reveals nothing about a key.
 class WorkspaceTable
 {
 public:
-  /// \brief Replaces the workspaces by those of the configuration.
   void Update(const Content& aContent);
 
   [[nodiscard]] bool IsEmpty() const noexcept { return m_rows.empty(); }
-  /// \returns Number of API keys of all workspaces.
   [[nodiscard]] std::size_t KeyCount() const noexcept { return m_keys.size(); }
-  /// \returns The workspace that has the key, or nullptr; valid until the next
-  /// update.
+  /// \returns nullptr for an unknown key; valid until the next update.
   [[nodiscard]] const WorkspaceRow* FindByKey(std::string_view aKey) const;
   [[nodiscard]] const WorkspaceRow* Find(WorkspaceId aId) const;
   /// \returns Rank of a request in a wait queue, lowest first: ordered by the
@@ -59,7 +54,6 @@
   void Add(const std::string& aName, const Workspace& aWorkspace);
   void Remove(const std::string& aName, const Workspace& aWorkspace);
 
-  /// Workspaces of the last update; shares its entities with the content.
   EntityMap<Workspace> m_entities;
   std::unordered_map<WorkspaceId, WorkspaceRow> m_rows;
   std::unordered_map<Digest, WorkspaceId, DigestHash> m_keys;
--- a/src/workspaces/quota_allocation.cpp
+++ b/src/workspaces/quota_allocation.cpp
@@ -6,11 +6,9 @@
 
 namespace {
 
-/// Minimum part of the allowance kept for capacity and reserve; the rate alone
-/// could use up a quota without a burst.
+/// Minimum part of the allowance kept for capacity and reserve.
 constexpr double kMinHeadroom = 0.1;
-/// Part of the burst that is spread over a window and added to the rate,
-/// because a constant load may use the rate and the burst in each window.
+/// Part of the burst that is spread over a window and added to the rate.
 constexpr double kSustainedBurstPart = 0.5;
 /// Part of the headroom that becomes bucket capacity; the rest is reserve.
 constexpr double kCapacityPart = 0.25;
--- a/src/workspaces/quota_client.cpp
+++ b/src/workspaces/quota_client.cpp
@@ -8,14 +8,11 @@
 
 namespace {
 
-/// Tokens are prefetched for the requests expected in this period, which covers
-/// the time until the next query is answered.
+/// Tokens are prefetched for the requests expected in this period.
 constexpr std::chrono::duration<double> kPrefetchPeriod{ 0.3 };
-/// Below this number of expected requests, nothing is prefetched.
 constexpr double kMinPrefetchTokens = 2.0;
 /// Weight of the newest interval in the moving average of a rate.
 constexpr double kRateSmoothing = 0.3;
-/// Shortest interval over which a rate is measured.
 constexpr std::chrono::milliseconds kMinRateInterval{ 300 };
 /// State of a workspace without requests is removed after this time.
 constexpr std::chrono::seconds kIdleExpiry{ 30 };
@@ -25,7 +22,6 @@
 constexpr std::chrono::milliseconds kScarcityTime{ 1500 };
 /// Retry delay reported for late requests while tokens are scarce.
 constexpr std::chrono::milliseconds kLateRetryAfter{ 1500 };
-/// Retry delay reported for requests that were rejected for lack of a token.
 constexpr std::chrono::milliseconds kOverQuotaRetryAfter{ 500 };
 constexpr double kMilliPerUnit = 1000.0;
 
@@ -121,9 +117,6 @@
   return m_unansweredSince && aNow - *m_unansweredSince >= kSilenceTimeout;
 }
 
-// ---------------------------------------------------------------------------
-// Queries
-
 std::uint32_t
 QuotaClient::RoundStochastically(double aValue)
 {
@@ -214,9 +207,6 @@
   return QuotaQuery{ m_sequence, CollectDemands(aNow) };
 }
 
-// ---------------------------------------------------------------------------
-// Reports
-
 std::optional<TimePoint>
 QuotaClient::OnReport(TimePoint aNow, const QuotaReport& aReport)
 {
--- a/src/workspaces/quota_coordinator.cpp
+++ b/src/workspaces/quota_coordinator.cpp
@@ -14,8 +14,7 @@
 /// Bounds of the delay before the next demand after a partial grant.
 constexpr std::chrono::milliseconds kMinRetryAfter{ 100 };
 constexpr std::chrono::milliseconds kMaxRetryAfter{ 500 };
-/// Lower bound of a rate in requests per second, for daemons that have just
-/// received their first request.
+/// Lower bound of a daemon's rate, in requests per second.
 constexpr double kMinRate = 0.02;
 constexpr double kMilliPerUnit = 1000.0;
 
@@ -68,7 +67,6 @@
 {
   const auto [found, isNew] = aBucket.m_daemonRates.try_emplace(aSlot);
   if (isNew) {
-    // Bounds the number of entries by that of recently active daemons.
     RemoveSilentDaemons(aNow, aBucket);
   }
   DaemonRate& daemonRate = aBucket.m_daemonRates[aSlot];
--- a/src/workspaces/workspace_table.cpp
+++ b/src/workspaces/workspace_table.cpp
@@ -16,8 +16,7 @@
   if (target == m_entities) {
     return;
   }
-  // Removals come first, because a key may have moved from one workspace to
-  // another.
+  // Removals come first, as a key may move between workspaces.
   for (const auto& [name, workspace] : m_entities) {
     const auto found = target.find(name);
     if (found == target.end() || found->second != workspace) {
--- a/tests/workspaces/coordinator_role.cpp
+++ b/tests/workspaces/coordinator_role.cpp
@@ -15,7 +15,6 @@
 
 constexpr TimePoint kStart{ 1000s };
 
-/// One key of a linearizable store.
 struct StoredKey
 {
   std::string m_value;
@@ -39,7 +38,6 @@
   }
 };
 
-/// Performs a step with an immediate reply.
 void
 Execute(TimePoint aNow, Step aStep, CoordinatorRole& aRole, StoredKey& aKey)
 {
@@ -63,7 +61,6 @@
   }
 }
 
-/// Runs a single daemon from aFrom to aTo.
 void
 RunAlone(TimePoint aFrom,
          TimePoint aTo,
@@ -186,7 +183,6 @@
 
 namespace {
 
-/// Two daemons and their pending store calls.
 struct State
 {
   StoredKey m_key;
--- a/tests/workspaces/quota.cpp
+++ b/tests/workspaces/quota.cpp
@@ -30,7 +30,6 @@
   return table;
 }
 
-/// Daemons that receive the requests of one workspace, and the coordinator.
 struct Fleet
 {
   Fleet(std::size_t aDaemons, WorkspaceTable aTable)
