--- a/include/greengagehub/settings/settings.hpp
+++ b/include/greengagehub/settings/settings.hpp
@@ -41,9 +41,9 @@
 {
   std::string m_url{};
   std::chrono::milliseconds m_timeout{ 2000 };
-  /// Longest wait of one watch request for a change.
+  /// Maximum wait of one watch request.
   std::chrono::milliseconds m_watch{ 20'000 };
-  /// Longest pause between retries while the store is unreachable.
+  /// Maximum pause between retries.
   std::chrono::milliseconds m_maxBackoff{ 15'000 };
 };
 
@@ -52,41 +52,36 @@
   std::uint64_t m_maxBodyBytes{ 1024UL * 1024 };
   /// Maximum number of retries of one call, over all its hops.
   std::uint32_t m_maxRetries{ 2 };
-  /// Longest time that a drain waits for calls in flight.
+  /// Maximum wait of a drain for calls in flight.
   std::chrono::milliseconds m_drain{ 30'000 };
-  /// How long a draining daemon stays reachable after its last call, so that
-  /// callers learn that it is going away.
+  /// Time that a draining daemon stays reachable after its last call.
   std::chrono::milliseconds m_linger{ 500 };
-  /// How long the event loop polls before it blocks while calls are in flight.
+  /// Busy-polling time before the event loop blocks while calls are in flight.
   std::chrono::microseconds m_spin{ 0 };
   /// Maximum share of a processor used for polling.
   std::uint32_t m_spinPercent{ 5 };
 };
 
-/// \brief Limits set by the platform that hosts the fleet.
-///
-/// Without a platform, daemons take configuration from operators' patches and
-/// the address of their backend server from the settings alone.
+/// \brief Limits set by the platform that hosts the fleet. Without a platform,
+/// configuration comes from operators' patches.
 struct PlatformSettings
 {
   bool m_enabled{ false };
-  /// Time between two heartbeats of a backend server.
   std::chrono::milliseconds m_heartbeatPeriod{ 1500 };
-  /// Time after an acknowledged deregistration in which requests may still
-  /// reach the backend server.
+  /// Time after a deregistration in which requests may still arrive.
   std::chrono::milliseconds m_workerDrain{ 2000 };
   /// Time between SIGTERM and SIGKILL.
   std::chrono::milliseconds m_terminationGrace{ 6000 };
-  /// Maximum time until a new configuration is in force on every daemon.
+  /// Maximum time until a new configuration is active on every daemon.
   std::chrono::milliseconds m_maxConfigDelay{ 2000 };
-  /// Retry budget of a service over the whole fleet: in each window, at most
-  /// this share of its requests plus the slack.
+  /// Retry budget of a service per window, over the whole fleet: this share of
+  /// its requests plus the slack.
   double m_retryShare{ 0.2 };
   std::chrono::milliseconds m_retryWindow{ 10'000 };
   /// Retries; a fraction is allowed.
   double m_retrySlack{ 50.0 };
-  /// Calls that a bad canary may receive until its roll-out's deadline: at most
-  /// this share of the service's calls plus the slack.
+  /// Maximum calls to a bad canary per roll-out: this share of the service's
+  /// calls plus the slack.
   double m_canaryShare{ 0.1 };
   double m_canarySlack{ 50.0 };
 };
@@ -94,9 +89,8 @@
 /// \brief Enforcement of the workspaces' API keys and quotas.
 struct WorkspaceSettings
 {
-  /// Maximum time from the store's acknowledgement of a key's removal until no
-  /// daemon accepts it, including daemons cut off from the store and their
-  /// peers; 0: each daemon rejects the key when the change reaches it.
+  /// Maximum time until no daemon accepts a removed key, even if cut off from
+  /// the store and its peers; 0: no limit.
   std::chrono::milliseconds m_maxRevokeDelay{ 0 };
   QuotaTolerance m_quota{};
 };
@@ -114,7 +108,6 @@
   std::uint32_t m_tracePercent{ 0 };
 };
 
-/// \brief The settings of one daemon.
 struct Settings
 {
   std::string m_slot{};
@@ -124,8 +117,8 @@
   /// Bandwidth of this instance's network link, in Mbit/s; 0: unknown.
   std::uint32_t m_linkMbps{ 0 };
   ListenSettings m_listen{};
-  /// Required for operators' requests that change state; never logged. Empty:
-  /// such requests are rejected.
+  /// Required for requests that change state; empty: they are rejected. Never
+  /// logged.
   std::string m_operatorToken{};
   HostPort m_worker{};
   RunTableSettings m_runs{};
@@ -152,7 +145,6 @@
 [[nodiscard]] SettingsResult
 ParseSettings(std::string_view aToml, const std::string& aFile);
 
-/// \brief Reads and parses a settings file.
 [[nodiscard]] SettingsResult
 LoadSettings(const std::string& aFile);
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -25,8 +25,7 @@
   "dissemination", "calls",  "log",       "platform", "decisions", "workspaces"
 };
 
-/// \returns Host and port of "IP:PORT", or nothing if the text has another
-/// form.
+/// \param aText "IP:PORT".
 std::optional<HostPort>
 ParseHostPort(std::string_view aText)
 {
@@ -53,7 +52,6 @@
          inet_pton(AF_INET6, aHost.c_str(), &six) == 1;
 }
 
-/// Parses all sections of one file and collects their errors.
 class SettingsParser
 {
 public:
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -14,8 +14,7 @@
 
 /// \brief Reads one section of a TOML file and collects errors.
 ///
-/// A key that is absent leaves its target unchanged. An error names the key,
-/// its position in the file and the expected value.
+/// A key that is absent leaves its target unchanged.
 class SettingsReader
 {
 public:
@@ -27,7 +26,6 @@
   void Text(const char* aKey, std::string& aTarget);
   /// \brief Reads a string that must be present and not empty.
   void RequiredText(const char* aKey, std::string& aTarget);
-  /// \brief Appends the strings of an array.
   void TextArray(const char* aKey, std::vector<std::string>& aTarget);
   /// \brief Reads a string that must be one of `aAllowed`.
   void OneOf(const char* aKey,
@@ -53,7 +51,6 @@
       aTarget = static_cast<Number>(value);
     }
   }
-  /// \brief Reports the keys that were not read.
   /// \param aTables subtables to ignore.
   void ReportUnknownKeys(const std::vector<std::string>& aTables = {});
   void AddError(const char* aKey, const std::string& aExpected);
