--- a/include/greengagehub/observe/log.hpp
+++ b/include/greengagehub/observe/log.hpp
@@ -24,7 +24,6 @@
 [[nodiscard]] std::string_view
 NameOf(LogLevel aLevel) noexcept;
 
-/// \brief One named value of a log line.
 struct LogField
 {
   using Value =
@@ -48,7 +47,6 @@
 
   /// \brief Writes buffered lines as far as possible without blocking.
   void Flush() const { m_sink->Flush(); }
-  /// \brief Replaces the levels.
   /// \param aComponents levels of components that differ from `aLevel`.
   void SetLevels(LogLevel aLevel,
                  std::map<std::string, LogLevel, std::less<>> aComponents);
--- a/include/greengagehub/observe/log_rate_limiter.hpp
+++ b/include/greengagehub/observe/log_rate_limiter.hpp
@@ -8,8 +8,7 @@
 
 namespace greengagehub {
 
-/// \brief Token bucket that limits the rate of log lines and counts suppressed
-/// ones.
+/// \brief Token bucket for log lines.
 class LogRateLimiter
 {
 public:
@@ -22,7 +21,6 @@
   {
   }
 
-  /// \returns Whether a line may be written now.
   [[nodiscard]] bool Take(TimePoint aNow) noexcept
   {
     if (m_lastRefill != TimePoint{}) {
--- a/include/greengagehub/observe/log_sink.hpp
+++ b/include/greengagehub/observe/log_sink.hpp
@@ -8,9 +8,8 @@
 
 /// \brief Writes lines to a file descriptor without blocking.
 ///
-/// A stalled reader of standard output must neither block calls nor exhaust
-/// memory. The buffer is bounded: while it is full, lines are dropped and
-/// counted. The count is logged as soon as there is room again.
+/// The buffer is bounded. While it is full, lines are dropped; their number is
+/// logged as soon as there is room again.
 class LogSink
 {
 public:
@@ -23,7 +22,6 @@
   {
   }
 
-  /// \returns Number of lines dropped so far.
   [[nodiscard]] std::uint64_t DroppedLines() const noexcept
   {
     return m_droppedLines;
--- a/include/greengagehub/observe/metrics.hpp
+++ b/include/greengagehub/observe/metrics.hpp
@@ -18,13 +18,12 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  /// \brief Counts a final answer to a caller.
+  /// \brief Counts a final response to a caller.
   void CountCall(std::string_view aOutcome, std::string_view aReason);
-  /// \brief Counts an attempt at the local worker that ended or was refused.
+  /// \brief Counts an attempt at the local worker that finished or was
+  /// rejected.
   void CountRun(std::string_view aResult);
-  /// \brief Counts a crash of the local worker.
   void CountWorkerCrash();
-  /// \brief Counts a rejected report about a backend server.
   void CountRejectedReport(std::string_view aReason);
   /// \brief Sets the total of control traffic, in bytes since start.
   void SetBytes(std::string_view aPurpose,
@@ -34,10 +33,9 @@
   void SetStoreCalls(std::string_view aKind, std::uint64_t aTotal);
   /// \param aName without the prefix `greengagehub_`.
   void SetGauge(std::string_view aName, std::string_view aHelp, double aValue);
-  /// \brief Records the time from a caller's request to its answer.
+  /// \brief Records the time from a caller's request to its response.
   void ObserveLatency(double aSeconds);
 
-  /// \returns All metrics in the text format.
   [[nodiscard]] std::string Expose() const;
 
 private:
--- a/include/greengagehub/observe/request_trace.hpp
+++ b/include/greengagehub/observe/request_trace.hpp
@@ -6,14 +6,12 @@
 
 namespace greengagehub {
 
-/// \brief A log line about a request.
 struct TracedLine
 {
-  /// Time that orders the line among those of other processes.
+  /// Sort key among the lines of other processes.
   std::string m_time;
   std::string m_slot;
   std::string m_event;
-  /// The full line.
   std::string m_text;
 };
 
@@ -28,8 +26,7 @@
 
 /// \brief Collects the lines about one request from the logs of processes.
 ///
-/// If the clock of a process stepped back, its later lines count as written at
-/// its latest time before.
+/// Lines after a backward step of a process's clock keep its latest time.
 /// \param aLogs the log text of each process.
 [[nodiscard]] RequestTrace
 TraceRequest(std::string_view aId, const std::vector<std::string>& aLogs);
--- a/include/greengagehub/observe/span.hpp
+++ b/include/greengagehub/observe/span.hpp
@@ -20,7 +20,6 @@
 };
 
 /// \param aHeader value of a `traceparent` header.
-/// \returns The context, or nothing if the value is invalid.
 [[nodiscard]] std::optional<TraceContext>
 ParseTraceparent(std::string_view aHeader);
 
--- a/src/observe/request_trace.cpp
+++ b/src/observe/request_trace.cpp
@@ -13,7 +13,6 @@
 
 constexpr const char* kFinishedEvent = "request_finished";
 
-/// \returns The lines of one process about the request, in written order.
 std::deque<TracedLine>
 CollectLines(std::string_view aId, const std::string& aLog)
 {
--- a/tests/observe/log_sink.cpp
+++ b/tests/observe/log_sink.cpp
@@ -25,7 +25,7 @@
   CHECK(sink.BufferedBytes() <= 10'000);
   CHECK(sink.DroppedLines() > 3000);
 
-  // The reader resumes: buffered lines arrive, then the number of dropped ones.
+  // Buffered lines arrive first, then the number of dropped ones.
   std::string received;
   std::array<char, 4096> buffer{};
   const auto drain = [&] {
