--- a/src/cli/common.hpp
+++ b/src/cli/common.hpp
@@ -33,10 +33,8 @@
   std::vector<std::string> m_files;
   std::string m_daemon;
   std::string m_token;
-  /// Id of the patch.
   std::string m_id;
   std::string m_author;
-  /// Version that the patch is based on.
   std::optional<std::uint64_t> m_base;
   /// Version to wait for.
   std::optional<std::uint64_t> m_wait;
--- a/src/cli/quarantine.hpp
+++ b/src/cli/quarantine.hpp
@@ -8,7 +8,6 @@
 [[nodiscard]] int
 ShowQuarantine(const Options& aOptions);
 
-/// \brief Lifts the quarantine of the fingerprint given as the argument.
 [[nodiscard]] int
 LiftQuarantine(const Options& aOptions);
 
--- a/src/cli/rollout.cpp
+++ b/src/cli/rollout.cpp
@@ -27,7 +27,7 @@
   fmt::print("  share of calls: {} in 1000, on {} workers (0: all)\n",
              aRollout.value("permille", 0),
              aRollout.value("workers", 0));
-  fmt::print("  reason: {}; of {} runs {} came to harm, {} were expected to\n",
+  fmt::print("  reason: {}; of {} runs, {} were bad; expected: {}\n",
              aRollout.value("reason", ""),
              aRollout.value("runs", 0),
              aRollout.value("harmed", 0),
--- a/src/cli/rollout.hpp
+++ b/src/cli/rollout.hpp
@@ -4,8 +4,7 @@
 
 namespace greengagehub::cli {
 
-/// \brief Starts, shows, explains or stops roll-outs, as the first argument
-/// says.
+/// \brief Starts, shows, explains or stops roll-outs.
 [[nodiscard]] int
 Rollout(const Options& aOptions);
 
--- a/src/greengagehub.cpp
+++ b/src/greengagehub.cpp
@@ -28,24 +28,24 @@
 constexpr const char* kVersion = "0.1.0";
 constexpr const char* kUsage = R"(greengagehub COMMAND [OPTIONS]
 
-  submit PATCH_FILE     hand in a patch against --base
-  version               the version in force; with --wait N, until N is in
-                        force everywhere or --timeout seconds are over
-  explain PATCH_ID      the recorded decision on a patch
-  status                one daemon's state
-  held                  requests that are not run, as workers ended under them:
-                        since when, how many ends, and who saw them
-  lift CONTENT          let one of these run again, everywhere
-  rollout VERB ...      versions on trial: status [SERVICE], explain [SERVICE],
-                        start SERVICE VERSION with --timeout seconds in which it
-                        is completed or rolled back, stop SERVICE
-  drain                 ask a daemon to leave
+  submit PATCH_FILE     submit a patch on version --base
+  version               show the version in force; with --wait N, wait until N
+                        is in force on all daemons, at most --timeout seconds
+  explain PATCH_ID      show the recorded decision on a patch
+  status                show the state of one daemon
+  held                  list quarantined request fingerprints, with the worker
+                        crashes that caused the quarantine
+  lift FINGERPRINT      lift a quarantine on all daemons
+  rollout VERB ...      canary roll-outs: status [SERVICE], explain [SERVICE],
+                        start SERVICE VERSION with --timeout seconds until it is
+                        completed or rolled back, stop SERVICE
+  drain                 drain a daemon
   check-settings FILE   check a daemon's settings
-  trace REQUEST_ID LOG...  what daemons logged about a request, in order, and
-                        the decision that ended it; 1 when there is nothing
+  trace REQUEST_ID LOG...  merge the log lines of daemons about a request and
+                        show the last one; exit code 1 if there are none
 
 Exit codes: 0 accepted or done, 1 refused, 2 wrong use or bad settings,
-3 unknown (ask again about the same id), 4 unreachable, 5 not in force in time.
+3 unknown (look up the same id again), 4 unreachable, 5 timed out.
 )";
 
 std::string
@@ -77,7 +77,6 @@
   }
 }
 
-/// Prints the response to a submitted patch or to a query about one.
 int
 ReportDecision(const Options& aOptions, const HttpClientResult& aResult)
 {
@@ -107,9 +106,6 @@
   return response.m_status >= 500 ? Unreachable : WrongUse;
 }
 
-// ---------------------------------------------------------------------------
-// Commands
-
 /// Prints the changes accepted since the patch's base.
 /// \returns The newest version as the new base, or nothing if it is unknown.
 std::optional<std::uint64_t>
@@ -134,7 +130,8 @@
                each.value("patch", ""));
   }
   if (!between->value("complete", false)) {
-    fmt::print(stderr, "  (older changes are not held here any more)\n");
+    fmt::print(stderr,
+               "  (older changes are no longer stored on this daemon)\n");
   }
   return head;
 }
@@ -281,7 +278,7 @@
     return Refused;
   }
   fmt::print("ended by: {}\n",
-             trace.m_finishedLine.empty() ? "nothing that is logged"
+             trace.m_finishedLine.empty() ? "no logged decision"
                                           : trace.m_finishedLine);
   return Done;
 }
@@ -380,16 +377,17 @@
   };
   options.add_options()("daemon",
                         text(Environment("GREENGAGEHUB_DAEMON")),
-                        "URL of any daemon's operators' endpoint")(
+                        "URL of a daemon's operators' endpoint")(
     "token", text(Environment("GREENGAGEHUB_TOKEN")), "operators' token")(
     "id", text(""), "id of the patch")(
     "author", text(Environment("USER")), "recorded with the decision")(
-    "base", po::value<std::uint64_t>(), "version the patch is against")(
-    "rebase", "show what changed, then hand in against the head")(
+    "base", po::value<std::uint64_t>(), "version that the patch is based on")(
+    "rebase",
+    "show the changes since --base, then submit on the newest version")(
     "wait", po::value<std::uint64_t>(), "version to wait for")(
     "timeout",
     po::value<std::uint32_t>()->default_value(10),
-    "seconds to wait")("json", "print JSON")("help", "show this")(
+    "seconds to wait")("json", "print JSON")("help", "show this help")(
     "version",
     "show the version")("command", text(""), "")("argument", text(""), "")(
     "files", po::value<std::vector<std::string>>(), "");
--- a/src/greengagehubd.cpp
+++ b/src/greengagehubd.cpp
@@ -15,8 +15,8 @@
 constexpr int kBadSettings = 2;
 constexpr const char* kVersion = "0.1.0";
 
-/// Blocks from this size on are mapped one by one and returned to the system
-/// when freed. Large bodies would otherwise fragment the heap.
+/// Larger blocks are mapped one by one, so that bodies do not fragment the
+/// heap.
 constexpr int kMmapThresholdBytes = 64 * 1024;
 /// Free memory at the end of the heap beyond this is returned to the system.
 constexpr int kTrimThresholdBytes = 256 * 1024;
@@ -41,9 +41,8 @@
   greengagehub::Daemon daemon{ std::move(settings.value()), aFile };
   const int code = daemon.Run();
   std::fflush(nullptr);
-  // Skips destructors: while peers are unreachable, the messaging library's
-  // threads take seconds to end, during which callers' connections would stay
-  // open without being served.
+  // Skips destructors: with unreachable peers, the messaging library's threads
+  // take seconds to end while callers' connections stay open.
   std::_Exit(code);
 }
 
