--- a/include/greengagehub/daemon/call_gateway.hpp
+++ b/include/greengagehub/daemon/call_gateway.hpp
@@ -31,7 +31,7 @@
 {
 public:
   /// References must outlive the gateway.
-  struct Parts
+  struct Dependencies
   {
     asio::io_context& m_loop;
     const Settings& m_settings;
@@ -46,11 +46,11 @@
     std::uint64_t m_process;
     std::function<void(Span)> m_trace;
     std::function<bool()> m_isReady;
-    /// All known members; read on the first call to a service.
+    /// Read on the first call to a service.
     std::function<const MemberTable&()> m_members;
   };
 
-  CallGateway(Parts aParts, std::uint64_t aSeed);
+  CallGateway(Dependencies aDependencies, std::uint64_t aSeed);
 
   [[nodiscard]] std::uint16_t LinkPort() const { return m_server.Port(); }
   [[nodiscard]] std::uint16_t CallsPort() const noexcept
@@ -63,11 +63,11 @@
   }
   [[nodiscard]] const RunTable& Runs() const noexcept
   {
-    return m_service.Runs();
+    return m_runService.Runs();
   }
   /// \returns Results of the local worker's runs since ResetCounts().
-  [[nodiscard]] WorkerCounts Counts() const { return m_service.Counts(); }
-  void ResetCounts() { m_service.ResetCounts(); }
+  [[nodiscard]] WorkerCounts Counts() const { return m_runService.Counts(); }
+  void ResetCounts() { m_runService.ResetCounts(); }
   [[nodiscard]] const Dispatcher& GetDispatcher() const noexcept
   {
     return m_dispatcher;
@@ -76,18 +76,16 @@
 
   [[nodiscard]] Outcome<std::uint16_t> Open();
   void OnMember(const MemberEvent& aEvent);
-  /// \brief The local worker started, changed or is draining.
+  /// \brief Handles a start, a change or the drain of the local worker.
   void OnWorker(const WorkerPresence& aPresence);
   /// \brief Requests the local worker's instance id through its health check,
   /// if the configuration names one.
   void ProbeWorker(std::function<void(std::string)> aDone);
   void OnVersion();
-  /// \brief The process resumed after a pause. Drops its links, whose unread
-  /// data is as old as the pause.
+  /// \brief Drops all links, whose unread data is as old as the pause.
   void OnProcessResumed();
   void OnTick(TimePoint aNow);
   void StartDraining();
-  /// \brief Stops accepting requests from callers.
   void StopAcceptingRequests();
   /// \returns Whether answers wait for capacity on this machine's network link.
   [[nodiscard]] bool HasUnsentAnswers() const { return m_server.HasUnsent(); }
@@ -98,14 +96,13 @@
   }
 
 private:
-  /// A call that is not answered yet.
   struct PendingCall
   {
     HttpResponder m_responder;
     CallRequest m_request{};
     std::uint64_t m_connection{ 0 };
     TimePoint m_receivedAt{};
-    std::chrono::sys_time<std::chrono::nanoseconds> m_wallStart{};
+    std::chrono::sys_time<std::chrono::nanoseconds> m_spanStart{};
     std::optional<TraceContext> m_parent{};
     TraceContext m_span{};
     /// The configuration that was active when the call started.
@@ -118,24 +115,20 @@
     std::string m_slot{};
     std::uint32_t m_attempts{ 0 };
   };
-  /// Measurements of the calls of one route.
   struct RouteStatistics
   {
     CallAgeEstimator m_age;
-    /// Hash of the key.
     std::uint64_t m_routeHash{ 0 };
-    /// Moving mean of the size of answer bodies.
-    double m_answerBytes{ 1024.0 };
+    double m_meanAnswerBytes{ 1024.0 };
   };
 
   void OnCallerRequest(HttpRequest aRequest, HttpResponder aResponder);
-  /// \brief Processes the requests that the resume filter delayed.
   void ReleaseFiltered();
   void ScheduleFilterRelease(TimePoint aWhen);
   /// \brief Routes a request, or buffers it while the daemon starts.
-  void Serve(TimePoint aReceivedAt,
-             HttpRequest aRequest,
-             HttpResponder aResponder);
+  void RouteRequest(TimePoint aReceivedAt,
+                    HttpRequest aRequest,
+                    HttpResponder aResponder);
   /// \brief Answers a request for which no call is started.
   void Refuse(const HttpRequest& aRequest,
               HttpResponder& aResponder,
@@ -155,7 +148,6 @@
   [[nodiscard]] bool IsLate(const Route& aRoute,
                             TimePoint aReceivedAt,
                             const HttpRequest& aRequest);
-  /// \brief Repeats the admission of all requests in the token queue.
   void RetryAdmissions();
   /// \brief Serves the buffered requests if the daemon is ready; otherwise
   /// refuses those that have expired.
@@ -176,12 +168,11 @@
   void OnPoolFrame(LinkFrame aFrame);
   void Deliver(CallKey aKey, CallAnswer aAnswer);
   void OnCallerConnectionClosed(std::uint64_t aConnection);
-  /// \brief Adds the workers of a service to the routing table on its first
-  /// call.
+  /// \brief On a service's first call, adds its workers to the routing table.
   void TrackService(const std::string& aService);
-  void PutWorker(const MemberRecord& aRecord);
-  /// \returns A random time of one to two times the given one, so that callers
-  /// refused together do not retry together.
+  void AddOrUpdateWorker(const MemberRecord& aRecord);
+  /// \returns A random time of one to two times the given one; keeps refused
+  /// callers from retrying together.
   [[nodiscard]] std::chrono::milliseconds WithJitter(
     std::chrono::milliseconds aRetryAfter);
   void RecordSpan(const PendingCall& aCall, const CallAnswer& aAnswer);
@@ -190,11 +181,11 @@
   [[nodiscard]] LinkPool::Handlers PoolHandlers();
   [[nodiscard]] LinkServer::Handlers ServerHandlers();
 
-  Parts m_parts;
+  Dependencies m_deps;
   Random m_random;
   Dispatcher m_dispatcher;
   LinkPacer m_pacer;
-  RunService m_service;
+  RunService m_runService;
   LinkServer m_server;
   LinkPool m_pool;
   HttpServer m_http;
@@ -204,8 +195,7 @@
   std::set<std::string, std::less<>> m_trackedServices;
   std::map<std::string, MemberAddress, std::less<>> m_addresses;
   std::map<std::uint64_t, PendingCall> m_pending;
-  /// Latest call of each caller's connection.
-  std::map<std::uint64_t, std::uint64_t> m_callByConnection;
+  std::map<std::uint64_t, std::uint64_t> m_latestCallByConnection;
   std::unordered_map<std::string, RouteStatistics> m_routeStatistics;
   std::uint64_t m_lastCall{ 0 };
   asio::steady_timer m_timer;
--- a/include/greengagehub/daemon/call_headers.hpp
+++ b/include/greengagehub/daemon/call_headers.hpp
@@ -12,14 +12,13 @@
 
 /// W3C trace context.
 inline constexpr std::string_view kTraceparentHeader = "traceparent";
-/// Number of hops before this call. A worker copies it to the calls it makes.
+/// Number of hops before this call. Workers copy it to the calls they make.
 inline constexpr std::string_view kDepthHeader = "Greengagehub-Depth";
 /// Number of retries left to the call; copied likewise.
 inline constexpr std::string_view kRetriesHeader = "Greengagehub-Tries";
 /// "not-run" or "unknown"; set on answers that a daemon generated.
 inline constexpr std::string_view kOutcomeHeader = "Greengagehub-Outcome";
 inline constexpr std::string_view kReasonHeader = "Greengagehub-Reason";
-/// Retry-After in milliseconds.
 inline constexpr std::string_view kRetryAfterHeader =
   "Greengagehub-Retry-After-Ms";
 
@@ -50,7 +49,6 @@
                   std::string_view aName,
                   std::uint64_t aDefault);
 
-/// \returns The HTTP status of the response to the caller.
 [[nodiscard]] std::uint16_t
 StatusOf(const CallAnswer& aAnswer);
 
--- a/include/greengagehub/daemon/config_feed.hpp
+++ b/include/greengagehub/daemon/config_feed.hpp
@@ -89,14 +89,13 @@
   {
     m_isWatching = aWatching;
     if (m_isWatching && m_isIdle) {
-      // Resumes at the last revision that was read. If the store no longer has
-      // the history since then, OnWatch() reads everything again.
+      // OnWatch() reads everything again if the store no longer has the
+      // history since m_revision.
       Watch();
     }
   }
   [[nodiscard]] bool IsWatching() const noexcept { return m_isWatching; }
 
-  /// \brief Sets whether this daemon maintains the compressed copy.
   void SetMaintainsCopy(bool aMaintains)
   {
     const bool isStart = aMaintains && !m_maintainsCopy;
@@ -109,7 +108,6 @@
     }
   }
 
-  /// \returns The last configuration that was read.
   [[nodiscard]] const StoreConfig& LastRead() const noexcept
   {
     return m_lastRead;
@@ -120,8 +118,7 @@
   /// \brief Sets whether to read the compressed copy first.
   void SetSlowLink(bool aSlow) noexcept { m_prefersCopy = aSlow; }
 
-  /// \brief Reads now and drops requests in progress. Used at the start and
-  /// after a pause of the process, in which changes may have been missed.
+  /// \brief Reads now and drops the replies to requests in progress.
   void Read()
   {
     StartRound();
@@ -144,7 +141,6 @@
     m_timer.cancel();
   }
 
-  /// Executes a request; the reply is dropped if a new round has begun.
   template<class Next>
   void Execute(StoreRequest aRequest, Next aNext)
   {
@@ -314,8 +310,7 @@
         }
         break;
       default:
-        // The connection failed, the request was rejected or the history was
-        // compacted: changes may have been missed.
+        // The request failed or the history was compacted.
         OnChangesMissed();
         return;
     }
@@ -418,7 +413,6 @@
   asio::steady_timer m_timer;
   asio::steady_timer m_copyTimer;
   std::chrono::milliseconds m_backoff;
-  /// Replies to requests of earlier rounds are dropped.
   std::uint64_t m_round{ 0 };
   Revision m_revision{ 0 };
   /// Era of the store in which m_revision was assigned.
@@ -437,7 +431,6 @@
   /// Text of the newest configuration that was read while watching.
   std::string m_document;
   Revision m_documentRevision{ 0 };
-  /// Last known revision of the copy.
   Revision m_copyRevision{ 0 };
   /// No request is in progress and this daemon does not wait for changes.
   bool m_isIdle{ false };
--- a/include/greengagehub/daemon/control_plane.hpp
+++ b/include/greengagehub/daemon/control_plane.hpp
@@ -34,9 +34,8 @@
   struct Handlers
   {
     std::function<void(const MemberEvent&)> m_onMember;
-    /// A newer version is in force.
     std::function<void()> m_onVersion;
-    /// Run counts of the local worker since the last reset; without a version
+    /// Results of the local worker since the last reset; the version is empty
     /// if no worker is known.
     std::function<WorkerCounts()> m_workerCounts;
     std::function<void()> m_resetWorkerCounts;
@@ -59,14 +58,11 @@
   {
     return m_decisions;
   }
-  /// \brief Quarantined requests.
   [[nodiscard]] QuarantineService& GetQuarantine() noexcept
   {
     return m_quarantine;
   }
-  /// \brief Roll-outs and their canary versions.
   [[nodiscard]] RolloutService& GetRollouts() noexcept { return m_rollouts; }
-  /// \brief API keys and quotas.
   [[nodiscard]] WorkspaceService& GetWorkspaces() noexcept
   {
     return m_workspaces;
@@ -80,7 +76,7 @@
   [[nodiscard]] bool IsWatching() const;
   [[nodiscard]] bool IsStoreBehind() const noexcept
   {
-    return m_sync.IsBehind();
+    return m_storeSync.IsBehind();
   }
   /// \returns Whether an accepted version is in force that is not below the
   /// minimum version of this daemon's slot.
@@ -97,10 +93,7 @@
   /// \brief Sets the port of call links and starts to join the fleet.
   void Start(std::uint16_t aLinkPort);
   void Announce(MemberState aState);
-  /// \brief Publishes the state of this daemon and of the local worker.
   void Announce(MemberState aState, WorkerDescription aWorker);
-  /// \brief Refreshes state that may be out of date after a pause of the
-  /// process.
   void OnProcessResumed();
 
 private:
@@ -108,7 +101,6 @@
   void Join();
   /// \brief On a domain relay, looks for failure domains without known members.
   void DiscoverDomains(TimePoint aNow);
-  /// \brief Contacts peers at short intervals during the first seconds.
   void ContactWhileJoining(TimePoint aNow);
   void OnSeeds(const StoreReply& aReply);
   void Contact(const MemberPeer& aPeer);
@@ -121,7 +113,7 @@
   [[nodiscard]] std::vector<MemberPeer> PushTargets(std::uint32_t aFanout);
   void PullWhenDue(TimePoint aNow);
   void RecordAnswerBytes(const PullRequest& aRequest, std::size_t aBytes);
-  void PullFrom(const MemberPeer& aPeer, bool aMembers);
+  void PullFrom(const MemberPeer& aPeer, bool aPullsMembers);
   void OnPulled(std::optional<PullAnswer> aAnswer);
   [[nodiscard]] PullAnswer ServePull(const PullRequest& aRequest);
   void PublishQuarantine(const QuarantineUpdate& aUpdate,
@@ -130,8 +122,9 @@
                       const QuarantineUpdate& aUpdate);
   /// \brief Sends the own verdicts to a peer whose digest differs.
   void SyncVerdicts(TimePoint aNow, const GossipMessage& aMessage);
-  [[nodiscard]] RolloutService::Parts RolloutParts();
-  [[nodiscard]] WorkspaceService::Parts WorkspaceParts(asio::io_context& aLoop);
+  [[nodiscard]] RolloutService::Dependencies RolloutDependencies();
+  [[nodiscard]] WorkspaceService::Dependencies WorkspaceDependencies(
+    asio::io_context& aLoop);
   void PublishRollouts(const std::vector<RolloutRecord>& aRecords,
                        RolloutService::Scope aScope,
                        RolloutTable::Change aChange);
@@ -170,32 +163,29 @@
   Disseminator m_disseminator;
   WatchLease m_watchLease;
   SeedPublisher m_seedPublisher;
-  StoreSync<platform::KvStore> m_sync;
-  ConfigFeed<platform::KvStore> m_feed;
+  StoreSync<platform::KvStore> m_storeSync;
+  ConfigFeed<platform::KvStore> m_configFeed;
   DecisionService<platform::KvStore> m_decisions;
   QuarantineService m_quarantine;
   TimePoint m_nextVerdictSync{};
   RolloutService m_rollouts;
   TimePoint m_nextRolloutSync{};
   WorkspaceService m_workspaces;
-  /// When the last datagram of another daemon was received.
-  TimePoint m_lastReceived{};
-  asio::steady_timer m_tick;
+  TimePoint m_lastDatagramAt{};
+  asio::steady_timer m_tickTimer;
   TimePoint m_nextJoin{};
-  /// During joining: the time of the next contact, and the addresses to use
-  /// while no member is known.
   TimePoint m_nextContact{};
+  /// Addresses to contact while no member is known.
   std::vector<MemberPeer> m_knownSeeds{};
   std::chrono::milliseconds m_joinBackoff{ 250 };
-  /// Reads of the seed addresses so far.
   std::uint32_t m_joinAttempts{ 0 };
-  TimePoint m_started{};
-  /// Compressed snapshot served to peers, for m_compressedVersion.
+  TimePoint m_startedAt{};
+  /// Snapshot of m_compressedVersion that is served to peers.
   std::string m_compressedSnapshot;
   Version m_compressedVersion;
   MemberSync m_memberSync;
   DomainDiscovery m_domainDiscovery;
-  ReadinessGate m_gate;
+  ReadinessGate m_readinessGate;
   TimePoint m_nextRank{};
   bool m_hasFallbackRead{ false };
 };
--- a/include/greengagehub/daemon/daemon.hpp
+++ b/include/greengagehub/daemon/daemon.hpp
@@ -19,7 +19,6 @@
   /// \param aFile path of the settings; read again on SIGHUP.
   Daemon(Settings aSettings, std::string aFile);
 
-  /// \brief Serves until drained.
   /// \returns The exit code of the process: 0 after a clean drain.
   [[nodiscard]] int Run();
 
@@ -29,14 +28,11 @@
   void RunLoop();
   void Spin();
   void AwaitReload();
-  /// \brief Reads the settings again and applies those that may change at run
-  /// time.
+  /// \brief Applies the settings that may change at run time.
   void Reload();
   void StartDrain();
   void ContinueDrain(TimePoint aNow);
   void EndDrain(bool aClean);
-  /// \brief Stops starting calls on the local worker and announces that it is
-  /// draining.
   void DrainWorker();
   void ProbeWorkerWhenDue(TimePoint aNow);
   [[nodiscard]] bool IsBusy() const;
@@ -45,7 +41,7 @@
   void OnWorker(const WorkerPresence& aPresence);
   [[nodiscard]] const CallDialect& Dialect() const noexcept;
 
-  std::string m_file;
+  std::string m_settingsPath;
   Settings m_settings;
   Log m_log;
   RequestLog m_requestLog;
@@ -58,9 +54,9 @@
   CallGateway m_calls;
   OperatorsApi m_operators;
   std::optional<PlatformEndpoints> m_platform;
-  asio::signal_set m_signals;
-  asio::signal_set m_reloads;
-  asio::steady_timer m_tick;
+  asio::signal_set m_drainSignals;
+  asio::signal_set m_reloadSignals;
+  asio::steady_timer m_tickTimer;
   SpinBudget m_spin;
   TimePoint m_nextTrafficLog{};
   TimePoint m_lastTick{};
@@ -70,7 +66,6 @@
   bool m_isWorkerDraining{ false };
   int m_workerProbes{ 0 };
   TimePoint m_nextProbe{};
-  /// During a drain: no more requests of callers are accepted.
   bool m_hasStoppedAccepting{ false };
   TimePoint m_drainStart{};
   TimePoint m_drainDeadline{};
--- a/include/greengagehub/daemon/drain_phase.hpp
+++ b/include/greengagehub/daemon/drain_phase.hpp
@@ -7,9 +7,7 @@
 /// \brief Work that a draining daemon on a platform still accepts.
 struct DrainPhase
 {
-  /// Starts runs at its worker.
   bool m_startsRuns{ true };
-  /// Accepts requests from callers.
   bool m_acceptsRequests{ true };
 };
 
--- a/include/greengagehub/daemon/operators_api.hpp
+++ b/include/greengagehub/daemon/operators_api.hpp
@@ -30,7 +30,7 @@
 class OperatorsApi
 {
 public:
-  struct Parts
+  struct Dependencies
   {
     asio::io_context& m_loop;
     const Settings& m_settings;
@@ -38,10 +38,10 @@
     CallGateway& m_calls;
     Metrics& m_metrics;
     const TrafficMeter& m_traffic;
-    std::function<void()> m_drain;
+    std::function<void()> m_startDrain;
   };
 
-  explicit OperatorsApi(Parts aParts);
+  explicit OperatorsApi(Dependencies aDependencies);
 
   [[nodiscard]] std::uint16_t Port() const noexcept { return m_http.Port(); }
   [[nodiscard]] Outcome<std::uint16_t> Open() { return m_http.Open(); }
@@ -63,7 +63,7 @@
   [[nodiscard]] HttpResponse StopRollout(const HttpRequest& aRequest);
   [[nodiscard]] HttpResponse MetricsText();
 
-  Parts m_parts;
+  Dependencies m_deps;
   HttpServer m_http;
 };
 
--- a/include/greengagehub/daemon/platform_endpoints.hpp
+++ b/include/greengagehub/daemon/platform_endpoints.hpp
@@ -16,21 +16,19 @@
 class PlatformEndpoints
 {
 public:
-  struct Parts
+  struct Dependencies
   {
     asio::io_context& m_loop;
     const Settings& m_settings;
     const Log& m_log;
     Metrics& m_metrics;
     std::function<bool()> m_isReady;
-    /// Number of slots that other workers of the service report, if any is
-    /// known.
-    std::function<std::optional<std::uint32_t>()> m_typicalSlots;
-    /// The state of the local worker has changed.
+    /// Fewest slots of any other known worker of the service; empty: none.
+    std::function<std::optional<std::uint32_t>()> m_minPeerSlots;
     std::function<void(const WorkerPresence&)> m_onWorker;
   };
 
-  explicit PlatformEndpoints(Parts aParts);
+  explicit PlatformEndpoints(Dependencies aDependencies);
 
   [[nodiscard]] const WorkerPresence& Worker() const noexcept
   {
@@ -46,18 +44,17 @@
   }
 
   [[nodiscard]] Outcome<std::uint16_t> Open();
-  /// \brief The local worker answered a probe with this id.
+  /// \brief Handles the instance id that a probe of the local worker returned.
   void OnProbed(std::string aId);
 
 private:
   void OnReadiness(const HttpRequest& aRequest, HttpResponder aResponder);
   void OnHeartbeat(const HttpRequest& aRequest, HttpResponder aResponder);
-  /// \brief Counts a rejected report and logs the reason.
   void RejectReport(std::string_view aEvent, std::string_view aDetail);
   void PublishChange(WorkerPresence::Change aChange);
   [[nodiscard]] WorkerPresence::Change ApplyReport(const WorkerReport& aReport);
 
-  Parts m_parts;
+  Dependencies m_deps;
   WorkerPresence m_worker;
   LogRateLimiter m_rejectionLogBudget;
   HttpServer m_readiness;
--- a/include/greengagehub/daemon/quarantine_service.hpp
+++ b/include/greengagehub/daemon/quarantine_service.hpp
@@ -13,7 +13,6 @@
 class QuarantineService
 {
 public:
-  /// Which peers receive an update from here.
   enum class Scope : std::uint8_t
   {
     /// Local changes go to all failure domains.
@@ -21,7 +20,7 @@
     /// Received changes are forwarded within the own failure domain.
     OwnDomain,
   };
-  struct Parts
+  struct Dependencies
   {
     platform::KvStore& m_store;
     const Log& m_log;
@@ -31,7 +30,7 @@
     std::function<bool()> m_isBackupWriter;
   };
 
-  explicit QuarantineService(Parts aParts);
+  explicit QuarantineService(Dependencies aDependencies);
 
   [[nodiscard]] const Quarantine& Table() const noexcept
   {
@@ -47,10 +46,10 @@
   /// lost, with their leases.
   void OnStoreRestored();
   void OnLocalCrash(EndReport aReport);
-  void OnSuccess(Fingerprint aContent);
+  void OnSuccess(Fingerprint aFingerprint);
   void OnUpdate(const QuarantineUpdate& aUpdate);
   /// \returns Whether the fingerprint was quarantined.
-  [[nodiscard]] bool Lift(Fingerprint aContent);
+  [[nodiscard]] bool Lift(Fingerprint aFingerprint);
 
 private:
   /// Logs, writes and publishes the given changes.
@@ -62,7 +61,7 @@
   void OnRead(const StoreReply& aReply, bool aAllowStale);
   void Write(std::optional<StoreRequest> aRequest);
 
-  Parts m_parts;
+  Dependencies m_deps;
   Quarantine m_quarantine;
   VerdictWriter m_writer;
   bool m_hasRead{ false };
--- a/include/greengagehub/daemon/request_log.hpp
+++ b/include/greengagehub/daemon/request_log.hpp
@@ -63,7 +63,6 @@
                      Fingerprint aFingerprint,
                      Duration aTimeLeft);
 
-  /// \brief State of the worker at the time of a decision.
   struct WorkerState
   {
     std::string_view m_instance{};
--- a/include/greengagehub/daemon/resume_filter.hpp
+++ b/include/greengagehub/daemon/resume_filter.hpp
@@ -17,18 +17,16 @@
 class ResumeFilter
 {
 public:
-  /// A request from another daemon.
   struct LinkRequest
   {
-    TimePoint m_read;
+    TimePoint m_receivedAt;
     CallKey m_key;
     std::uint64_t m_epoch{ 0 };
     CallRequest m_request;
   };
-  /// A request from a caller.
   struct CallerRequest
   {
-    TimePoint m_came;
+    TimePoint m_receivedAt;
     HttpRequest m_request;
     HttpResponder m_responder;
   };
@@ -41,8 +39,7 @@
   /// A gap between ticks above this is treated as a pause of the process. It
   /// exceeds the delays caused by CPU throttling.
   static constexpr std::chrono::milliseconds kPauseThreshold{ 300 };
-  /// How long requests are delayed after a pause; enough for several passes
-  /// over all sockets.
+  /// Enough for several passes over all sockets.
   static constexpr std::chrono::milliseconds kDelay{ 20 };
 
   /// \param aBootTime time since the machine started, including suspensions.
@@ -51,17 +48,15 @@
     DetectPause(aNow, aBootTime);
     m_lastTick = aBootTime;
   }
-  /// \returns Whether requests read now are to be delayed.
   [[nodiscard]] bool IsDelaying(TimePoint aNow,
                                 std::chrono::nanoseconds aBootTime) noexcept
   {
     DetectPause(aNow, aBootTime);
     return aNow < m_until;
   }
-  /// \returns When to release the delayed requests.
   [[nodiscard]] TimePoint ReleaseTime() const noexcept { return m_until; }
 
-  /// \returns Whether it is the first delayed request.
+  /// \returns Whether no other request is delayed.
   bool Add(LinkRequest aRequest);
   bool Add(CallerRequest aRequest);
   void Cancel(CallKey aKey);
@@ -69,8 +64,7 @@
   /// \brief Drops requests from connections of a process that are older than
   /// `aBelowEpoch`.
   void CloseEpochs(std::uint64_t aProcess, std::uint64_t aBelowEpoch);
-  /// \brief Drops all requests from other daemons, because their links were
-  /// closed.
+  /// \brief Drops all requests from other daemons.
   void DropLinks() { m_delayed.m_links.clear(); }
   [[nodiscard]] DelayedRequests TakeAll()
   {
--- a/include/greengagehub/daemon/rollout_service.hpp
+++ b/include/greengagehub/daemon/rollout_service.hpp
@@ -14,7 +14,6 @@
 class RolloutService
 {
 public:
-  /// Which peers receive an update from here.
   enum class Scope : std::uint8_t
   {
     /// Local changes go to all failure domains.
@@ -22,7 +21,7 @@
     /// Received changes are forwarded within the own failure domain.
     OwnDomain,
   };
-  struct Parts
+  struct Dependencies
   {
     platform::KvStore& m_store;
     const Log& m_log;
@@ -34,7 +33,6 @@
       m_publish;
     /// Sends the counts of the local worker to the leader.
     std::function<void(WorkerCounts)> m_sendCounts;
-    /// Whether this daemon leads roll-outs.
     std::function<bool()> m_isLeader;
     /// Whether this daemon writes states when the leader fails or cannot reach
     /// the store.
@@ -42,13 +40,12 @@
     std::function<RolloutLeader::Workers(const RolloutRecord&)> m_workers;
     /// The version that most known workers of a service run.
     std::function<std::string(const std::string& aService)> m_mostCommonVersion;
-    /// Counts of the local worker; without a version if no worker is known.
+    /// Results of the local worker; the version is empty if none is known.
     std::function<WorkerCounts()> m_workerCounts;
-    /// Resets the counts of the local worker.
     std::function<void()> m_resetWorkerCounts;
   };
 
-  explicit RolloutService(Parts aParts);
+  explicit RolloutService(Dependencies aDependencies);
 
   [[nodiscard]] const RolloutTable& Table() const noexcept { return m_table; }
 
@@ -57,21 +54,19 @@
   void OnTick(TimePoint aNow, bool aReadsStore);
   /// \brief Handles changed keys with the operators' prefix.
   void OnStoreItems(const std::vector<StoreItem>& aItems);
-  /// \brief Schedules a read of all orders after changes may have been missed.
-  void OnStoreMissed() noexcept { m_hasRead = false; }
+  /// \brief Schedules a read of all orders.
+  void OnStoreChangesMissed() noexcept { m_hasRead = false; }
   /// \brief Writes states again that a store restored from a backup may have
   /// lost.
   void OnStoreRestored();
   void OnUpdate(const std::vector<RolloutRecord>& aRecords);
   void OnCounts(const WorkerCounts& aCounts);
-  /// \brief Starts a roll-out at an operator's request.
   /// \returns Whether the order is new.
   [[nodiscard]] bool Start(const RolloutOrder& aOrder);
   /// \brief Rolls a version back at an operator's request.
   /// \returns Whether a roll-out was in progress.
   [[nodiscard]] bool Stop(const std::string& aService);
-  /// \brief Revokes permits, which may have expired during a pause of the
-  /// process.
+  /// \brief Revokes permits, which may have expired during the pause.
   void OnProcessResumed() { m_table.RevokePermits(); }
 
 private:
@@ -97,7 +92,7 @@
   void LogStep(const RolloutLeader::Lead& aDecision) const;
   void LogChange(const RolloutRecord& aRecord, Scope aScope) const;
 
-  Parts m_parts;
+  Dependencies m_deps;
   RolloutTable m_table;
   StatusWriter<platform::RolloutCodec> m_writer;
   /// Roll-outs that this daemon leads, by service.
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -30,7 +30,7 @@
   using SpanHandler = std::function<void(Span)>;
 
   /// References must outlive the service.
-  struct Parts
+  struct Dependencies
   {
     asio::io_context& m_loop;
     const Settings& m_settings;
@@ -50,11 +50,11 @@
     /// Whether the retry budget allows another retried run, with the calls that
     /// it makes.
     std::function<bool(TimePoint)> m_mayRunRetry;
-    /// Pacer of this machine's network link; nullptr: none.
+    /// nullptr: the network link of this machine is not paced.
     const LinkPacer* m_pacer{ nullptr };
   };
 
-  explicit RunService(Parts aParts);
+  explicit RunService(Dependencies aDependencies);
 
   [[nodiscard]] const RunTable& Runs() const noexcept { return m_runs; }
 
@@ -67,10 +67,8 @@
   void StartDraining();
   /// \brief Refuses queued runs whose wait has become too long.
   void OnTick(TimePoint aNow);
-  /// \brief Handles a heartbeat of the worker. Runs start only after the first
-  /// heartbeat and until the worker drains.
+  /// Runs start only after the first heartbeat and until the worker drains.
   void OnWorker(const WorkerPresence& aPresence);
-  /// \returns Share of retries among the worker's recent runs.
   [[nodiscard]] double RetriedRunShareAt(TimePoint aNow) const
   {
     return m_retriedRuns.At(aNow);
@@ -93,8 +91,7 @@
     /// 0 while the attempt is queued.
     BackendClient::Ticket m_ticket{ 0 };
     TimePoint m_startedAt;
-    /// Start of the span.
-    std::chrono::sys_time<std::chrono::nanoseconds> m_wallStart;
+    std::chrono::sys_time<std::chrono::nanoseconds> m_spanStart;
     std::optional<TraceContext> m_parent;
     TraceContext m_span;
   };
@@ -106,8 +103,8 @@
     TimePoint m_finishedAt;
   };
 
-  /// \returns Time until the answer of another such run would be sent: the
-  /// backlog of the link, the answers of all active runs and its own.
+  /// \returns Time until the answer of another run of this kind would be sent,
+  /// after the backlog of the link and the answers of all active runs.
   [[nodiscard]] Duration AnswerSendTime(TimePoint aNow, CallKind aKind) const;
   /// \returns Whether a large answer would be sent after the target time, or
   /// after the deadline if the target time has passed.
@@ -116,7 +113,6 @@
   void RefuseForBusyLink(TimePoint aNow,
                          CallKey aKey,
                          const CallRequest& aRequest);
-  /// Reason why a request may not run now.
   struct Refusal
   {
     RefusalReason m_reason{ RefusalReason::None };
@@ -135,7 +131,6 @@
                  Fingerprint aFingerprint,
                  const Refusal& aRefusal);
   void OnBackendResult(CallKey aKey, BackendResult aResult);
-  /// \returns The answer to the attempt.
   [[nodiscard]] CallAnswer AnswerFrom(CallKey aKey, BackendResult aResult);
   [[nodiscard]] CallAnswer AnswerFrom(CallKey aKey, HttpResponse aResponse);
   void Execute(const RunActions& aActions);
@@ -145,15 +140,13 @@
   /// if this is another one.
   void OnIncarnation(const WorkerIncarnation& aIncarnation,
                      TimePoint aPreviousLastReport);
-  /// \brief The worker closed the connection of a run: checks whether its
-  /// process has exited.
+  /// \brief Checks whether the worker exited when it closed a connection.
   void CheckWorkerAfterLoss(CallKey aKey);
   void OnListenCheck(bool aIsPortClosed);
   void FinishLostRun(CallKey aKey, bool aWorkerCrashed);
   /// \brief Removes a run, logs and counts its result, and delivers the answer.
   void FinishRun(CallKey aKey, CallAnswer aAnswer);
-  /// \brief Keeps the answer of a call that must not run again, in case the
-  /// connection to the caller's daemon is lost before it arrives.
+  /// \brief Keeps the answer of a call that must not run again.
   void KeepAnswer(CallKey aKey, const CallAnswer& aAnswer);
   [[nodiscard]] std::string_view RequestIdOf(const CallRequest& aRequest) const;
   [[nodiscard]] RequestLog::WorkerState WorkerStateFor(
@@ -161,7 +154,7 @@
   void RecordSpan(const ActiveRun& aRun, const CallAnswer& aAnswer);
   void ArmTimer();
 
-  Parts m_parts;
+  Dependencies m_deps;
   Random m_random;
   RunTable m_runs;
   RetriedRunShare m_retriedRuns;
--- a/include/greengagehub/daemon/spin_budget.hpp
+++ b/include/greengagehub/daemon/spin_budget.hpp
@@ -8,7 +8,6 @@
 
 namespace greengagehub {
 
-/// \brief Limits of busy polling in the event loop.
 struct SpinSettings
 {
   /// Longest spin after an event; 0 disables spinning.
@@ -46,11 +45,9 @@
       m_available, Duration::zero(), m_settings.m_maxDuration);
   }
 
-  /// \param aSpan time that was spent spinning.
   void Consume(Duration aSpan) noexcept { m_available -= aSpan; }
 
 private:
-  /// Largest unused budget.
   static constexpr auto kMaxBurst = std::chrono::milliseconds{ 50 };
 
   SpinSettings m_settings;
--- a/include/greengagehub/daemon/start_buffer.hpp
+++ b/include/greengagehub/daemon/start_buffer.hpp
@@ -30,14 +30,12 @@
 
   [[nodiscard]] std::size_t Count() const noexcept { return m_entries.size(); }
 
-  /// \param aReceivedAt when the request was read from its connection.
   /// \returns Whether the request was buffered; if so, it is moved from.
   [[nodiscard]] bool Add(TimePoint aNow,
                          TimePoint aReceivedAt,
                          HttpRequest& aRequest,
                          HttpResponder& aResponder);
-  /// \brief Removes the requests of a closed connection.
-  void Drop(std::uint64_t aConnection);
+  void DropConnection(std::uint64_t aConnection);
   /// \brief Removes and returns all requests, in the order of Add().
   [[nodiscard]] std::vector<Entry> TakeAll();
   /// \brief Removes and returns the requests that are kMaxHoldTime old.
--- a/include/greengagehub/daemon/store_sync.hpp
+++ b/include/greengagehub/daemon/store_sync.hpp
@@ -56,7 +56,6 @@
   [[nodiscard]] bool IsBehind() const noexcept { return m_isBehind; }
   [[nodiscard]] bool IsReachable() const noexcept { return m_isReachable; }
 
-  /// \brief Sets whether to wait for changes.
   void SetWatching(bool aWatching)
   {
     const bool isStart = aWatching && !m_isWatching;
@@ -102,7 +101,6 @@
             });
   }
 
-  /// Handles a watch that ended without a change.
   void OnWatchTimeout(Revision aStoreRevision)
   {
     if (aStoreRevision < m_revision) {
--- a/include/greengagehub/daemon/token_queue.hpp
+++ b/include/greengagehub/daemon/token_queue.hpp
@@ -31,9 +31,9 @@
     return m_entries.size() >= kMaxEntries;
   }
   void Add(Entry aEntry) { m_entries.push_back(std::move(aEntry)); }
-  /// \brief Removes the requests of a closed connection.
-  /// \returns The workspace of each of them.
-  [[nodiscard]] std::vector<WorkspaceId> Drop(std::uint64_t aConnection)
+  /// \returns The workspace of each removed request.
+  [[nodiscard]] std::vector<WorkspaceId> DropConnection(
+    std::uint64_t aConnection)
   {
     std::vector<WorkspaceId> dropped;
     std::erase_if(m_entries, [&](const Entry& aEach) {
--- a/include/greengagehub/daemon/workspace_service.hpp
+++ b/include/greengagehub/daemon/workspace_service.hpp
@@ -34,7 +34,7 @@
 {
 public:
   /// References must outlive the service.
-  struct Parts
+  struct Dependencies
   {
     asio::io_context& m_loop;
     const Settings& m_settings;
@@ -43,20 +43,21 @@
     const ConfigHolder& m_holder;
     std::function<Membership&()> m_members;
     std::function<bool()> m_hasJoined;
-    /// Whether another daemon was in contact lately, or none is known.
+    /// Whether another daemon sent a message recently, or none is known.
     std::function<bool()> m_hasPeerContact;
     std::function<void(GossipSend)> m_send;
     /// Version and revision of the configuration read last from the store.
     std::function<StoreConfig()> m_storeConfig;
-    /// Called with a newer configuration document from the store.
     std::function<void(StoreReply)> m_onNewerConfig;
   };
 
-  WorkspaceService(Parts aParts, std::uint64_t aProcess, std::uint64_t aSeed);
+  WorkspaceService(Dependencies aDependencies,
+                   std::uint64_t aProcess,
+                   std::uint64_t aSeed);
 
   [[nodiscard]] const WorkspaceTable& Table() const noexcept { return m_table; }
   /// \returns Age of the newest proof that the active configuration is current;
-  /// keys are accepted on it.
+  /// empty: none.
   [[nodiscard]] std::optional<std::chrono::milliseconds> ProofAge() const;
   [[nodiscard]] bool IsCoordinator() const;
   [[nodiscard]] const std::string& Coordinator() const noexcept
@@ -71,15 +72,17 @@
   }
   /// \param aKey API key from the request; empty: none.
   /// \param aIsNew false for a request that has waited for tokens.
-  /// \param aIsLate the target time of the request has passed; while tokens are
-  /// scarce it is refused.
+  /// \param aIsLate the target time of the request has passed; such a request
+  /// is refused while tokens are scarce.
   [[nodiscard]] WorkspaceAdmission Admit(std::string_view aKey,
                                          bool aIsNew,
                                          bool aIsLate);
   /// \brief Ends the wait of one request for a token.
-  void CancelWait(WorkspaceId aWorkspace) { m_client.CancelWait(aWorkspace); }
-  /// \brief Sets the handler that is called when waiting requests are to be
-  /// admitted again.
+  void CancelWait(WorkspaceId aWorkspace)
+  {
+    m_quotaClient.CancelWait(aWorkspace);
+  }
+  /// \param aHandler called when waiting requests are to be admitted again.
   void SetRetryHandler(std::function<void()> aHandler)
   {
     m_retryHandler = std::move(aHandler);
@@ -95,12 +98,12 @@
   void Resign();
 
 private:
-  /// A revision check under way at the store.
+  /// A revision check in progress at the store.
   struct StoreCheck
   {
     TimePoint m_sentAt{};
     StoreConfig m_config{};
-    bool m_isConfirm{ false };
+    bool m_confirmsRole{ false };
   };
 
   void SendNextQuery();
@@ -115,25 +118,24 @@
   void AdvanceRole(TimePoint aNow);
   [[nodiscard]] bool IsCandidate(TimePoint aNow);
   void CheckStoreIfStale(TimePoint aNow);
-  void SendStoreCheck(bool aIsConfirm);
+  void SendStoreCheck(bool aConfirmsRole);
   void OnStoreCheck(const StoreCheck& aCheck, StoreReply aReply);
   void ReadCoordinatorKey();
   void ClaimCoordinatorKey();
   [[nodiscard]] StoreConfig KnownConfig() const;
 
-  Parts m_parts;
+  Dependencies m_deps;
   Random m_random;
   WorkspaceTable m_table;
   ConfigFreshness m_freshness;
-  QuotaClient m_client;
+  QuotaClient m_quotaClient;
   QuotaCoordinator m_coordinator;
-  CoordinatorRole m_role;
+  CoordinatorRole m_coordinatorRole;
   std::function<void()> m_retryHandler;
   asio::steady_timer m_queryTimeout;
   /// Slot of the coordinator; empty: unknown.
   std::string m_coordinatorSlot;
   TimePoint m_lastCoordinatorReport{};
-  /// Configuration that another daemon reported last.
   StoreConfig m_reportedConfig;
   bool m_isHighestRanked{ false };
   TimePoint m_nextRankCheck{};
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Weight of one answer in the moving mean of a route's answer sizes.
+/// Weight of one answer in RouteStatistics::m_meanAnswerBytes.
 constexpr double kAnswerSizeWeight = 0.05;
 
 LinkHello
@@ -31,52 +31,52 @@
 
 }
 
-CallGateway::CallGateway(Parts aParts, std::uint64_t aSeed)
-  : m_parts(std::move(aParts))
+CallGateway::CallGateway(Dependencies aDependencies, std::uint64_t aSeed)
+  : m_deps(std::move(aDependencies))
   , m_random(aSeed)
   , m_dispatcher(m_random())
-  , m_pacer(m_parts.m_settings.m_linkMbps)
-  , m_service({ .m_loop = m_parts.m_loop,
-                .m_settings = m_parts.m_settings,
-                .m_dialect = m_parts.m_dialect,
-                .m_metrics = m_parts.m_metrics,
-                .m_requestLog = m_parts.m_requestLog,
-                .m_quarantine = m_parts.m_quarantine.Table(),
-                .m_rollouts = m_parts.m_rollouts.Table(),
-                .m_seed = m_random(),
-                .m_deliver =
-                  [this](CallKey aKey, CallAnswer aAnswer) {
-                    Deliver(aKey, std::move(aAnswer));
-                  },
-                .m_trace = m_parts.m_trace,
-                .m_onCrash =
-                  [this](EndReport aReport) {
-                    m_parts.m_quarantine.OnLocalCrash(std::move(aReport));
-                  },
-                .m_onSuccess =
-                  [this](Fingerprint aFingerprint) {
-                    m_parts.m_quarantine.OnSuccess(aFingerprint);
-                  },
-                .m_mayRunRetry =
-                  [this](TimePoint aNow) {
-                    return !m_dispatcher.AreRetriesUsedUp(
-                      aNow, m_parts.m_settings.m_service);
-                  },
-                .m_pacer = &m_pacer })
-  , m_server(m_parts.m_loop,
-             m_parts.m_settings.m_listen.m_host,
-             m_parts.m_settings.m_listen.m_linkPort,
-             MakeHello(m_parts.m_settings, m_parts.m_process),
-             m_parts.m_traffic,
+  , m_pacer(m_deps.m_settings.m_linkMbps)
+  , m_runService({ .m_loop = m_deps.m_loop,
+                   .m_settings = m_deps.m_settings,
+                   .m_dialect = m_deps.m_dialect,
+                   .m_metrics = m_deps.m_metrics,
+                   .m_requestLog = m_deps.m_requestLog,
+                   .m_quarantine = m_deps.m_quarantine.Table(),
+                   .m_rollouts = m_deps.m_rollouts.Table(),
+                   .m_seed = m_random(),
+                   .m_deliver =
+                     [this](CallKey aKey, CallAnswer aAnswer) {
+                       Deliver(aKey, std::move(aAnswer));
+                     },
+                   .m_trace = m_deps.m_trace,
+                   .m_onCrash =
+                     [this](EndReport aReport) {
+                       m_deps.m_quarantine.OnLocalCrash(std::move(aReport));
+                     },
+                   .m_onSuccess =
+                     [this](Fingerprint aFingerprint) {
+                       m_deps.m_quarantine.OnSuccess(aFingerprint);
+                     },
+                   .m_mayRunRetry =
+                     [this](TimePoint aNow) {
+                       return !m_dispatcher.AreRetriesUsedUp(
+                         aNow, m_deps.m_settings.m_service);
+                     },
+                   .m_pacer = &m_pacer })
+  , m_server(m_deps.m_loop,
+             m_deps.m_settings.m_listen.m_host,
+             m_deps.m_settings.m_listen.m_linkPort,
+             MakeHello(m_deps.m_settings, m_deps.m_process),
+             m_deps.m_traffic,
              ServerHandlers())
-  , m_pool(m_parts.m_loop,
-           MakeHello(m_parts.m_settings, m_parts.m_process),
+  , m_pool(m_deps.m_loop,
+           MakeHello(m_deps.m_settings, m_deps.m_process),
            LinkPoolSettings{},
-           m_parts.m_traffic,
+           m_deps.m_traffic,
            PoolHandlers())
   , m_http(
-      m_parts.m_loop,
-      CallsEndpoint(m_parts.m_settings),
+      m_deps.m_loop,
+      CallsEndpoint(m_deps.m_settings),
       [this](HttpRequest aRequest, HttpResponder aResponder) {
         OnCallerRequest(std::move(aRequest), std::move(aResponder));
       },
@@ -84,9 +84,9 @@
         OnCallerConnectionClosed(aConnection);
       })
   , m_routes(Content{})
-  , m_timer(m_parts.m_loop)
+  , m_timer(m_deps.m_loop)
   , m_startBuffer(Clock::now())
-  , m_filterTimer(m_parts.m_loop)
+  , m_filterTimer(m_deps.m_loop)
 {
 }
 
@@ -96,7 +96,7 @@
   return { .m_onNewEpoch =
              [this](std::uint64_t aProcess, std::uint64_t aEpoch) {
                m_resumeFilter.CloseEpochs(aProcess, aEpoch);
-               m_service.OnEpoch(aProcess, aEpoch);
+               m_runService.OnEpoch(aProcess, aEpoch);
              },
            .m_onFrame =
              [this](LinkConnection& aConnection, LinkFrame aFrame) {
@@ -123,8 +123,8 @@
     Execute(m_dispatcher.OnLinkLost(Clock::now(), aSlot));
   };
   handlers.m_onProcessGone = [this](const std::string& aSlot) {
-    // The process that received the attempts has exited. Process number 0 is
-    // never used, so no attempt in doubt matches it and all of them fail.
+    // Process number 0 is never used, so all attempts that were sent to the
+    // exited process fail.
     Execute(m_dispatcher.OnLinkUp(Clock::now(), aSlot, 0));
   };
   handlers.m_onSent = [this](std::uint64_t aAttempt, std::uint64_t aProcess) {
@@ -141,26 +141,23 @@
 {
   m_server.UsePacer(m_pacer);
   m_pool.UsePacer(m_pacer);
-  m_dispatcher.SetDecisions(m_parts.m_settings.m_runs.m_decisions);
-  m_dispatcher.SetQuarantine(m_parts.m_quarantine.Table());
-  m_dispatcher.SetRollouts(m_parts.m_rollouts.Table());
-  m_parts.m_workspaces.SetRetryHandler([this] { RetryAdmissions(); });
+  m_dispatcher.SetDecisions(m_deps.m_settings.m_runs.m_decisions);
+  m_dispatcher.SetQuarantine(m_deps.m_quarantine.Table());
+  m_dispatcher.SetRollouts(m_deps.m_rollouts.Table());
+  m_deps.m_workspaces.SetRetryHandler([this] { RetryAdmissions(); });
   WorkerRow own;
-  own.m_slot = m_parts.m_settings.m_slot;
-  own.m_service = m_parts.m_settings.m_service;
-  own.m_domain = m_parts.m_settings.m_domain;
-  own.m_slots = m_parts.m_settings.m_runs.m_slots;
-  own.m_leaving = m_parts.m_settings.m_platform.m_enabled;
-  if (m_parts.m_settings.m_platform.m_enabled) {
+  own.m_slot = m_deps.m_settings.m_slot;
+  own.m_service = m_deps.m_settings.m_service;
+  own.m_domain = m_deps.m_settings.m_domain;
+  own.m_slots = m_deps.m_settings.m_runs.m_slots;
+  own.m_leaving = m_deps.m_settings.m_platform.m_enabled;
+  if (m_deps.m_settings.m_platform.m_enabled) {
     m_dispatcher.Routing().m_domain = own.m_domain;
   }
   m_dispatcher.Workers().Put(std::move(own));
   return m_http.Open();
 }
 
-// ---------------------------------------------------------------------------
-// Actions of the dispatcher
-
 void
 CallGateway::Execute(const DispatchActions& aActions)
 {
@@ -180,11 +177,11 @@
   PendingCall& pending = call->second;
   pending.m_slot = aAttempt.m_slot;
   if (++pending.m_attempts > 1) {
-    m_parts.m_requestLog.OnRetried(Clock::now(),
-                                   pending.m_id,
-                                   aAttempt.m_slot,
-                                   pending.m_attempts,
-                                   aAttempt.m_timeLeft);
+    m_deps.m_requestLog.OnRetried(Clock::now(),
+                                  pending.m_id,
+                                  aAttempt.m_slot,
+                                  pending.m_attempts,
+                                  aAttempt.m_timeLeft);
   }
   CallRequest request = pending.m_request;
   request.m_call = aAttempt.m_attempt;
@@ -193,10 +190,10 @@
   request.m_retriesLeft = aAttempt.m_retriesLeft;
   request.m_isRetry = aAttempt.m_isRetry;
   request.m_refuseIfBusy = aAttempt.m_refuseIfBusy;
-  if (aAttempt.m_slot == m_parts.m_settings.m_slot) {
-    m_dispatcher.RecordProcess(aAttempt.m_attempt, m_parts.m_process);
-    m_service.OnRequest(
-      { m_parts.m_process, aAttempt.m_attempt }, 0, std::move(request));
+  if (aAttempt.m_slot == m_deps.m_settings.m_slot) {
+    m_dispatcher.RecordProcess(aAttempt.m_attempt, m_deps.m_process);
+    m_runService.OnRequest(
+      { m_deps.m_process, aAttempt.m_attempt }, 0, std::move(request));
     return;
   }
   const auto address = m_addresses.find(aAttempt.m_slot);
@@ -210,9 +207,9 @@
 void
 CallGateway::Execute(const SendCancel& aCancel)
 {
-  if (aCancel.m_slot == m_parts.m_settings.m_slot) {
-    const CallKey key{ m_parts.m_process, aCancel.m_attempt };
-    static_cast<void>(m_service.OnCancel(key, aCancel.m_abandon));
+  if (aCancel.m_slot == m_deps.m_settings.m_slot) {
+    const CallKey key{ m_deps.m_process, aCancel.m_attempt };
+    static_cast<void>(m_runService.OnCancel(key, aCancel.m_abandon));
     return;
   }
   m_pool.SendIfOpen(aCancel.m_slot,
@@ -228,44 +225,43 @@
   }
   PendingCall call = std::move(found->second);
   m_pending.erase(found);
-  const auto connection = m_callByConnection.find(call.m_connection);
-  if (connection != m_callByConnection.end() &&
+  const auto connection = m_latestCallByConnection.find(call.m_connection);
+  if (connection != m_latestCallByConnection.end() &&
       connection->second == aFinish.m_call) {
-    m_callByConnection.erase(connection);
+    m_latestCallByConnection.erase(connection);
   }
   CallAnswer answer = aFinish.m_answer;
   if (answer.m_outcome == CallOutcome::Answered) {
     RouteStatistics& statistics = StatisticsOf(call.m_routeKey);
-    statistics.m_answerBytes +=
+    statistics.m_meanAnswerBytes +=
       kAnswerSizeWeight *
       (static_cast<double>(answer.m_response.m_body.size()) -
-       statistics.m_answerBytes);
+       statistics.m_meanAnswerBytes);
   }
   answer.m_retryAfter = WithJitter(answer.m_retryAfter);
-  m_parts.m_metrics.CountCall(NameOf(answer.m_outcome),
-                              NameOf(answer.m_reason));
-  m_parts.m_metrics.ObserveLatency(
+  m_deps.m_metrics.CountCall(NameOf(answer.m_outcome), NameOf(answer.m_reason));
+  m_deps.m_metrics.ObserveLatency(
     std::chrono::duration<double>(Clock::now() - call.m_receivedAt).count());
   RecordSpan(call, answer);
   const TimePoint now = Clock::now();
   if (answer.m_reason == RefusalReason::Held) {
-    m_parts.m_requestLog.OnQuarantined(
+    m_deps.m_requestLog.OnQuarantined(
       now,
       call.m_id,
-      CallFingerprint(m_parts.m_dialect, call.m_request),
+      CallFingerprint(m_deps.m_dialect, call.m_request),
       aFinish.m_answer.m_retryAfter);
   }
-  m_parts.m_requestLog.OnFinished(now,
-                                  { .m_id = call.m_id,
-                                    .m_route = call.m_routeKey,
-                                    .m_service = call.m_request.m_service,
-                                    .m_workspace = call.m_workspace,
-                                    .m_slot = call.m_slot,
-                                    .m_answer = answer,
-                                    .m_attempts = call.m_attempts,
-                                    .m_duration = now - call.m_receivedAt,
-                                    .m_version = call.m_config->m_version });
-  call.m_responder.Answer(ResponseFor(m_parts.m_dialect, answer), m_draining);
+  m_deps.m_requestLog.OnFinished(now,
+                                 { .m_id = call.m_id,
+                                   .m_route = call.m_routeKey,
+                                   .m_service = call.m_request.m_service,
+                                   .m_workspace = call.m_workspace,
+                                   .m_slot = call.m_slot,
+                                   .m_answer = answer,
+                                   .m_attempts = call.m_attempts,
+                                   .m_duration = now - call.m_receivedAt,
+                                   .m_version = call.m_config->m_version });
+  call.m_responder.Answer(ResponseFor(m_deps.m_dialect, answer), m_draining);
 }
 
 std::chrono::milliseconds
@@ -286,25 +282,22 @@
   span.m_parent = aCall.m_parent ? aCall.m_parent->m_span : 0;
   span.m_kind = Span::Kind::Server;
   span.m_name = aCall.m_request.m_method;
-  span.m_service = m_parts.m_settings.m_service;
-  span.m_slot = m_parts.m_settings.m_slot;
-  span.m_start = aCall.m_wallStart;
+  span.m_service = m_deps.m_settings.m_service;
+  span.m_slot = m_deps.m_settings.m_slot;
+  span.m_start = aCall.m_spanStart;
   span.m_end = WallNanos();
   span.m_outcome = std::string{ NameOf(aAnswer.m_outcome) };
   span.m_status = aAnswer.m_response.m_status;
-  m_parts.m_trace(std::move(span));
+  m_deps.m_trace(std::move(span));
 }
 
-// ---------------------------------------------------------------------------
-// Timers and draining
-
 void
 CallGateway::OnTick(TimePoint aNow)
 {
   m_resumeFilter.OnTick(aNow, BootTime());
   ReleaseStartBuffer(aNow);
   m_pool.OnTick(aNow);
-  m_service.OnTick(aNow);
+  m_runService.OnTick(aNow);
   m_dispatcher.SetRetryLimits(RetryLimitsNow());
 }
 
@@ -330,8 +323,8 @@
 CallGateway::StartDraining()
 {
   m_draining = true;
-  m_dispatcher.Workers().SetLeaving(m_parts.m_settings.m_slot);
-  m_service.StartDraining();
+  m_dispatcher.Workers().SetLeaving(m_deps.m_settings.m_slot);
+  m_runService.StartDraining();
   m_server.Broadcast(LinkDraining{});
 }
 
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -47,7 +47,7 @@
 {
   const TimePoint now = Clock::now();
   if (!m_resumeFilter.IsDelaying(now, BootTime())) {
-    Serve(now, std::move(aRequest), std::move(aResponder));
+    RouteRequest(now, std::move(aRequest), std::move(aResponder));
     return;
   }
   const bool isFirst = m_resumeFilter.Add(ResumeFilter::CallerRequest{
@@ -58,11 +58,11 @@
 }
 
 void
-CallGateway::Serve(TimePoint aReceivedAt,
-                   HttpRequest aRequest,
-                   HttpResponder aResponder)
+CallGateway::RouteRequest(TimePoint aReceivedAt,
+                          HttpRequest aRequest,
+                          HttpResponder aResponder)
 {
-  if (!m_parts.m_isReady()) {
+  if (!m_deps.m_isReady()) {
     if (!m_startBuffer.Add(Clock::now(), aReceivedAt, aRequest, aResponder)) {
       Refuse(aRequest, aResponder, RefusalReason::NotReady);
     }
@@ -74,7 +74,7 @@
     Refuse(aRequest, aResponder, RefusalReason::NoRoute);
     return;
   }
-  const Limits& limits = m_parts.m_holder.Active()->m_content.GetLimits();
+  const Limits& limits = m_deps.m_holder.Active()->m_content.GetLimits();
   if (ParseNumberHeader(aRequest.m_headers, kDepthHeader, 0) >=
       limits.m_maxDepth) {
     Refuse(aRequest, aResponder, RefusalReason::TooDeep);
@@ -104,16 +104,16 @@
                    bool aIsNew)
 {
   WorkspaceAdmission admission;
-  if (m_parts.m_workspaces.NeedsKey(aRoute)) {
-    admission = m_parts.m_workspaces.Admit(
-      HeaderValue(aRequest.m_headers, m_parts.m_dialect.m_apiKey),
+  if (m_deps.m_workspaces.NeedsKey(aRoute)) {
+    admission = m_deps.m_workspaces.Admit(
+      HeaderValue(aRequest.m_headers, m_deps.m_dialect.m_apiKey),
       aIsNew,
       IsLate(aRoute, aReceivedAt, aRequest));
   }
   if (admission.m_waits) {
     const bool hasWaited = Clock::now() - aReceivedAt >= TokenQueue::kMaxWait;
     if (hasWaited || m_tokenQueue.IsFull()) {
-      m_parts.m_workspaces.CancelWait(admission.m_workspace->m_id);
+      m_deps.m_workspaces.CancelWait(admission.m_workspace->m_id);
       Refuse(aRequest,
              aResponder,
              RefusalReason::NoCoordinator,
@@ -153,7 +153,7 @@
   }
   const auto requestedDeadline = std::chrono::milliseconds{ ParseNumberHeader(
     aRequest.m_headers,
-    m_parts.m_dialect.m_deadline,
+    m_deps.m_dialect.m_deadline,
     static_cast<std::uint64_t>(aRoute.m_deadline.count())) };
   const auto callAge =
     StatisticsOf(aRoute.m_host + aRoute.m_path)
@@ -165,7 +165,7 @@
 CallGateway::RetryAdmissions()
 {
   for (TokenQueue::Entry& each : m_tokenQueue.TakeAll()) {
-    m_parts.m_workspaces.CancelWait(each.m_workspace);
+    m_deps.m_workspaces.CancelWait(each.m_workspace);
     const Route* route = m_routes.Find(HostOf(each.m_request.m_headers),
                                        PathOf(each.m_request.m_target));
     if (route == nullptr) {
@@ -188,19 +188,19 @@
                     std::chrono::milliseconds aRetryAfter,
                     const WorkspaceRow* aWorkspace)
 {
-  m_parts.m_metrics.CountCall(NameOf(CallOutcome::NotRun), NameOf(aReason));
+  m_deps.m_metrics.CountCall(NameOf(CallOutcome::NotRun), NameOf(aReason));
   const CallAnswer answer =
     greengagehub::Refuse(0, CallOutcome::NotRun, aReason, aRetryAfter);
-  m_parts.m_requestLog.OnFinished(
+  m_deps.m_requestLog.OnFinished(
     Clock::now(),
-    { .m_id = HeaderValue(aRequest.m_headers, m_parts.m_dialect.m_requestId),
+    { .m_id = HeaderValue(aRequest.m_headers, m_deps.m_dialect.m_requestId),
       .m_route = aRequest.m_target,
       .m_workspace = aWorkspace != nullptr
                        ? std::string_view{ aWorkspace->m_name }
                        : std::string_view{},
       .m_answer = answer,
-      .m_version = m_parts.m_holder.GetVersion() });
-  aResponder.Answer(ResponseFor(m_parts.m_dialect, answer));
+      .m_version = m_deps.m_holder.GetVersion() });
+  aResponder.Answer(ResponseFor(m_deps.m_dialect, answer));
 }
 
 void
@@ -209,11 +209,11 @@
   if (m_startBuffer.Count() == 0) {
     return;
   }
-  if (m_parts.m_isReady()) {
+  if (m_deps.m_isReady()) {
     for (StartBuffer::Entry& each : m_startBuffer.TakeAll()) {
-      Serve(each.m_receivedAt,
-            std::move(each.m_request),
-            std::move(each.m_responder));
+      RouteRequest(each.m_receivedAt,
+                   std::move(each.m_request),
+                   std::move(each.m_responder));
     }
     return;
   }
@@ -231,15 +231,15 @@
                        HttpResponder aResponder)
 {
   const TimePoint now = Clock::now();
-  const DecisionSettings& decisions = m_parts.m_settings.m_runs.m_decisions;
+  const DecisionSettings& decisions = m_deps.m_settings.m_runs.m_decisions;
   const auto& headers = aRequest.m_headers;
   const auto requestedDeadline = std::chrono::milliseconds{ ParseNumberHeader(
     headers,
-    m_parts.m_dialect.m_deadline,
+    m_deps.m_dialect.m_deadline,
     static_cast<std::uint64_t>(aRoute.m_deadline.count())) };
   const std::uint32_t retries = aRoute.m_attempts > 0
                                   ? aRoute.m_attempts - 1
-                                  : m_parts.m_settings.m_calls.m_maxRetries;
+                                  : m_deps.m_settings.m_calls.m_maxRetries;
   CallPlan plan;
   plan.m_service = aService;
   plan.m_class = aRoute.m_class;
@@ -260,14 +260,14 @@
   plan.m_crossingCost =
     CrossingCost(decisions,
                  static_cast<double>(aRequest.m_body.size()),
-                 statistics.m_answerBytes);
+                 statistics.m_meanAnswerBytes);
   plan.m_priority =
     aWorkspace != nullptr
-      ? m_parts.m_workspaces.Table().RankOf(*aWorkspace, aRoute.m_priority)
+      ? m_deps.m_workspaces.Table().RankOf(*aWorkspace, aRoute.m_priority)
       : aRoute.m_priority;
-  if (plan.m_service != m_parts.m_settings.m_service) {
+  if (plan.m_service != m_deps.m_settings.m_service) {
     // The caller may be the local worker, in one of its retried runs.
-    plan.m_retriedRunProbability = m_service.RetriedRunShareAt(now);
+    plan.m_retriedRunProbability = m_runService.RetriedRunShareAt(now);
   }
   plan.m_retriesLeft = static_cast<std::uint32_t>(std::min<std::uint64_t>(
     retries, ParseNumberHeader(headers, kRetriesHeader, retries)));
@@ -275,15 +275,15 @@
   PendingCall call{ .m_responder = std::move(aResponder),
                     .m_connection = aRequest.m_connection,
                     .m_receivedAt = aReceivedAt,
-                    .m_config = m_parts.m_holder.Active(),
+                    .m_config = m_deps.m_holder.Active(),
                     .m_routeKey = routeKey,
                     .m_id = std::string{
-                      HeaderValue(headers, m_parts.m_dialect.m_requestId) } };
+                      HeaderValue(headers, m_deps.m_dialect.m_requestId) } };
   call.m_parent = ParseTraceparent(HeaderValue(headers, kTraceparentHeader));
   const bool isSampled =
-    Below(m_random, 100) < m_parts.m_settings.m_log.m_tracePercent;
+    Below(m_random, 100) < m_deps.m_settings.m_log.m_tracePercent;
   call.m_span = NewSpan(call.m_parent, isSampled, m_random);
-  call.m_wallStart = WallNanos();
+  call.m_spanStart = WallNanos();
   CallRequest& request = call.m_request;
   request.m_service = plan.m_service;
   request.m_method = std::move(aRequest.m_method);
@@ -291,30 +291,30 @@
   request.m_depth =
     static_cast<std::uint32_t>(ParseNumberHeader(headers, kDepthHeader, 0));
   request.m_headers =
-    HeadersFromCaller(m_parts.m_dialect, std::move(aRequest.m_headers));
-  if (m_parts.m_dialect.m_sendsHopHeaders) {
+    HeadersFromCaller(m_deps.m_dialect, std::move(aRequest.m_headers));
+  if (m_deps.m_dialect.m_sendsHopHeaders) {
     request.m_headers.push_back(HttpHeader{ std::string{ kTraceparentHeader },
                                             FormatTraceparent(call.m_span) });
   }
-  if (!m_parts.m_dialect.m_callerService.empty()) {
+  if (!m_deps.m_dialect.m_callerService.empty()) {
     request.m_headers.push_back(
-      HttpHeader{ std::string{ m_parts.m_dialect.m_callerService },
-                  m_parts.m_settings.m_service });
+      HttpHeader{ std::string{ m_deps.m_dialect.m_callerService },
+                  m_deps.m_settings.m_service });
   }
   if (aWorkspace != nullptr) {
     call.m_workspace = aWorkspace->m_name;
     request.m_headers.push_back(HttpHeader{
-      std::string{ m_parts.m_dialect.m_workspace }, aWorkspace->m_name });
+      std::string{ m_deps.m_dialect.m_workspace }, aWorkspace->m_name });
   }
   request.m_priority = plan.m_priority;
   request.m_kind = plan.m_kind;
   request.m_body = std::move(aRequest.m_body);
   request.m_class = plan.m_class;
   request.m_idempotent = plan.m_idempotent;
-  plan.m_content = CallFingerprint(m_parts.m_dialect, request);
+  plan.m_content = CallFingerprint(m_deps.m_dialect, request);
 
   const std::uint64_t id = ++m_lastCall;
-  m_callByConnection[call.m_connection] = id;
+  m_latestCallByConnection[call.m_connection] = id;
   m_pending.emplace(id, std::move(call));
   Execute(m_dispatcher.Begin(now, id, std::move(plan)));
 }
@@ -356,17 +356,17 @@
 void
 CallGateway::OnCallerConnectionClosed(std::uint64_t aConnection)
 {
-  m_startBuffer.Drop(aConnection);
-  for (const WorkspaceId each : m_tokenQueue.Drop(aConnection)) {
-    m_parts.m_workspaces.CancelWait(each);
+  m_startBuffer.DropConnection(aConnection);
+  for (const WorkspaceId each : m_tokenQueue.DropConnection(aConnection)) {
+    m_deps.m_workspaces.CancelWait(each);
   }
   m_resumeFilter.DropConnection(aConnection);
-  const auto found = m_callByConnection.find(aConnection);
-  if (found == m_callByConnection.end()) {
+  const auto found = m_latestCallByConnection.find(aConnection);
+  if (found == m_latestCallByConnection.end()) {
     return;
   }
   const std::uint64_t call = found->second;
-  m_callByConnection.erase(found);
+  m_latestCallByConnection.erase(found);
   Execute(m_dispatcher.OnCallerDisconnected(Clock::now(), call));
 }
 
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -11,9 +11,8 @@
 
 namespace {
 
-/// Share of the fleet's retry budget that daemons spend. The rest covers
-/// retries of daemons that have died since and errors in the estimated share of
-/// retried runs.
+/// The rest of the fleet's retry budget covers failed daemons and errors in the
+/// estimated share of retried runs.
 constexpr double kRetryBudgetShare = 0.85;
 
 /// \returns The limits of the configuration; where it sets none, those of the
@@ -72,13 +71,14 @@
       }
       return;
     }
-    m_service.OnRequest(key, aConnection.m_peer.m_epoch, std::move(*request));
+    m_runService.OnRequest(
+      key, aConnection.m_peer.m_epoch, std::move(*request));
     return;
   }
   if (const auto* cancel = std::get_if<LinkCancel>(&aFrame)) {
     m_resumeFilter.Cancel({ process, cancel->m_call });
     const CancelResult result =
-      m_service.OnCancel({ process, cancel->m_call }, cancel->m_abandon);
+      m_runService.OnCancel({ process, cancel->m_call }, cancel->m_abandon);
     if (!cancel->m_abandon) {
       aConnection.Send(ResultOf(cancel->m_call, result));
     }
@@ -101,9 +101,9 @@
 void
 CallGateway::Deliver(CallKey aKey, CallAnswer aAnswer)
 {
-  if (aKey.m_process == m_parts.m_process) {
+  if (aKey.m_process == m_deps.m_process) {
     // Posted, because the dispatcher may be active further up the stack.
-    asio::post(m_parts.m_loop, [this, answer = std::move(aAnswer)]() mutable {
+    asio::post(m_deps.m_loop, [this, answer = std::move(aAnswer)]() mutable {
       Execute(m_dispatcher.OnAnswer(Clock::now(), std::move(answer)));
     });
     return;
@@ -123,7 +123,7 @@
     return;
   }
   if (m_trackedServices.contains(record.m_service)) {
-    PutWorker(record);
+    AddOrUpdateWorker(record);
   } else {
     // The slot may have belonged to a tracked service before.
     m_dispatcher.Workers().Remove(record.m_slot);
@@ -133,11 +133,11 @@
 void
 CallGateway::OnWorker(const WorkerPresence& aPresence)
 {
-  m_service.OnWorker(aPresence);
+  m_runService.OnWorker(aPresence);
   WorkerRow own;
-  own.m_slot = m_parts.m_settings.m_slot;
-  own.m_service = m_parts.m_settings.m_service;
-  own.m_domain = m_parts.m_settings.m_domain;
+  own.m_slot = m_deps.m_settings.m_slot;
+  own.m_service = m_deps.m_settings.m_service;
+  own.m_domain = m_deps.m_settings.m_domain;
   own.m_slots = aPresence.Current()->m_slots;
   own.m_start = TagOf(aPresence.Current()->m_start);
   own.m_version = aPresence.Current()->m_version;
@@ -151,15 +151,15 @@
 void
 CallGateway::ProbeWorker(std::function<void(std::string)> aDone)
 {
-  const auto& services = m_parts.m_holder.Active()->m_content.Services();
-  const auto own = services.find(m_parts.m_settings.m_service);
+  const auto& services = m_deps.m_holder.Active()->m_content.Services();
+  const auto own = services.find(m_deps.m_settings.m_service);
   if (own != services.end() && !own->second->m_value.m_healthPath.empty()) {
-    m_service.Probe(own->second->m_value.m_healthPath, std::move(aDone));
+    m_runService.Probe(own->second->m_value.m_healthPath, std::move(aDone));
   }
 }
 
 void
-CallGateway::PutWorker(const MemberRecord& aRecord)
+CallGateway::AddOrUpdateWorker(const MemberRecord& aRecord)
 {
   WorkerRow row;
   row.m_slot = aRecord.m_slot;
@@ -179,11 +179,11 @@
   if (!m_trackedServices.insert(aService).second) {
     return;
   }
-  m_parts.m_members().Rows().Each(
+  m_deps.m_members().Rows().Each(
     [&](MemberTable::Index, const MemberRow& aRow) {
       const MemberRecord& record = aRow.m_record;
       if (record.m_service == aService && IsPresent(record.m_state)) {
-        PutWorker(record);
+        AddOrUpdateWorker(record);
       }
     });
 }
@@ -191,29 +191,29 @@
 void
 CallGateway::OnVersion()
 {
-  const Content& content = m_parts.m_holder.Active()->m_content;
+  const Content& content = m_deps.m_holder.Active()->m_content;
   m_routes = RouteTable{ content };
   m_dispatcher.SetRetryLimits(RetryLimitsNow());
   m_http.SetLimits(
-    MergedLimits(m_parts.m_settings.m_calls, content.GetLimits()));
+    MergedLimits(m_deps.m_settings.m_calls, content.GetLimits()));
   // Posted, because the caller marks the version as current only after this.
-  asio::post(m_parts.m_loop, [this] { ReleaseStartBuffer(Clock::now()); });
+  asio::post(m_deps.m_loop, [this] { ReleaseStartBuffer(Clock::now()); });
 }
 
 RetryLimits
 CallGateway::RetryLimitsNow() const
 {
-  const PlatformSettings& platform = m_parts.m_settings.m_platform;
+  const PlatformSettings& platform = m_deps.m_settings.m_platform;
   RetryLimits limits;
   if (!platform.m_enabled) {
     constexpr double kPercent = 100.0;
-    const Content& content = m_parts.m_holder.Active()->m_content;
+    const Content& content = m_deps.m_holder.Active()->m_content;
     limits.m_share = content.GetLimits().m_retryPercent / kPercent;
     return limits;
   }
   // The limits apply to the whole fleet. The share is relative to each daemon's
   // calls; the slack is absolute and divided among the daemons.
-  const auto daemons = static_cast<double>(m_parts.m_members().Present() + 1);
+  const auto daemons = static_cast<double>(m_deps.m_members().Present() + 1);
   limits.m_share = kRetryBudgetShare * platform.m_retryShare;
   limits.m_slack = kRetryBudgetShare * platform.m_retrySlack / daemons;
   limits.m_window = platform.m_retryWindow;
@@ -244,14 +244,16 @@
   const TimePoint now = Clock::now();
   ResumeFilter::DelayedRequests delayed = m_resumeFilter.TakeAll();
   for (ResumeFilter::LinkRequest& each : delayed.m_links) {
-    const auto delay =
-      std::chrono::duration_cast<std::chrono::microseconds>(now - each.m_read);
+    const auto delay = std::chrono::duration_cast<std::chrono::microseconds>(
+      now - each.m_receivedAt);
     each.m_request.m_timeLeft -= delay;
     each.m_request.m_targetLeft -= delay;
-    m_service.OnRequest(each.m_key, each.m_epoch, std::move(each.m_request));
+    m_runService.OnRequest(each.m_key, each.m_epoch, std::move(each.m_request));
   }
   for (ResumeFilter::CallerRequest& each : delayed.m_callers) {
-    Serve(each.m_came, std::move(each.m_request), std::move(each.m_responder));
+    RouteRequest(each.m_receivedAt,
+                 std::move(each.m_request),
+                 std::move(each.m_responder));
   }
 }
 
--- a/src/daemon/call_headers.cpp
+++ b/src/daemon/call_headers.cpp
@@ -28,8 +28,7 @@
     });
 }
 
-/// \returns Whether a comma-separated list, such as the value of Connection,
-/// contains a header name.
+/// \param aList comma-separated, such as the value of Connection.
 bool
 ListContains(std::string_view aList, std::string_view aName)
 {
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -9,23 +9,18 @@
 
 namespace {
 
-constexpr auto kTick = std::chrono::milliseconds{ 100 };
-/// Divides the time limit for applying a configuration; successive changes are
-/// coalesced for that long.
+constexpr auto kTickInterval = std::chrono::milliseconds{ 100 };
+/// Changes are coalesced for m_maxConfigDelay divided by this.
 constexpr int kCoalesceDivisor = 8;
-/// Daemons per failure domain that watch the store and push changes to the
-/// others; two, so that one may fail.
+/// Two, so that one may fail.
 constexpr std::size_t kWatchersPerDomain = 2;
 /// Time without a datagram after which a daemon treats itself as isolated; a
 /// multiple of the probe interval.
 constexpr auto kIsolatedAfter = std::chrono::milliseconds{ 2500 };
-/// Interval between computations of the own rank, which scan all members.
+/// Computing the own rank scans all members.
 constexpr auto kRankInterval = std::chrono::milliseconds{ 500 };
-/// Longest pause between reads of the configuration while the store is
-/// unreachable.
 constexpr auto kMaxFeedBackoff = std::chrono::milliseconds{ 500 };
-/// Links up to this bandwidth read the compressed copy, because the whole
-/// configuration would delay calls noticeably.
+/// Up to this bandwidth the whole configuration would delay calls noticeably.
 constexpr std::uint32_t kSlowLinkMbps = 20;
 /// Limits the probes that one operator request causes.
 constexpr std::size_t kMaxProbedMembers = 64;
@@ -85,7 +80,7 @@
   , m_disseminator(aSettings.m_dissemination, m_random())
   , m_watchLease(aSettings.m_watch, m_membership.Self(), m_random())
   , m_seedPublisher(m_membership.Self(), m_random())
-  , m_sync(
+  , m_storeSync(
       aLoop,
       m_store,
       m_holder,
@@ -94,8 +89,9 @@
         .m_maxBackoff = aSettings.m_store.m_maxBackoff },
       m_random(),
       { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
-        .m_onHead = [this](Version aHead) { m_gate.RecordStoreHead(aHead); } })
-  , m_feed(
+        .m_onHead =
+          [this](Version aHead) { m_readinessGate.RecordStoreHead(aHead); } })
+  , m_configFeed(
       aLoop,
       m_store,
       m_holder,
@@ -108,7 +104,8 @@
         .m_maxBackoff = kMaxFeedBackoff },
       m_random(),
       { .m_onAdvanced = [this](Version aBefore) { OnAdvanced(aBefore); },
-        .m_onHead = [this](Version aHead) { m_gate.RecordStoreHead(aHead); },
+        .m_onHead =
+          [this](Version aHead) { m_readinessGate.RecordStoreHead(aHead); },
         .m_onConfirmed =
           [this](TimePoint aRequestedAt, const StoreConfig& aConfig) {
             m_workspaces.OnConfirmed(aRequestedAt, aConfig);
@@ -117,7 +114,7 @@
           [this](const std::vector<StoreItem>& aItems) {
             m_rollouts.OnStoreItems(aItems);
           },
-        .m_onChangesMissed = [this] { m_rollouts.OnStoreMissed(); } })
+        .m_onChangesMissed = [this] { m_rollouts.OnStoreChangesMissed(); } })
   , m_decisions(
       m_store,
       m_holder,
@@ -131,30 +128,28 @@
                      PublishQuarantine(aUpdate, aScope);
                    },
                    [this] { return m_membership.IsHighestRanked(); } })
-  , m_rollouts(RolloutParts())
-  , m_workspaces(WorkspaceParts(aLoop), aProcess, m_random())
-  , m_tick(aLoop)
+  , m_rollouts(RolloutDependencies())
+  , m_workspaces(WorkspaceDependencies(aLoop), aProcess, m_random())
+  , m_tickTimer(aLoop)
   , m_memberSync(Clock::now(), m_random())
-  , m_gate(aSettings.m_platform.m_enabled
-             ? ReadinessGate::Authority::StoreFirst
-             : ReadinessGate::Authority::PeersFirst)
+  , m_readinessGate(aSettings.m_platform.m_enabled
+                      ? ReadinessGate::Authority::StoreFirst
+                      : ReadinessGate::Authority::PeersFirst)
 {
 }
 
-// ---------------------------------------------------------------------------
-// Observers
-
 bool
 ControlPlane::IsWatching() const
 {
-  return m_settings.m_platform.m_enabled ? m_feed.IsWatching()
+  return m_settings.m_platform.m_enabled ? m_configFeed.IsWatching()
                                          : m_watchLease.Holds(Clock::now());
 }
 
 bool
 ControlPlane::IsReady()
 {
-  return m_gate.IsOpen(m_holder.GetVersion(), m_membership.Members().Present());
+  return m_readinessGate.IsOpen(m_holder.GetVersion(),
+                                m_membership.Members().Present());
 }
 
 Version
@@ -204,9 +199,6 @@
   }
 }
 
-// ---------------------------------------------------------------------------
-// Start and time
-
 void
 ControlPlane::Start(std::uint16_t aLinkPort)
 {
@@ -215,17 +207,17 @@
   m_membership = Membership{ self, m_settings.m_membership, m_random() };
   m_watchLease = WatchLease{ m_settings.m_watch, self, m_random() };
   m_seedPublisher = SeedPublisher{ self, m_random() };
-  m_started = Clock::now();
+  m_startedAt = Clock::now();
   // Jitter spreads the first store requests of daemons that restart together.
-  m_nextJoin = m_started + Jittered(m_random, m_joinBackoff);
-  m_memberSync = MemberSync{ m_started, m_random() };
+  m_nextJoin = m_startedAt + Jittered(m_random, m_joinBackoff);
+  m_memberSync = MemberSync{ m_startedAt, m_random() };
   for (const MemberAddress& each : m_settings.m_seeds) {
     Contact({ each });
   }
   if (m_settings.m_platform.m_enabled) {
-    const std::uint32_t link = m_settings.m_linkMbps;
-    m_feed.SetSlowLink(link > 0 && link <= kSlowLinkMbps);
-    m_feed.Read();
+    const std::uint32_t linkMbps = m_settings.m_linkMbps;
+    m_configFeed.SetSlowLink(linkMbps > 0 && linkMbps <= kSlowLinkMbps);
+    m_configFeed.Read();
   }
   m_quarantine.Start();
   m_store.OnRestored([this] { OnStoreRestored(); });
@@ -243,7 +235,7 @@
   ContactWhileJoining(now);
   DiscoverDomains(now);
   const bool joined = m_memberSync.HasJoined();
-  const bool isJoinOverdue = !joined && now - m_started >= kStandaloneAfter;
+  const bool isJoinOverdue = !joined && now - m_startedAt >= kStandaloneAfter;
   const bool readsStore =
     isJoinOverdue || (joined && m_membership.IsDomainRelay());
   m_quarantine.OnTick(now, readsStore);
@@ -256,13 +248,13 @@
     UpdateWatchLease(now);
   }
   const bool isStandalone =
-    m_holder.GetVersion() == Version{} && now - m_started > kStandaloneAfter;
+    m_holder.GetVersion() == Version{} && now - m_startedAt > kStandaloneAfter;
   if (isStandalone && !m_hasFallbackRead && !m_settings.m_platform.m_enabled) {
     m_hasFallbackRead = true;
-    m_sync.ReadOnce();
+    m_storeSync.ReadOnce();
   }
-  m_tick.expires_after(kTick);
-  m_tick.async_wait([this](const asio::error_code& aError) {
+  m_tickTimer.expires_after(kTickInterval);
+  m_tickTimer.async_wait([this](const asio::error_code& aError) {
     if (!aError) {
       Tick();
     }
@@ -291,14 +283,11 @@
 ControlPlane::OnProcessResumed()
 {
   if (m_settings.m_platform.m_enabled) {
-    m_feed.Read();
+    m_configFeed.Read();
   }
   m_rollouts.OnProcessResumed();
 }
 
-// ---------------------------------------------------------------------------
-// Messages
-
 void
 ControlPlane::SendGossip(GossipSend aSend)
 {
@@ -330,15 +319,15 @@
 ControlPlane::OnGossip(const MemberAddress& aFrom,
                        const GossipMessage& aMessage)
 {
-  m_lastReceived = Clock::now();
+  m_lastDatagramAt = Clock::now();
   if (aMessage.m_kind == GossipMessage::Kind::Quota) {
     m_workspaces.OnMessage(aMessage);
     return;
   }
   const TimePoint now = Clock::now();
-  m_gate.RecordPeer(aMessage.m_sender.m_slot,
-                    aMessage.m_head.m_version,
-                    aMessage.m_minimumVersion);
+  m_readinessGate.RecordPeer(aMessage.m_sender.m_slot,
+                             aMessage.m_head.m_version,
+                             aMessage.m_minimumVersion);
   StageAll(aMessage.m_entries);
   if (!aMessage.m_quarantine.IsEmpty()) {
     m_quarantine.OnUpdate(aMessage.m_quarantine);
@@ -376,15 +365,11 @@
   SyncMembers(now, aMessage);
 }
 
-// ---------------------------------------------------------------------------
-// Watching the store
-
 void
 ControlPlane::UpdateWatchLease(TimePoint aNow)
 {
   // Before it has joined, a daemon knows no peers and would rank itself first.
-  // Daemons that restart together would all request the watch lease.
-  if (!m_memberSync.HasJoined() && aNow - m_started < kStandaloneAfter) {
+  if (!m_memberSync.HasJoined() && aNow - m_startedAt < kStandaloneAfter) {
     return;
   }
   const std::size_t rank =
@@ -392,7 +377,7 @@
   if (auto request = m_watchLease.OnTick(aNow, rank)) {
     ExecuteWatchRequest(std::move(*request));
   }
-  m_sync.SetWatching(m_watchLease.Holds(aNow));
+  m_storeSync.SetWatching(m_watchLease.Holds(aNow));
 }
 
 void
@@ -406,11 +391,11 @@
   if (m_memberSync.HasJoined()) {
     rank = m_membership.RankInDomain();
   }
-  if (m_memberSync.HasJoined() || aNow - m_started >= kStandaloneAfter) {
-    m_feed.SetWatching(rank.value_or(0) < kWatchersPerDomain);
+  if (m_memberSync.HasJoined() || aNow - m_startedAt >= kStandaloneAfter) {
+    m_configFeed.SetWatching(rank.value_or(0) < kWatchersPerDomain);
     // IsHighestRanked() scans all members, so the rank is checked first.
-    m_feed.SetMaintainsCopy(rank.value_or(0) == 0 &&
-                            m_membership.IsHighestRanked());
+    m_configFeed.SetMaintainsCopy(rank.value_or(0) == 0 &&
+                                  m_membership.IsHighestRanked());
   }
   auto request = m_seedPublisher.OnTick(aNow, rank);
   if (request) {
@@ -431,8 +416,8 @@
   m_workspaces.OnStoreRestored();
 }
 
-WorkspaceService::Parts
-ControlPlane::WorkspaceParts(asio::io_context& aLoop)
+WorkspaceService::Dependencies
+ControlPlane::WorkspaceDependencies(asio::io_context& aLoop)
 {
   return { .m_loop = aLoop,
            .m_settings = m_settings,
@@ -444,17 +429,17 @@
            .m_hasPeerContact =
              [this] {
                return m_membership.Members().Present() == 0 ||
-                      Clock::now() - m_lastReceived < kIsolatedAfter;
+                      Clock::now() - m_lastDatagramAt < kIsolatedAfter;
              },
            .m_send =
              [this](GossipSend aSend) {
                aSend.m_message.m_sender = m_membership.Self();
                SendGossip(std::move(aSend));
              },
-           .m_storeConfig = [this] { return m_feed.LastRead(); },
+           .m_storeConfig = [this] { return m_configFeed.LastRead(); },
            .m_onNewerConfig =
              [this](StoreReply aReply) {
-               m_feed.OnStoreReply(std::move(aReply));
+               m_configFeed.OnStoreReply(std::move(aReply));
              } };
 }
 
--- a/src/daemon/control_plane_joining.cpp
+++ b/src/daemon/control_plane_joining.cpp
@@ -27,8 +27,8 @@
 void
 ControlPlane::ContactWhileJoining(TimePoint aNow)
 {
-  const bool due = aNow - m_started < kContactTime && aNow >= m_nextContact;
-  if (!due) {
+  const bool isDue = aNow - m_startedAt < kContactTime && aNow >= m_nextContact;
+  if (!isDue) {
     return;
   }
   m_nextContact = aNow + Jittered(m_random, kContactInterval);
@@ -66,18 +66,17 @@
   const TimePoint now = Clock::now();
   m_nextJoin = now + Jittered(m_random, m_joinBackoff);
   if (!m_knownSeeds.empty()) {
-    // The known seeds have been contacted; waits longer for their answers.
+    // Leaves the contacted seeds more time to answer.
     m_nextJoin += kStartupJoinBackoff;
   }
   const auto maxBackoff =
-    now - m_started < kStartupTime ? kStartupJoinBackoff : kMaxJoinBackoff;
+    now - m_startedAt < kStartupTime ? kStartupJoinBackoff : kMaxJoinBackoff;
   m_joinBackoff =
     std::min<std::chrono::milliseconds>(2 * m_joinBackoff, maxBackoff);
   for (const MemberAddress& each : m_settings.m_seeds) {
     Contact({ each });
   }
   ++m_joinAttempts;
-  // Outdated addresses are acceptable.
   m_store.Execute(MakeStaleList(std::string{ kSeedPrefix }),
                   [this](const StoreReply& aReply) { OnSeeds(aReply); });
 }
@@ -86,7 +85,6 @@
 ControlPlane::OnSeeds(const StoreReply& aReply)
 {
   if (aReply.m_status != StoreReply::Status::Ok) {
-    // Addresses from earlier reads stay in use.
     return;
   }
   const std::string domain = SeedPrefix(m_settings.m_domain);
@@ -127,7 +125,7 @@
   const TimePoint now = Clock::now();
   // By kStandaloneAfter, running peers would have answered; later, the seeds
   // are treated as stale.
-  const bool isStarting = now - m_started < kStandaloneAfter;
+  const bool isStarting = now - m_startedAt < kStandaloneAfter;
   m_seedPublisher.OnSeeds(now, isStarting && hasOwnDomainPeer);
   if (ownDomainSeeds >= m_settings.m_watch.m_watchers) {
     m_watchLease.OnAllPlacesTaken(now);
@@ -141,8 +139,7 @@
     return;
   }
   m_memberSync.Joined();
-  m_gate.Joined();
-  // Contacts enough peers to become ready.
+  m_readinessGate.Joined();
   for (const MemberPeer& each :
        m_membership.SampleOwnDomainFirst(ReadinessGate::kRequiredPeers)) {
     Contact(each);
--- a/src/daemon/control_plane_rollouts.cpp
+++ b/src/daemon/control_plane_rollouts.cpp
@@ -22,8 +22,8 @@
 
 }
 
-RolloutService::Parts
-ControlPlane::RolloutParts()
+RolloutService::Dependencies
+ControlPlane::RolloutDependencies()
 {
   return {
     .m_store = m_store,
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto kPullTimeout = std::chrono::milliseconds{ 3000 };
-/// How long a starting daemon reads the store before it pulls from peers.
+/// A starting daemon reads the store this long before it pulls from peers.
 constexpr auto kStoreReadTime = std::chrono::milliseconds{ 800 };
 
 TrafficPurpose
@@ -88,11 +88,11 @@
 void
 ControlPlane::PullWhenDue(TimePoint aNow)
 {
-  // A starting daemon reads the store. Pulling the whole configuration from a
-  // peer at the same time would only load the link.
+  // Pulling the whole configuration while the store is read would only load
+  // the link.
   const bool readsStore = m_settings.m_platform.m_enabled &&
                           m_holder.GetVersion() == Version{} &&
-                          aNow - m_started < kStoreReadTime;
+                          aNow - m_startedAt < kStoreReadTime;
   if (readsStore) {
     return;
   }
@@ -102,22 +102,22 @@
 }
 
 void
-ControlPlane::PullFrom(const MemberPeer& aPeer, bool aMembers)
+ControlPlane::PullFrom(const MemberPeer& aPeer, bool aPullsMembers)
 {
   if (aPeer.m_address.m_bulkPort == 0) {
     return;
   }
   const PullRequest request{ m_settings.m_slot,
                              m_holder.GetVersion(),
-                             aMembers,
-                             aMembers ? m_membership.Digests()
-                                      : MemberDigests{} };
+                             aPullsMembers,
+                             aPullsMembers ? m_membership.Digests()
+                                           : MemberDigests{} };
   const std::size_t bytes =
     m_bulk.Pull(aPeer.m_address,
                 request,
                 kPullTimeout,
-                [this, aMembers](std::optional<PullAnswer> aAnswer) {
-                  if (aMembers && !aAnswer) {
+                [this, aPullsMembers](std::optional<PullAnswer> aAnswer) {
+                  if (aPullsMembers && !aAnswer) {
                     m_memberSync.Failed();
                   }
                   OnPulled(std::move(aAnswer));
@@ -144,7 +144,7 @@
   }
   // Permits must be known before the members whose versions they cover.
   m_rollouts.OnUpdate(aAnswer->m_rollouts);
-  m_gate.RequireVersion(
+  m_readinessGate.RequireVersion(
     std::max(aAnswer->m_head.m_version, aAnswer->m_minimumVersion));
   MembershipActions actions =
     m_membership.OnRecords(Clock::now(), aAnswer->m_members);
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -13,12 +13,10 @@
 
 namespace {
 
-constexpr auto kTick = std::chrono::milliseconds{ 100 };
+constexpr auto kTickInterval = std::chrono::milliseconds{ 100 };
 /// A tick that is late by more than this means that the process was paused.
 constexpr auto kPauseThreshold = std::chrono::milliseconds{ 1000 };
 constexpr int kFailureExitCode = 1;
-/// Interval of the log lines on store calls and on traffic between failure
-/// domains.
 constexpr auto kTrafficLogInterval = std::chrono::seconds{ 10 };
 /// Part of the grace time that remains when an unfinished drain is aborted.
 constexpr auto kKillMargin = std::chrono::milliseconds{ 400 };
@@ -75,7 +73,7 @@
 }
 
 Daemon::Daemon(Settings aSettings, std::string aFile)
-  : m_file(std::move(aFile))
+  : m_settingsPath(std::move(aFile))
   , m_settings(std::move(aSettings))
   , m_log(MakeLog(m_settings))
   , m_requestLog(m_log)
@@ -116,10 +114,10 @@
                   .m_calls = m_calls,
                   .m_metrics = m_metrics,
                   .m_traffic = m_traffic,
-                  .m_drain = [this] { StartDrain(); } })
-  , m_signals(m_loop, SIGTERM, SIGINT)
-  , m_reloads(m_loop, SIGHUP)
-  , m_tick(m_loop)
+                  .m_startDrain = [this] { StartDrain(); } })
+  , m_drainSignals(m_loop, SIGTERM, SIGINT)
+  , m_reloadSignals(m_loop, SIGHUP)
+  , m_tickTimer(m_loop)
   , m_spin(SpinSettings{ m_settings.m_calls.m_spin,
                          m_settings.m_calls.m_spinPercent })
 {
@@ -135,7 +133,7 @@
     m_log.Flush();
     return kFailureExitCode;
   }
-  m_signals.async_wait([this](const asio::error_code& aError, int) {
+  m_drainSignals.async_wait([this](const asio::error_code& aError, int) {
     if (!aError) {
       StartDrain();
     }
@@ -157,13 +155,13 @@
     opened = m_operators.Open();
   }
   if (opened && m_settings.m_platform.m_enabled) {
-    m_platform.emplace(PlatformEndpoints::Parts{
+    m_platform.emplace(PlatformEndpoints::Dependencies{
       .m_loop = m_loop,
       .m_settings = m_settings,
       .m_log = m_log,
       .m_metrics = m_metrics,
       .m_isReady = [this] { return m_control.IsReady() && !m_isDraining; },
-      .m_typicalSlots = [this] { return m_control.MinSlotsOfOwnService(); },
+      .m_minPeerSlots = [this] { return m_control.MinSlotsOfOwnService(); },
       .m_onWorker =
         [this](const WorkerPresence& aPresence) { OnWorker(aPresence); } });
     opened = m_platform->Open();
@@ -293,21 +291,18 @@
   if (m_isDraining) {
     ContinueDrain(now);
   }
-  m_tick.expires_after(kTick);
-  m_tick.async_wait([this](const asio::error_code& aError) {
+  m_tickTimer.expires_after(kTickInterval);
+  m_tickTimer.async_wait([this](const asio::error_code& aError) {
     if (!aError) {
       Tick();
     }
   });
 }
 
-// ---------------------------------------------------------------------------
-// Reload
-
 void
 Daemon::AwaitReload()
 {
-  m_reloads.async_wait([this](const asio::error_code& aError, int) {
+  m_reloadSignals.async_wait([this](const asio::error_code& aError, int) {
     if (!aError) {
       Reload();
       AwaitReload();
@@ -318,7 +313,7 @@
 void
 Daemon::Reload()
 {
-  auto settings = LoadSettings(m_file);
+  auto settings = LoadSettings(m_settingsPath);
   if (!settings) {
     for (const Error& each : settings.error()) {
       m_log.Error("daemon", "reload_refused", { { "detail", Describe(each) } });
@@ -337,9 +332,6 @@
   m_log.Info("daemon", "reloaded");
 }
 
-// ---------------------------------------------------------------------------
-// Drain
-
 void
 Daemon::ProbeWorkerWhenDue(TimePoint aNow)
 {
@@ -406,11 +398,11 @@
   const bool hasLingered =
     isIdle && aNow - m_idleSince >= m_settings.m_calls.m_linger;
   if (m_settings.m_platform.m_enabled) {
-    const DrainPhase step = DrainPhaseAt(aNow - m_drainStart);
-    if (!step.m_startsRuns) {
+    const DrainPhase phase = DrainPhaseAt(aNow - m_drainStart);
+    if (!phase.m_startsRuns) {
       DrainWorker();
     }
-    if (!m_hasStoppedAccepting && !step.m_acceptsRequests) {
+    if (!m_hasStoppedAccepting && !phase.m_acceptsRequests) {
       m_hasStoppedAccepting = true;
       m_calls.StopAcceptingRequests();
     }
--- a/src/daemon/drain_phase.cpp
+++ b/src/daemon/drain_phase.cpp
@@ -4,12 +4,10 @@
 
 namespace {
 
-/// Runs are started for this long; the time up to the end of kAcceptTime is
-/// left for them to finish.
+/// No run starts later; started runs have until kAcceptTime to finish.
 constexpr auto kRunStartTime = std::chrono::milliseconds{ 1500 };
-/// Requests are accepted for this long. The platform probes readiness once a
-/// second and redirects callers after two failed probes. A request accepted
-/// much later may not finish within the grace time.
+/// The platform probes readiness once a second and redirects callers after two
+/// failed probes. Requests accepted later may not finish in the grace time.
 constexpr auto kAcceptTime = std::chrono::milliseconds{ 2900 };
 
 }
--- a/src/daemon/operators_answers.hpp
+++ b/src/daemon/operators_answers.hpp
@@ -20,7 +20,6 @@
   return aJson.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/// \returns An error response with a machine-readable code and a description.
 inline HttpResponse
 ErrorResponse(std::uint16_t aStatus,
               std::string_view aCode,
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -75,10 +75,10 @@
 
 }
 
-OperatorsApi::OperatorsApi(Parts aParts)
-  : m_parts(std::move(aParts))
-  , m_http(m_parts.m_loop,
-           ServerSettings(m_parts.m_settings),
+OperatorsApi::OperatorsApi(Dependencies aDependencies)
+  : m_deps(std::move(aDependencies))
+  , m_http(m_deps.m_loop,
+           ServerSettings(m_deps.m_settings),
            [this](const HttpRequest& aRequest, HttpResponder aResponder) {
              OnHttp(aRequest, std::move(aResponder));
            })
@@ -88,7 +88,7 @@
 bool
 OperatorsApi::IsAuthorised(const HttpRequest& aRequest) const
 {
-  const std::string expected = "Bearer " + m_parts.m_settings.m_operatorToken;
+  const std::string expected = "Bearer " + m_deps.m_settings.m_operatorToken;
   const std::string_view given =
     HeaderValue(aRequest.m_headers, "authorization");
   return given.size() == expected.size() &&
@@ -129,7 +129,7 @@
     aResponder.Answer(StopRollout(aRequest));
   } else if (path == "/v1/drain") {
     aResponder.Answer(JsonResponse(202, R"({"draining":true})"));
-    m_parts.m_drain();
+    m_deps.m_startDrain();
   } else {
     aResponder.Answer(ErrorResponse(404, "not-found", path));
   }
@@ -167,7 +167,7 @@
   submission.m_author = QueryValue(aRequest.m_target, "author");
   submission.m_patch = std::move(patch.value());
   submission.m_at = WallNow();
-  m_parts.m_control.Decisions().Submit(
+  m_deps.m_control.Decisions().Submit(
     std::move(submission),
     [responder = std::move(aResponder)](const DecisionAnswer& aAnswer) mutable {
       responder.Answer(ResponseFor(aAnswer));
@@ -177,7 +177,7 @@
 void
 OperatorsApi::FindDecision(std::string aId, HttpResponder aResponder)
 {
-  m_parts.m_control.Decisions().FindDecision(
+  m_deps.m_control.Decisions().FindDecision(
     std::move(aId),
     [responder = std::move(aResponder)](const DecisionAnswer& aAnswer) mutable {
       HttpResponse response = ResponseFor(aAnswer);
@@ -193,7 +193,7 @@
 OperatorsApi::OnGet(const HttpRequest& aRequest, HttpResponder aResponder)
 {
   const std::string_view path = PathOf(aRequest.m_target);
-  ControlPlane& control = m_parts.m_control;
+  ControlPlane& control = m_deps.m_control;
   if (path.starts_with(kPatchPrefix)) {
     FindDecision(std::string{ path.substr(kPatchPrefix.size()) },
                  std::move(aResponder));
@@ -226,7 +226,7 @@
 HttpResponse
 OperatorsApi::VersionStatus(const HttpRequest& aRequest)
 {
-  ControlPlane& control = m_parts.m_control;
+  ControlPlane& control = m_deps.m_control;
   const auto refreshBelow =
     ParseNumber(QueryValue(aRequest.m_target, "refresh"));
   if (refreshBelow) {
@@ -251,7 +251,7 @@
   }
   bool complete = false;
   const auto entries =
-    m_parts.m_control.Holder().EntriesAfter(Version{ *after }, complete);
+    m_deps.m_control.Holder().EntriesAfter(Version{ *after }, complete);
   Json changes = Json::array();
   for (const VersionEntry& each : entries) {
     changes.push_back(
@@ -265,7 +265,7 @@
 HttpResponse
 OperatorsApi::Status() const
 {
-  ControlPlane& control = m_parts.m_control;
+  ControlPlane& control = m_deps.m_control;
   const MemberRecord& self = control.Members().Self();
   Json members = Json::array();
   control.Members().Members().Rows().Each(
@@ -276,7 +276,7 @@
                           { "state", static_cast<int>(aRow.m_record.m_state) },
                           { "version", aRow.m_version.m_number } });
     });
-  const RunTable& runs = m_parts.m_calls.Runs();
+  const RunTable& runs = m_deps.m_calls.Runs();
   return JsonResponse(
     200,
     Dump(Json{ { "slot", self.m_slot },
@@ -290,7 +290,7 @@
                { "store_behind", control.IsStoreBehind() },
                { "running", runs.Running() },
                { "queued", runs.Queued() },
-               { "in_flight", m_parts.m_calls.InFlight() },
+               { "in_flight", m_deps.m_calls.InFlight() },
                { "workspaces", WorkspaceStatus(control.GetWorkspaces()) },
                { "members", std::move(members) } }));
 }
@@ -298,7 +298,7 @@
 HttpResponse
 OperatorsApi::QuarantinedRequests() const
 {
-  const Quarantine& quarantine = m_parts.m_control.GetQuarantine().Table();
+  const Quarantine& quarantine = m_deps.m_control.GetQuarantine().Table();
   const TimePoint now = Clock::now();
   Json quarantined = Json::array();
   for (const QuarantineVerdict& each : quarantine.Verdicts(now)) {
@@ -332,7 +332,7 @@
     return ErrorResponse(
       400, "bad-content", "content: expected 32 hexadecimal digits");
   }
-  if (!m_parts.m_control.GetQuarantine().Lift(content.value())) {
+  if (!m_deps.m_control.GetQuarantine().Lift(content.value())) {
     return ErrorResponse(
       404, "not-held", "no request with this fingerprint is quarantined");
   }
@@ -342,8 +342,8 @@
 HttpResponse
 OperatorsApi::MetricsText()
 {
-  Metrics& metrics = m_parts.m_metrics;
-  const ControlPlane& control = m_parts.m_control;
+  Metrics& metrics = m_deps.m_metrics;
+  const ControlPlane& control = m_deps.m_control;
   const TrafficCounts& gossip = control.Gossip().Counts();
   const TrafficCounts& bulk = control.Bulk().Counts();
   const platform::StoreCounts& store = control.GetStore().Counts();
@@ -352,9 +352,9 @@
   metrics.SetBytes("bulk", "sent", bulk.m_bytesSent);
   metrics.SetBytes("bulk", "received", bulk.m_bytesReceived);
   metrics.SetBytes("store", "received", store.m_bytesIn);
-  m_parts.m_traffic.ForEach([&metrics](TrafficPurpose aPurpose,
-                                       bool aIsOtherDomain,
-                                       std::uint64_t aBytes) {
+  m_deps.m_traffic.ForEach([&metrics](TrafficPurpose aPurpose,
+                                      bool aIsOtherDomain,
+                                      std::uint64_t aBytes) {
     metrics.SetBytes(NameOf(aPurpose),
                      aIsOtherDomain ? "to another domain" : "within",
                      aBytes);
@@ -379,17 +379,17 @@
     "contents_held",
     "Requests that are not run, by content, as workers ended under them",
     static_cast<double>(
-      m_parts.m_control.GetQuarantine().Table().CountQuarantined()));
+      m_deps.m_control.GetQuarantine().Table().CountQuarantined()));
   metrics.SetGauge(
     "rollouts_open",
     "Versions on trial, neither completed nor rolled back",
-    static_cast<double>(m_parts.m_control.GetRollouts().Table().CountOpen()));
+    static_cast<double>(m_deps.m_control.GetRollouts().Table().CountOpen()));
   metrics.SetGauge("runs_running",
                    "Attempts running at the own worker",
-                   m_parts.m_calls.Runs().Running());
+                   m_deps.m_calls.Runs().Running());
   metrics.SetGauge("runs_queued",
                    "Attempts waiting for the own worker",
-                   m_parts.m_calls.Runs().Queued());
+                   m_deps.m_calls.Runs().Queued());
   metrics.SetGauge("malformed_messages",
                    "Messages dropped as garbage",
                    static_cast<double>(gossip.m_malformed + bulk.m_malformed));
--- a/src/daemon/operators_api_rollouts.cpp
+++ b/src/daemon/operators_api_rollouts.cpp
@@ -34,7 +34,7 @@
 HttpResponse
 OperatorsApi::Rollouts() const
 {
-  const RolloutTable& table = m_parts.m_control.GetRollouts().Table();
+  const RolloutTable& table = m_deps.m_control.GetRollouts().Table();
   Json all = Json::array();
   for (const RolloutRecord& each : table.All(Clock::now())) {
     all.push_back(ToJson(each));
@@ -60,7 +60,7 @@
       "bad-order",
       "expected a service, a target, and a duration_ms of 1 to 86400000");
   }
-  if (!m_parts.m_control.GetRollouts().Start(order)) {
+  if (!m_deps.m_control.GetRollouts().Start(order)) {
     return ErrorResponse(
       409,
       "order-known",
@@ -74,7 +74,7 @@
 OperatorsApi::StopRollout(const HttpRequest& aRequest)
 {
   const std::string service = QueryValue(aRequest.m_target, "service");
-  if (!m_parts.m_control.GetRollouts().Stop(service)) {
+  if (!m_deps.m_control.GetRollouts().Stop(service)) {
     return ErrorResponse(
       404, "not-under-way", "no roll-out of this service is in progress");
   }
--- a/src/daemon/platform_endpoints.cpp
+++ b/src/daemon/platform_endpoints.cpp
@@ -44,17 +44,17 @@
 
 }
 
-PlatformEndpoints::PlatformEndpoints(Parts aParts)
-  : m_parts(std::move(aParts))
-  , m_worker(m_parts.m_settings.m_platform.m_heartbeatPeriod)
+PlatformEndpoints::PlatformEndpoints(Dependencies aDependencies)
+  : m_deps(std::move(aDependencies))
+  , m_worker(m_deps.m_settings.m_platform.m_heartbeatPeriod)
   , m_rejectionLogBudget(kRejectionLogsPerSecond, kRejectionLogsBurst)
-  , m_readiness(m_parts.m_loop,
-                ServerAt(m_parts.m_settings.m_listen.m_readiness),
+  , m_readiness(m_deps.m_loop,
+                ServerAt(m_deps.m_settings.m_listen.m_readiness),
                 [this](const HttpRequest& aRequest, HttpResponder aResponder) {
                   OnReadiness(aRequest, std::move(aResponder));
                 })
-  , m_heartbeats(m_parts.m_loop,
-                 ServerAt(m_parts.m_settings.m_listen.m_heartbeats),
+  , m_heartbeats(m_deps.m_loop,
+                 ServerAt(m_deps.m_settings.m_listen.m_heartbeats),
                  [this](const HttpRequest& aRequest, HttpResponder aResponder) {
                    OnHeartbeat(aRequest, std::move(aResponder));
                  })
@@ -79,8 +79,8 @@
     aResponder.Answer({ 404 });
     return;
   }
-  aResponder.Answer(HttpResponse{ m_parts.m_isReady() ? std::uint16_t{ 200 }
-                                                      : std::uint16_t{ 503 } });
+  aResponder.Answer(HttpResponse{ m_deps.m_isReady() ? std::uint16_t{ 200 }
+                                                     : std::uint16_t{ 503 } });
 }
 
 void
@@ -108,9 +108,9 @@
 PlatformEndpoints::RejectReport(std::string_view aEvent,
                                 std::string_view aDetail)
 {
-  m_parts.m_metrics.CountRejectedReport(aEvent);
+  m_deps.m_metrics.CountRejectedReport(aEvent);
   if (m_rejectionLogBudget.Take(Clock::now())) {
-    m_parts.m_log.Warning(
+    m_deps.m_log.Warning(
       "worker",
       aEvent,
       { { "detail", aDetail },
@@ -123,8 +123,8 @@
 {
   WorkerReport report;
   report.m_start.m_id = std::move(aId);
-  report.m_service = m_parts.m_settings.m_service;
-  report.m_slots = m_parts.m_typicalSlots().value_or(kDefaultSlots);
+  report.m_service = m_deps.m_settings.m_service;
+  report.m_slots = m_deps.m_minPeerSlots().value_or(kDefaultSlots);
   PublishChange(m_worker.OnProbed(Clock::now(), std::move(report)));
 }
 
@@ -135,7 +135,7 @@
     return;
   }
   const WorkerReport& worker = *m_worker.Current();
-  m_parts.m_log.Info(
+  m_deps.m_log.Info(
     "worker",
     "worker_changed",
     { { "change", NameOf(aChange) },
@@ -147,15 +147,15 @@
           : 0 },
       { "slots", std::uint64_t{ worker.m_slots } },
       { "sequence", worker.m_sequence } });
-  m_parts.m_onWorker(m_worker);
+  m_deps.m_onWorker(m_worker);
 }
 
 WorkerPresence::Change
 PlatformEndpoints::ApplyReport(const WorkerReport& aReport)
 {
-  const HostPort& own = m_parts.m_settings.m_worker;
+  const HostPort& own = m_deps.m_settings.m_worker;
   const bool isOwn =
-    aReport.m_service == m_parts.m_settings.m_service &&
+    aReport.m_service == m_deps.m_settings.m_service &&
     aReport.m_address == own.m_host + ":" + std::to_string(own.m_port);
   if (!isOwn) {
     RejectReport("heartbeat_of_another",
--- a/src/daemon/quarantine_service.cpp
+++ b/src/daemon/quarantine_service.cpp
@@ -15,8 +15,8 @@
 
 }
 
-QuarantineService::QuarantineService(Parts aParts)
-  : m_parts(std::move(aParts))
+QuarantineService::QuarantineService(Dependencies aDependencies)
+  : m_deps(std::move(aDependencies))
 {
 }
 
@@ -46,10 +46,11 @@
 }
 
 void
-QuarantineService::OnSuccess(Fingerprint aContent)
+QuarantineService::OnSuccess(Fingerprint aFingerprint)
 {
   const TimePoint now = Clock::now();
-  ApplyChanges(now, m_quarantine.OnSuccess(now, aContent), Scope::AllDomains);
+  ApplyChanges(
+    now, m_quarantine.OnSuccess(now, aFingerprint), Scope::AllDomains);
 }
 
 void
@@ -62,7 +63,7 @@
 void
 QuarantineService::OnStoreRestored()
 {
-  if (!m_parts.m_isBackupWriter()) {
+  if (!m_deps.m_isBackupWriter()) {
     return;
   }
   const TimePoint now = Clock::now();
@@ -75,10 +76,10 @@
 }
 
 bool
-QuarantineService::Lift(Fingerprint aContent)
+QuarantineService::Lift(Fingerprint aFingerprint)
 {
   const TimePoint now = Clock::now();
-  const auto changes = m_quarantine.Lift(now, aContent);
+  const auto changes = m_quarantine.Lift(now, aFingerprint);
   if (changes) {
     ApplyChanges(now, *changes, Scope::AllDomains);
   }
@@ -104,12 +105,12 @@
       }
     } else if (isOwn) {
       m_writer.Hold(each, aNow, false);
-    } else if (m_parts.m_isBackupWriter()) {
+    } else if (m_deps.m_isBackupWriter()) {
       m_writer.Hold(each, aNow + kBackupWriteDelay, true);
     }
   }
   if (!aChanges.m_update.IsEmpty()) {
-    m_parts.m_publish(aChanges.m_update, aScope);
+    m_deps.m_publish(aChanges.m_update, aScope);
   }
   if (!aChanges.m_verdicts.empty()) {
     Write(m_writer.OnTick(aNow));
@@ -122,7 +123,7 @@
 {
   using std::chrono::duration_cast;
   using std::chrono::milliseconds;
-  m_parts.m_log.Warning(
+  m_deps.m_log.Warning(
     kComponent,
     aVerdict.m_isQuarantined ? "content_held" : "content_lifted",
     { { "content", ToHex(aVerdict.m_content) },
@@ -134,19 +135,15 @@
       { "decided", aScope == Scope::AllDomains ? "here" : "elsewhere" } });
 }
 
-// ---------------------------------------------------------------------------
-// Store
-
 void
 QuarantineService::Read(bool aAllowStale)
 {
   m_isReading = true;
   const std::string prefix{ kVerdictPrefix };
-  m_parts.m_store.Execute(aAllowStale ? MakeStaleList(prefix)
-                                      : MakeList(prefix),
-                          [this, aAllowStale](const StoreReply& aReply) {
-                            OnRead(aReply, aAllowStale);
-                          });
+  m_deps.m_store.Execute(aAllowStale ? MakeStaleList(prefix) : MakeList(prefix),
+                         [this, aAllowStale](const StoreReply& aReply) {
+                           OnRead(aReply, aAllowStale);
+                         });
 }
 
 void
@@ -155,8 +152,7 @@
   m_isReading = false;
   if (aReply.m_status != StoreReply::Status::Ok) {
     // Peers also send verdicts, and domain relays read again on a later tick.
-    m_parts.m_log.Info(
-      kComponent, "store_not_read", { { "old", aAllowStale } });
+    m_deps.m_log.Info(kComponent, "store_not_read", { { "old", aAllowStale } });
     return;
   }
   m_hasRead = m_hasRead || !aAllowStale;
@@ -166,7 +162,7 @@
     if (verdict) {
       update.m_verdicts.push_back(verdict.value());
     } else {
-      m_parts.m_log.Warning(
+      m_deps.m_log.Warning(
         kComponent,
         "entry_not_read",
         { { "key", each.m_key }, { "detail", verdict.error().m_message } });
@@ -181,10 +177,10 @@
   if (!aRequest) {
     return;
   }
-  m_parts.m_store.Execute(std::move(*aRequest),
-                          [this](const StoreReply& aReply) {
-                            Write(m_writer.OnReply(Clock::now(), aReply));
-                          });
+  m_deps.m_store.Execute(std::move(*aRequest),
+                         [this](const StoreReply& aReply) {
+                           Write(m_writer.OnReply(Clock::now(), aReply));
+                         });
 }
 
 }
--- a/src/daemon/rollout_service.cpp
+++ b/src/daemon/rollout_service.cpp
@@ -11,13 +11,11 @@
 constexpr std::string_view kComponent = "rollout";
 /// Shortest time between two reads of an unreachable store.
 constexpr std::chrono::milliseconds kReadInterval{ 1000 };
-/// Interval between reports of counts to the leader.
 constexpr std::chrono::milliseconds kCountsInterval{ 300 };
 /// Delay before this daemon writes in place of the leader, which writes first
 /// unless it has failed or cannot reach the store.
 constexpr std::chrono::milliseconds kBackupWriteDelay{ 700 };
 
-/// \returns The status to be stored for a record.
 RolloutStatus
 StatusOf(const RolloutRecord& aRecord)
 {
@@ -29,15 +27,15 @@
 }
 
 std::int64_t
-Millis(Duration aSpan)
+ToMilliseconds(Duration aSpan)
 {
   return std::chrono::duration_cast<std::chrono::milliseconds>(aSpan).count();
 }
 
 }
 
-RolloutService::RolloutService(Parts aParts)
-  : m_parts(std::move(aParts))
+RolloutService::RolloutService(Dependencies aDependencies)
+  : m_deps(std::move(aDependencies))
 {
 }
 
@@ -80,7 +78,7 @@
     LogChange(record, aScope);
     ScheduleStatus(aNow, record, aScope);
   }
-  m_parts.m_publish({ record }, aScope, aChange);
+  m_deps.m_publish({ record }, aScope, aChange);
 }
 
 void
@@ -93,25 +91,22 @@
     m_writer.Drop(service);
     return;
   }
-  const bool isOwn = aScope == Scope::AllDomains && m_parts.m_isLeader();
+  const bool isOwn = aScope == Scope::AllDomains && m_deps.m_isLeader();
   const bool isWriter = isOwn || (aRecord.m_state != RolloutState::Running &&
-                                  m_parts.m_isBackupWriter());
+                                  m_deps.m_isBackupWriter());
   if (!isWriter || aRecord.m_isFromStore) {
     return;
   }
   m_writer.Want(StatusOf(aRecord), isOwn ? aNow : aNow + kBackupWriteDelay);
 }
 
-// ---------------------------------------------------------------------------
-// Leading
-
 void
 RolloutService::LeadRollouts(TimePoint aNow)
 {
   const std::vector<RolloutRecord> all = m_table.All(aNow);
   const bool isOpen = std::ranges::any_of(
     all, [](const RolloutRecord& aRecord) { return !aRecord.m_isWritten; });
-  if (!isOpen || !m_parts.m_isLeader()) {
+  if (!isOpen || !m_deps.m_isLeader()) {
     m_leaders.clear();
     return;
   }
@@ -135,21 +130,21 @@
   if (leader == m_leaders.end()) {
     leader =
       m_leaders
-        .emplace(service, RolloutLeader{ aNow, target, m_parts.m_limits() })
+        .emplace(service, RolloutLeader{ aNow, target, m_deps.m_limits() })
         .first;
-    m_parts.m_log.Info(kComponent,
-                       "leads",
-                       { { "service", service },
-                         { "target", target },
-                         { "age_ms", Millis(aRecord.m_age) },
-                         { "step", aRecord.m_step } });
+    m_deps.m_log.Info(kComponent,
+                      "leads",
+                      { { "service", service },
+                        { "target", target },
+                        { "age_ms", ToMilliseconds(aRecord.m_age) },
+                        { "step", aRecord.m_step } });
     // The first leader writes the running state; an existing status is kept.
     if (aRecord.m_state == RolloutState::Running && !aRecord.m_isFromStore) {
       m_writer.Want({ service, target, RolloutState::Running }, aNow);
     }
   }
   const auto decision =
-    leader->second.OnTick(aNow, aRecord, m_parts.m_workers(aRecord));
+    leader->second.OnTick(aNow, aRecord, m_deps.m_workers(aRecord));
   if (!decision) {
     return;
   }
@@ -165,7 +160,7 @@
 {
   const TimePoint now = Clock::now();
   const Change change =
-    m_table.OnOrder(now, aOrder, m_parts.m_mostCommonVersion(aOrder.m_service));
+    m_table.OnOrder(now, aOrder, m_deps.m_mostCommonVersion(aOrder.m_service));
   ApplyChange(now, aOrder.m_service, change, Scope::AllDomains);
   return change == Change::State;
 }
@@ -191,8 +186,8 @@
   m_hasRead = false;
   m_writer.OnStoreRestored();
   const TimePoint now = Clock::now();
-  const bool isLeader = m_parts.m_isLeader();
-  if (!isLeader && !m_parts.m_isBackupWriter()) {
+  const bool isLeader = m_deps.m_isLeader();
+  if (!isLeader && !m_deps.m_isBackupWriter()) {
     return;
   }
   for (const RolloutRecord& each : m_table.All(now)) {
@@ -216,32 +211,29 @@
     return;
   }
   m_nextCounts = aNow + kCountsInterval;
-  WorkerCounts counts = m_parts.m_workerCounts();
+  WorkerCounts counts = m_deps.m_workerCounts();
   const auto record = m_table.Find(aNow, counts.m_service);
   if (!record || IsFinal(record->m_state) || counts.m_version.empty()) {
     return;
   }
   if (m_countedTarget != record->m_order.m_target) {
     m_countedTarget = record->m_order.m_target;
-    m_parts.m_resetWorkerCounts();
+    m_deps.m_resetWorkerCounts();
     return;
   }
-  if (m_parts.m_isLeader()) {
+  if (m_deps.m_isLeader()) {
     OnCounts(counts);
   } else {
-    m_parts.m_sendCounts(std::move(counts));
+    m_deps.m_sendCounts(std::move(counts));
   }
 }
 
-// ---------------------------------------------------------------------------
-// Store
-
 void
 RolloutService::ApplyOrder(const StoreItem& aItem, bool aIsInProgress)
 {
   const auto order = platform::ParseRolloutOrder(aItem.m_key, aItem.m_value);
   if (!order) {
-    m_parts.m_log.Warning(
+    m_deps.m_log.Warning(
       kComponent,
       "order_not_read",
       { { "key", aItem.m_key }, { "detail", order.error().m_message } });
@@ -250,7 +242,7 @@
   const TimePoint now = Clock::now();
   const std::string& service = order.value().m_service;
   const Change change = m_table.OnOrder(
-    now, order.value(), m_parts.m_mostCommonVersion(service), aIsInProgress);
+    now, order.value(), m_deps.m_mostCommonVersion(service), aIsInProgress);
   ApplyChange(
     now, service, change, aIsInProgress ? Scope::OwnDomain : Scope::AllDomains);
 }
@@ -269,7 +261,7 @@
 RolloutService::Read()
 {
   m_isReading = true;
-  m_parts.m_store.Execute(
+  m_deps.m_store.Execute(
     MakeList(std::string{ platform::kRolloutOrders }),
     [this](const StoreReply& aReply) { OnOrdersRead(aReply); });
 }
@@ -277,13 +269,13 @@
 void
 RolloutService::OnOrdersRead(const StoreReply& aReply)
 {
-  const bool ok = aReply.m_status == StoreReply::Status::Ok;
-  if (!ok || aReply.m_items.empty()) {
+  const bool isOk = aReply.m_status == StoreReply::Status::Ok;
+  if (!isOk || aReply.m_items.empty()) {
     m_isReading = false;
-    m_hasRead = ok;
+    m_hasRead = isOk;
     return;
   }
-  m_parts.m_store.Execute(
+  m_deps.m_store.Execute(
     MakeList(std::string{ platform::kRolloutStatuses }),
     [this, orders = aReply.m_items](const StoreReply& aStatuses) {
       OnStatusesRead(orders, aStatuses);
@@ -305,7 +297,7 @@
     if (status) {
       statuses.push_back(status.value());
     } else {
-      m_parts.m_log.Warning(
+      m_deps.m_log.Warning(
         kComponent,
         "status_not_read",
         { { "key", each.m_key }, { "detail", status.error().m_message } });
@@ -334,25 +326,25 @@
   if (!aRequest) {
     return;
   }
-  m_parts.m_store.Execute(std::move(*aRequest),
-                          [this](const StoreReply& aReply) {
-                            auto step = m_writer.OnReply(Clock::now(), aReply);
-                            if (step.m_written) {
-                              OnWritten(*step.m_written);
-                            }
-                            Write(std::move(step.m_next));
-                          });
+  m_deps.m_store.Execute(std::move(*aRequest),
+                         [this](const StoreReply& aReply) {
+                           auto step = m_writer.OnReply(Clock::now(), aReply);
+                           if (step.m_written) {
+                             OnWritten(*step.m_written);
+                           }
+                           Write(std::move(step.m_next));
+                         });
 }
 
 void
 RolloutService::OnWritten(const RolloutStatus& aStatus)
 {
   const TimePoint now = Clock::now();
-  m_parts.m_log.Info(kComponent,
-                     "status_written",
-                     { { "service", aStatus.m_service },
-                       { "target", aStatus.m_target },
-                       { "state", NameOf(aStatus.m_state) } });
+  m_deps.m_log.Info(kComponent,
+                    "status_written",
+                    { { "service", aStatus.m_service },
+                      { "target", aStatus.m_target },
+                      { "state", NameOf(aStatus.m_state) } });
   ApplyChange(
     now,
     aStatus.m_service,
@@ -360,15 +352,12 @@
     Scope::AllDomains);
 }
 
-// ---------------------------------------------------------------------------
-// Log
-
 void
 RolloutService::LogStep(const RolloutLeader::Lead& aDecision) const
 {
   const RolloutRecord& record = aDecision.m_record;
   const CanaryAnalyzer::Judgement& judged = aDecision.m_judgement;
-  m_parts.m_log.Warning(
+  m_deps.m_log.Warning(
     kComponent,
     "step",
     { { "service", record.m_order.m_service },
@@ -377,7 +366,7 @@
       { "cause", NameOf(record.m_cause) },
       { "permille", std::uint64_t{ record.m_permit.m_permille } },
       { "workers", std::uint64_t{ record.m_permit.m_workers } },
-      { "age_ms", Millis(record.m_age) },
+      { "age_ms", ToMilliseconds(record.m_age) },
       { "verdict", static_cast<std::int64_t>(judged.m_verdict) },
       { "route", judged.m_route },
       { "runs", judged.m_runs },
@@ -391,7 +380,7 @@
 void
 RolloutService::LogChange(const RolloutRecord& aRecord, Scope aScope) const
 {
-  m_parts.m_log.Info(
+  m_deps.m_log.Info(
     kComponent,
     "state",
     { { "service", aRecord.m_order.m_service },
@@ -401,7 +390,7 @@
       { "cause", NameOf(aRecord.m_cause) },
       { "written", aRecord.m_isWritten },
       { "generation", aRecord.m_generation },
-      { "age_ms", Millis(aRecord.m_age) },
+      { "age_ms", ToMilliseconds(aRecord.m_age) },
       { "decided", aScope == Scope::AllDomains ? "here" : "elsewhere" } });
 }
 
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -11,8 +11,8 @@
 
 /// How long answers of non-idempotent calls are kept.
 constexpr auto kAnswerRetention = std::chrono::seconds{ 5 };
-/// Retry time of a request that may not run beside another suspect one; long
-/// enough for that run to crash the worker or succeed.
+/// Retry time of a suspect request while another one runs; long enough for that
+/// run to crash the worker or succeed.
 constexpr auto kSuspectRetryAfter = std::chrono::milliseconds{ 100 };
 constexpr std::size_t kMaxKeptBytes = 2UL * 1024 * 1024;
 /// Longest idle time of a connection before it is reused. A non-idempotent call
@@ -48,13 +48,13 @@
 
 }
 
-RunService::RunService(Parts aParts)
-  : m_parts(std::move(aParts))
-  , m_random(m_parts.m_seed)
-  , m_runs(m_parts.m_settings.m_runs)
-  , m_client(m_parts.m_loop, ClientSettings(m_parts.m_settings))
-  , m_hasWorker(!m_parts.m_settings.m_platform.m_enabled)
-  , m_timer(m_parts.m_loop)
+RunService::RunService(Dependencies aDependencies)
+  : m_deps(std::move(aDependencies))
+  , m_random(m_deps.m_seed)
+  , m_runs(m_deps.m_settings.m_runs)
+  , m_client(m_deps.m_loop, ClientSettings(m_deps.m_settings))
+  , m_hasWorker(!m_deps.m_settings.m_platform.m_enabled)
+  , m_timer(m_deps.m_loop)
 {
 }
 
@@ -62,9 +62,8 @@
 RunService::OnRequest(CallKey aKey, std::uint64_t aEpoch, CallRequest aRequest)
 {
   const TimePoint now = Clock::now();
-  if (aRequest.m_service != m_parts.m_settings.m_service) {
-    // Meant for the instance that used this address before; the local worker
-    // would run the request although it is for another service.
+  if (aRequest.m_service != m_deps.m_settings.m_service) {
+    // The request is meant for the instance that used this address before.
     Deliver(
       aKey,
       aRequest,
@@ -77,9 +76,9 @@
             Refuse(aKey.m_call, CallOutcome::NotRun, RefusalReason::NoWorker));
     return;
   }
-  if (aRequest.m_isRetry && !m_parts.m_mayRunRetry(now)) {
+  if (aRequest.m_isRetry && !m_deps.m_mayRunRetry(now)) {
     const auto reason = RefusalReason::RetryBudgetExhausted;
-    m_parts.m_metrics.CountRun(NameOf(reason));
+    m_deps.m_metrics.CountRun(NameOf(reason));
     Deliver(aKey, aRequest, Refuse(aKey.m_call, CallOutcome::NotRun, reason));
     return;
   }
@@ -88,7 +87,7 @@
     return;
   }
   m_runCounter.Arrived();
-  const Fingerprint fingerprint = CallFingerprint(m_parts.m_dialect, aRequest);
+  const Fingerprint fingerprint = CallFingerprint(m_deps.m_dialect, aRequest);
   if (const auto refusal = CheckRefusal(now, fingerprint)) {
     RefuseRun(now, aKey, aRequest, fingerprint, *refusal);
     return;
@@ -99,14 +98,14 @@
   if (admission.m_kind == Admission::Kind::Refused) {
     if (admission.m_reason != RefusalReason::Busy) {
       // Busy is frequent and harmless: the caller's daemon selects another
-      // worker, so it is not logged.
-      m_parts.m_requestLog.OnRunRefused(now,
-                                        RequestIdOf(aRequest),
-                                        admission.m_reason,
-                                        aRequest.m_timeLeft,
-                                        WorkerStateFor(aRequest));
+      // worker.
+      m_deps.m_requestLog.OnRunRefused(now,
+                                       RequestIdOf(aRequest),
+                                       admission.m_reason,
+                                       aRequest.m_timeLeft,
+                                       WorkerStateFor(aRequest));
     }
-    m_parts.m_metrics.CountRun(NameOf(admission.m_reason));
+    m_deps.m_metrics.CountRun(NameOf(admission.m_reason));
     Deliver(aKey,
             aRequest,
             Refuse(aKey.m_call,
@@ -145,7 +144,7 @@
     std::chrono::duration_cast<std::chrono::milliseconds>(run.m_deadline - now);
   run.m_startedAt = now;
   m_retriedRuns.Record(now, call.m_isRetry);
-  run.m_wallStart = WallNanos();
+  run.m_spanStart = WallNanos();
   run.m_parent =
     ParseTraceparent(HeaderValue(call.m_headers, kTraceparentHeader));
   run.m_span = NewSpan(run.m_parent, false, m_random);
@@ -153,15 +152,15 @@
   request.m_method = call.m_method;
   request.m_target = call.m_target;
   request.m_headers =
-    HeadersToWorker(m_parts.m_dialect,
+    HeadersToWorker(m_deps.m_dialect,
                     call,
                     std::max(left, std::chrono::milliseconds{ 1 }),
                     run.m_span,
                     m_incarnation.m_id);
   request.m_body = call.m_body;
-  request.m_echoHeader = m_parts.m_dialect.m_requestId;
+  request.m_echoHeader = m_deps.m_dialect.m_requestId;
   request.m_echoValue =
-    HeaderValue(call.m_headers, m_parts.m_dialect.m_requestId);
+    HeaderValue(call.m_headers, m_deps.m_dialect.m_requestId);
   request.m_deadline = run.m_deadline + kDeadlineGrace;
   request.m_maxIdle = call.m_idempotent ? kMaxIdle : kMaxIdleNonIdempotent;
   run.m_ticket =
@@ -173,11 +172,10 @@
 std::optional<RunService::Refusal>
 RunService::CheckRefusal(TimePoint aNow, Fingerprint aFingerprint) const
 {
-  if (!m_parts.m_rollouts.MayRun(
-        aNow, m_parts.m_settings.m_service, m_version)) {
+  if (!m_deps.m_rollouts.MayRun(aNow, m_deps.m_settings.m_service, m_version)) {
     return Refusal{ RefusalReason::NotInService, {} };
   }
-  const Quarantine& quarantine = m_parts.m_quarantine;
+  const Quarantine& quarantine = m_deps.m_quarantine;
   if (const auto left = quarantine.QuarantineTimeLeft(aNow, aFingerprint)) {
     return Refusal{ RefusalReason::Held, *left };
   }
@@ -188,8 +186,8 @@
       return run.m_ticket != 0 && quarantine.IsSuspect(run.m_fingerprint);
     });
   if (runsBesideSuspect) {
-    // Held makes the caller retry later instead of at another worker, where the
-    // request could run beside a suspect one as well.
+    // RefusalReason::Held prevents a retry at another worker, where another
+    // suspect request may run.
     return Refusal{ RefusalReason::Held, kSuspectRetryAfter };
   }
   return std::nullopt;
@@ -203,15 +201,15 @@
                       const Refusal& aRefusal)
 {
   if (aRefusal.m_reason == RefusalReason::Held) {
-    m_parts.m_requestLog.OnQuarantined(
+    m_deps.m_requestLog.OnQuarantined(
       aNow, RequestIdOf(aRequest), aFingerprint, aRefusal.m_retryAfter);
   }
-  m_parts.m_requestLog.OnRunRefused(aNow,
-                                    RequestIdOf(aRequest),
-                                    aRefusal.m_reason,
-                                    aRequest.m_timeLeft,
-                                    WorkerStateFor(aRequest));
-  m_parts.m_metrics.CountRun(NameOf(aRefusal.m_reason));
+  m_deps.m_requestLog.OnRunRefused(aNow,
+                                   RequestIdOf(aRequest),
+                                   aRefusal.m_reason,
+                                   aRequest.m_timeLeft,
+                                   WorkerStateFor(aRequest));
+  m_deps.m_metrics.CountRun(NameOf(aRefusal.m_reason));
   Deliver(aKey,
           aRequest,
           Refuse(aKey.m_call,
@@ -230,16 +228,16 @@
       aKey.m_call, CallOutcome::NotRun, RefusalReason::WorkerReplaced);
   }
   const bool isMarkedNotExecuted =
-    !m_parts.m_dialect.m_notExecuted.empty() &&
-    !HeaderValue(headers, m_parts.m_dialect.m_notExecuted).empty();
+    !m_deps.m_dialect.m_notExecuted.empty() &&
+    !HeaderValue(headers, m_deps.m_dialect.m_notExecuted).empty();
   if (isMarkedNotExecuted) {
     return Refuse(
       aKey.m_call, CallOutcome::NotRun, RefusalReason::WorkerRefused);
   }
   // A success without the signature header was not sent by the worker.
-  const bool isUnsigned =
-    IsSuccess(aResponse.m_status) && !m_parts.m_dialect.m_seal.empty() &&
-    HeaderValue(headers, m_parts.m_dialect.m_seal).empty();
+  const bool isUnsigned = IsSuccess(aResponse.m_status) &&
+                          !m_deps.m_dialect.m_seal.empty() &&
+                          HeaderValue(headers, m_deps.m_dialect.m_seal).empty();
   if (isUnsigned) {
     return Refuse(aKey.m_call, CallOutcome::Unknown, RefusalReason::AnswerLost);
   }
@@ -283,8 +281,8 @@
       m_crashDetector.OnAlive();
     }
     if (aResult.m_closed) {
-      // Answered after the check, so that the caller's daemon learns of a crash
-      // before it retries at another worker.
+      // The answer follows the check, so that a crash is published before the
+      // caller's daemon retries at another worker.
       CheckWorkerAfterLoss(aKey);
     } else {
       FinishRun(aKey, AnswerFrom(aKey, std::move(aResult)));
@@ -299,21 +297,21 @@
   const auto found = m_activeRuns.find(aKey);
   const ActiveRun run = std::move(found->second);
   m_activeRuns.erase(found);
-  m_parts.m_metrics.CountRun(NameOf(aAnswer.m_outcome));
+  m_deps.m_metrics.CountRun(NameOf(aAnswer.m_outcome));
   RecordSpan(run, aAnswer);
   CountResult(run, aAnswer);
   if (aAnswer.m_outcome != CallOutcome::Answered) {
     const TimePoint now = Clock::now();
-    m_parts.m_requestLog.OnRunLost(now,
-                                   RequestIdOf(run.m_request),
-                                   run.m_fingerprint,
-                                   aAnswer.m_reason,
-                                   now - run.m_startedAt,
-                                   WorkerStateFor(run.m_request));
+    m_deps.m_requestLog.OnRunLost(now,
+                                  RequestIdOf(run.m_request),
+                                  run.m_fingerprint,
+                                  aAnswer.m_reason,
+                                  now - run.m_startedAt,
+                                  WorkerStateFor(run.m_request));
   } else if (aAnswer.m_response.m_status < kFirstServerError) {
     // Server errors do not count: the run may have stopped before the point of
     // a crash.
-    m_parts.m_onSuccess(run.m_fingerprint);
+    m_deps.m_onSuccess(run.m_fingerprint);
   }
   if (aAnswer.m_outcome == CallOutcome::Answered) {
     m_answerSizes.Record(run.m_request.m_kind,
@@ -353,21 +351,21 @@
     duration_cast<microseconds>(m_runs.ServiceTime(Clock::now(), kind));
   aAnswer.m_wait = duration_cast<microseconds>(
     m_runs.WaitOf(Clock::now(), aRequest.m_priority, kind));
-  m_parts.m_deliver(aKey, std::move(aAnswer));
+  m_deps.m_deliver(aKey, std::move(aAnswer));
 }
 
 void
 RunService::Execute(const RunActions& aActions)
 {
   for (const RefusedRun& each : aActions.m_refused) {
-    m_parts.m_metrics.CountRun(NameOf(each.m_reason));
+    m_deps.m_metrics.CountRun(NameOf(each.m_reason));
     const auto run = m_activeRuns.find(each.m_key);
     if (run == m_activeRuns.end()) {
       continue;
     }
     const CallRequest request = std::move(run->second.m_request);
     const TimePoint now = Clock::now();
-    m_parts.m_requestLog.OnRunRefused(
+    m_deps.m_requestLog.OnRunRefused(
       now,
       RequestIdOf(request),
       each.m_reason,
@@ -401,7 +399,7 @@
     // A non-idempotent run continues: if it were aborted, a later cancellation
     // could not return its answer.
     if (run != m_activeRuns.end() && run->second.m_request.m_idempotent) {
-      m_parts.m_requestLog.OnRunCancelled(
+      m_deps.m_requestLog.OnRunCancelled(
         Clock::now(), RequestIdOf(run->second.m_request), true);
       // Closes the connection, which cancels the request at the worker.
       m_client.Abandon(run->second.m_ticket);
@@ -412,7 +410,7 @@
   if (result == CancelResult::Finished && !aAbandon) {
     for (const KeptAnswer& each : m_keptAnswers) {
       if (each.m_key == aKey) {
-        m_parts.m_deliver(aKey, each.m_answer);
+        m_deps.m_deliver(aKey, each.m_answer);
         return CancelResult::Running;
       }
     }
@@ -435,7 +433,7 @@
 std::string_view
 RunService::RequestIdOf(const CallRequest& aRequest) const
 {
-  return HeaderValue(aRequest.m_headers, m_parts.m_dialect.m_requestId);
+  return HeaderValue(aRequest.m_headers, m_deps.m_dialect.m_requestId);
 }
 
 RequestLog::WorkerState
@@ -461,13 +459,13 @@
   span.m_parent = aRun.m_parent ? aRun.m_parent->m_span : 0;
   span.m_kind = Span::Kind::Client;
   span.m_name = aRun.m_request.m_method;
-  span.m_service = m_parts.m_settings.m_service;
-  span.m_slot = m_parts.m_settings.m_slot;
-  span.m_start = aRun.m_wallStart;
+  span.m_service = m_deps.m_settings.m_service;
+  span.m_slot = m_deps.m_settings.m_slot;
+  span.m_start = aRun.m_spanStart;
   span.m_end = WallNanos();
   span.m_outcome = std::string{ NameOf(aAnswer.m_outcome) };
   span.m_status = aAnswer.m_response.m_status;
-  m_parts.m_trace(std::move(span));
+  m_deps.m_trace(std::move(span));
 }
 
 void
--- a/src/daemon/run_service_link.cpp
+++ b/src/daemon/run_service_link.cpp
@@ -11,14 +11,14 @@
   for (const auto& [key, run] : m_activeRuns) {
     bytes += m_answerSizes.Of(run.m_request.m_kind);
   }
-  return m_parts.m_pacer->Backlog(aNow) +
-         m_parts.m_pacer->TransmissionTime(bytes);
+  return m_deps.m_pacer->Backlog(aNow) +
+         m_deps.m_pacer->TransmissionTime(bytes);
 }
 
 bool
 RunService::IsLinkTooBusy(TimePoint aNow, const CallRequest& aRequest) const
 {
-  if (m_parts.m_pacer == nullptr ||
+  if (m_deps.m_pacer == nullptr ||
       m_answerSizes.Of(aRequest.m_kind) <= LinkPacer::kPartBytes) {
     return false;
   }
@@ -36,12 +36,12 @@
   // By then half of the data before the answer has been sent.
   const auto retryAfter = std::chrono::ceil<std::chrono::milliseconds>(
     AnswerSendTime(aNow, aRequest.m_kind) / 2);
-  m_parts.m_requestLog.OnRunRefused(aNow,
-                                    RequestIdOf(aRequest),
-                                    reason,
-                                    aRequest.m_timeLeft,
-                                    WorkerStateFor(aRequest));
-  m_parts.m_metrics.CountRun(NameOf(reason));
+  m_deps.m_requestLog.OnRunRefused(aNow,
+                                   RequestIdOf(aRequest),
+                                   reason,
+                                   aRequest.m_timeLeft,
+                                   WorkerStateFor(aRequest));
+  m_deps.m_metrics.CountRun(NameOf(reason));
   Deliver(aKey,
           aRequest,
           Refuse(aKey.m_call, CallOutcome::NotRun, reason, retryAfter));
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -10,8 +10,7 @@
 
 namespace {
 
-/// Limit of queued calls per slot of the worker.
-constexpr std::uint32_t kQueuePerSlot = 4;
+constexpr std::uint32_t kMaxQueuedPerSlot = 4;
 constexpr auto kProbeTimeout = std::chrono::milliseconds{ 1000 };
 /// Time for answers of the previous incarnation that are still in transit on
 /// this machine.
@@ -40,8 +39,8 @@
   if (!m_crashDetector.OnConnectionLost(lost)) {
     return;
   }
-  CheckListening(m_parts.m_loop,
-                 WorkerAddress(m_parts.m_settings),
+  CheckListening(m_deps.m_loop,
+                 WorkerAddress(m_deps.m_settings),
                  kListenCheckTimeout,
                  [this](ListenStatus aResult) {
                    OnListenCheck(aResult == ListenStatus::No);
@@ -53,19 +52,19 @@
 {
   auto end = m_crashDetector.OnProbed(aIsPortClosed);
   if (end) {
-    m_parts.m_requestLog.OnWorkerExit(
+    m_deps.m_requestLog.OnWorkerExit(
       m_incarnation.m_id, m_runs.IsDraining(), *end);
-    m_parts.m_metrics.CountWorkerCrash();
+    m_deps.m_metrics.CountWorkerCrash();
   }
   // A draining worker exits on its own.
   const bool isCrash = end && !m_runs.IsDraining();
   if (isCrash) {
     const std::string name = fmt::format(
-      "{}/{}/{}", m_parts.m_settings.m_slot, m_parts.m_seed, end->m_number);
-    m_parts.m_onCrash({ .m_id = ShortHash(name),
-                        .m_slot = m_parts.m_settings.m_slot,
-                        .m_service = m_parts.m_settings.m_service,
-                        .m_ran = std::move(end->m_runs) });
+      "{}/{}/{}", m_deps.m_settings.m_slot, m_deps.m_seed, end->m_number);
+    m_deps.m_onCrash({ .m_id = ShortHash(name),
+                       .m_slot = m_deps.m_settings.m_slot,
+                       .m_service = m_deps.m_settings.m_service,
+                       .m_ran = std::move(end->m_runs) });
   }
   for (const CallKey& each : std::exchange(m_lostRuns, {})) {
     FinishLostRun(each, isCrash);
@@ -85,7 +84,7 @@
                                             : RefusalReason::AnswerLost);
   answer.m_reachedWorker = true;
   if (aWorkerCrashed) {
-    answer.m_ends = m_parts.m_quarantine.CrashCount(run->second.m_fingerprint);
+    answer.m_ends = m_deps.m_quarantine.CrashCount(run->second.m_fingerprint);
   }
   FinishRun(aKey, std::move(answer));
 }
@@ -96,7 +95,7 @@
 {
   BackendRequest request;
   request.m_target = aPath;
-  request.m_headers = { { "Host", m_parts.m_settings.m_worker.m_host } };
+  request.m_headers = { { "Host", m_deps.m_settings.m_worker.m_host } };
   request.m_deadline = Clock::now() + kProbeTimeout;
   m_client.Send(std::move(request),
                 [this, done = std::move(aDone)](const BackendResult& aResult) {
@@ -105,7 +104,7 @@
                     aResult.m_kind == BackendResult::Kind::Answered &&
                     IsSuccess(response.m_status);
                   const std::string_view id = HeaderValue(
-                    response.m_headers, m_parts.m_dialect.m_instance);
+                    response.m_headers, m_deps.m_dialect.m_instance);
                   if (isHealthy && !id.empty()) {
                     done(std::string{ id });
                   }
@@ -127,16 +126,16 @@
   m_warmUpEnd = Clock::now() + worker->m_warmUpLeft;
   m_hasWorker = true;
   m_runs.Reopen();
-  m_runs.SetLimits(worker->m_slots, kQueuePerSlot * worker->m_slots);
+  m_runs.SetLimits(worker->m_slots, kMaxQueuedPerSlot * worker->m_slots);
 }
 
 WorkerCounts
 RunService::Counts() const
 {
   WorkerCounts counts;
-  counts.m_slot = m_parts.m_settings.m_slot;
-  counts.m_process = m_parts.m_seed;
-  counts.m_service = m_parts.m_settings.m_service;
+  counts.m_slot = m_deps.m_settings.m_slot;
+  counts.m_process = m_deps.m_seed;
+  counts.m_service = m_deps.m_settings.m_service;
   counts.m_version = m_hasWorker ? m_version : std::string{};
   counts.m_pendingCalls = m_runs.Load();
   counts.m_arrived = m_runCounter.CountArrived();
--- a/src/daemon/start_buffer.cpp
+++ b/src/daemon/start_buffer.cpp
@@ -24,7 +24,7 @@
 }
 
 void
-StartBuffer::Drop(std::uint64_t aConnection)
+StartBuffer::DropConnection(std::uint64_t aConnection)
 {
   m_entries.remove_if([&](const Entry& aEntry) {
     const bool isDropped = aEntry.m_request.m_connection == aConnection;
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -26,7 +26,6 @@
 /// Subtracted from the bound: the time that a request takes from its caller to
 /// this daemon.
 constexpr std::chrono::milliseconds kProofMargin{ 200 };
-/// Retry time of requests refused because keys are not current.
 constexpr std::chrono::milliseconds kStaleKeysRetryAfter{ 1000 };
 
 std::chrono::milliseconds
@@ -38,24 +37,21 @@
 
 }
 
-WorkspaceService::WorkspaceService(Parts aParts,
+WorkspaceService::WorkspaceService(Dependencies aDependencies,
                                    std::uint64_t aProcess,
                                    std::uint64_t aSeed)
-  : m_parts(std::move(aParts))
+  : m_deps(std::move(aDependencies))
   , m_random(aSeed)
-  , m_freshness(ProofBound(m_parts.m_settings))
-  , m_client(m_parts.m_settings.m_workspaces.m_quota, m_random())
-  , m_coordinator(m_parts.m_settings.m_workspaces.m_quota)
-  , m_role(m_parts.m_settings.m_slot, aProcess, BootNow(), m_random())
-  , m_queryTimeout(m_parts.m_loop)
+  , m_freshness(ProofBound(m_deps.m_settings))
+  , m_quotaClient(m_deps.m_settings.m_workspaces.m_quota, m_random())
+  , m_coordinator(m_deps.m_settings.m_workspaces.m_quota)
+  , m_coordinatorRole(m_deps.m_settings.m_slot, aProcess, BootNow(), m_random())
+  , m_queryTimeout(m_deps.m_loop)
   , m_lastCoordinatorReport(BootNow())
   , m_claimDelay(Below(m_random, kRelaySilence.count()))
 {
 }
 
-// ---------------------------------------------------------------------------
-// Observers
-
 std::optional<std::chrono::milliseconds>
 WorkspaceService::ProofAge() const
 {
@@ -69,19 +65,16 @@
 bool
 WorkspaceService::IsCoordinator() const
 {
-  return m_role.IsLeading(BootNow());
+  return m_coordinatorRole.IsLeading(BootNow());
 }
 
 StoreConfig
 WorkspaceService::KnownConfig() const
 {
-  const StoreConfig read = m_parts.m_storeConfig();
+  const StoreConfig read = m_deps.m_storeConfig();
   return m_reportedConfig.m_version > read.m_version ? m_reportedConfig : read;
 }
 
-// ---------------------------------------------------------------------------
-// Requests
-
 WorkspaceAdmission
 WorkspaceService::Admit(std::string_view aKey, bool aIsNew, bool aIsLate)
 {
@@ -99,7 +92,7 @@
     return { .m_workspace = workspace };
   }
   const QuotaDecision decision =
-    m_client.TryAdmit(now, workspace->m_id, aIsNew, aIsLate);
+    m_quotaClient.TryAdmit(now, workspace->m_id, aIsNew, aIsLate);
   switch (decision.m_kind) {
     case QuotaDecision::Kind::Admitted:
       break;
@@ -121,7 +114,7 @@
 void
 WorkspaceService::OnVersion()
 {
-  const auto& active = m_parts.m_holder.Active();
+  const auto& active = m_deps.m_holder.Active();
   m_table.Update(active->m_content);
   m_freshness.OnVersion(active->m_version);
 }
@@ -132,15 +125,12 @@
   m_freshness.OnProof({ aReadSentAt, aConfig.m_version });
 }
 
-// ---------------------------------------------------------------------------
-// Quota queries and reports
-
 std::optional<MemberPeer>
 WorkspaceService::SelectQueryPeer()
 {
-  Membership& members = m_parts.m_members();
+  Membership& members = m_deps.m_members();
   const bool usesKnownCoordinator =
-    !m_client.IsCoordinatorSilent(BootNow()) || Below(m_random, 2) == 0;
+    !m_quotaClient.IsCoordinatorSilent(BootNow()) || Below(m_random, 2) == 0;
   if (!m_coordinatorSlot.empty() && usesKnownCoordinator) {
     const auto index = members.Members().Find(m_coordinatorSlot);
     if (index) {
@@ -159,15 +149,15 @@
 WorkspaceService::SendNextQuery()
 {
   const TimePoint now = BootNow();
-  auto query = m_client.NextQuery(now);
+  auto query = m_quotaClient.NextQuery(now);
   if (!query) {
     return;
   }
-  if (m_role.IsLeading(now)) {
-    const QuotaReport report = AnswerQuery(m_parts.m_settings.m_slot, *query);
-    // Posted, because the report may call back into the admission under way.
-    asio::post(m_parts.m_loop,
-               [this, report] { OnReport(m_parts.m_settings.m_slot, report); });
+  if (m_coordinatorRole.IsLeading(now)) {
+    const QuotaReport report = AnswerQuery(m_deps.m_settings.m_slot, *query);
+    // Posted, because the report may call back into the admission in progress.
+    asio::post(m_deps.m_loop,
+               [this, report] { OnReport(m_deps.m_settings.m_slot, report); });
     return;
   }
   ArmQueryTimeout();
@@ -182,8 +172,7 @@
   m_queryTimeout.expires_after(QuotaClient::kAnswerTimeout);
   m_queryTimeout.async_wait([this](const asio::error_code& aError) {
     if (!aError && m_retryHandler) {
-      // The answer is late: waiting requests are decided without it, or queried
-      // again.
+      // Without an answer, waiting requests are decided or queried again.
       m_retryHandler();
       SendNextQuery();
     }
@@ -196,7 +185,7 @@
   GossipMessage message;
   message.m_kind = GossipMessage::Kind::Quota;
   message.m_quotaQuery = std::move(aQuery);
-  m_parts.m_send({ aTo, std::move(message) });
+  m_deps.m_send({ aTo, std::move(message) });
 }
 
 QuotaReport
@@ -205,17 +194,18 @@
   const TimePoint now = BootNow();
   QuotaReport report{ .m_sequence = aQuery.m_sequence,
                       .m_proofAge = ProofAge() };
-  report.m_config.m_version = m_parts.m_holder.GetVersion();
+  report.m_config.m_version = m_deps.m_holder.GetVersion();
   const StoreConfig known = KnownConfig();
   if (known.m_version == report.m_config.m_version) {
     report.m_config = known;
   }
-  const bool isLeading = m_role.IsLeading(now);
-  if (isLeading || m_role.IsAwaitingPredecessor(now)) {
-    report.m_coordinator = m_parts.m_settings.m_slot;
-    report.m_term = m_role.ExpectedRevision();
+  const bool isLeading = m_coordinatorRole.IsLeading(now);
+  if (isLeading || m_coordinatorRole.IsAwaitingPredecessor(now)) {
+    report.m_coordinator = m_deps.m_settings.m_slot;
+    report.m_term = m_coordinatorRole.ExpectedRevision();
     report.m_isGranting = isLeading;
-  } else if (!m_role.HoldsKey() && !m_client.IsCoordinatorSilent(now)) {
+  } else if (!m_coordinatorRole.HoldsKey() &&
+             !m_quotaClient.IsCoordinatorSilent(now)) {
     report.m_coordinator = m_coordinatorSlot;
   }
   if (report.m_isGranting) {
@@ -233,8 +223,8 @@
     answer.m_kind = GossipMessage::Kind::Quota;
     answer.m_quotaReport =
       AnswerQuery(aMessage.m_sender.m_slot, *aMessage.m_quotaQuery);
-    m_parts.m_send(
-      { m_parts.m_members().PeerOf(aMessage.m_sender), std::move(answer) });
+    m_deps.m_send(
+      { m_deps.m_members().PeerOf(aMessage.m_sender), std::move(answer) });
   }
   if (aMessage.m_quotaReport) {
     OnReport(aMessage.m_sender.m_slot, *aMessage.m_quotaReport);
@@ -252,25 +242,25 @@
     // The sender has resigned, was replaced or is no longer confirmed.
     m_coordinatorSlot.clear();
     m_lastCoordinatorReport = now - kRelaySilence;
-    m_role.OnTermEnded(aReport.m_term);
+    m_coordinatorRole.OnTermEnded(aReport.m_term);
   }
   if (isFromCoordinator) {
     m_lastCoordinatorReport = now;
-    m_role.OnTermReported(aReport.m_term);
+    m_coordinatorRole.OnTermReported(aReport.m_term);
   }
   if (aReport.m_isGranting && aReport.m_sequence == 0) {
-    m_client.OnCoordinatorReady();
+    m_quotaClient.OnCoordinatorReady();
     SendNextQuery();
     return;
   }
-  const auto askedAt = m_client.OnReport(now, aReport);
-  if (!askedAt) {
+  const auto queriedAt = m_quotaClient.OnReport(now, aReport);
+  if (!queriedAt) {
     return;
   }
   m_queryTimeout.cancel();
   if (aReport.m_proofAge) {
     m_freshness.OnProof(
-      { *askedAt - *aReport.m_proofAge, aReport.m_config.m_version });
+      { *queriedAt - *aReport.m_proofAge, aReport.m_config.m_version });
     m_reportedConfig = aReport.m_config;
   }
   if (m_retryHandler) {
@@ -279,14 +269,11 @@
   SendNextQuery();
 }
 
-// ---------------------------------------------------------------------------
-// Time
-
 void
 WorkspaceService::OnTick()
 {
   const TimePoint now = BootNow();
-  if (m_table.IsEmpty() || !m_parts.m_settings.m_platform.m_enabled) {
+  if (m_table.IsEmpty() || !m_deps.m_settings.m_platform.m_enabled) {
     m_lastCoordinatorReport = now;
     return;
   }
@@ -298,10 +285,10 @@
 bool
 WorkspaceService::IsCandidate(TimePoint aNow)
 {
-  if (!m_parts.m_hasJoined() || !m_parts.m_hasPeerContact()) {
+  if (!m_deps.m_hasJoined() || !m_deps.m_hasPeerContact()) {
     return false;
   }
-  const Membership& members = m_parts.m_members();
+  const Membership& members = m_deps.m_members();
   if (aNow >= m_nextRankCheck) {
     m_nextRankCheck = aNow + kRankCheckInterval;
     m_isHighestRanked = members.IsHighestRanked();
@@ -316,7 +303,7 @@
 WorkspaceService::AdvanceRole(TimePoint aNow)
 {
   const bool isSilent = aNow - m_lastCoordinatorReport >= kHighestRankedSilence;
-  switch (m_role.OnTick(aNow, IsCandidate(aNow), isSilent)) {
+  switch (m_coordinatorRole.OnTick(aNow, IsCandidate(aNow), isSilent)) {
     case CoordinatorRole::Step::Read:
       ReadCoordinatorKey();
       break;
@@ -330,10 +317,10 @@
     case CoordinatorRole::Step::Release:
       break;
   }
-  if (m_role.TakeStarted(aNow)) {
-    m_parts.m_log.Info("workspaces", "coordinator_started");
+  if (m_coordinatorRole.TakeStarted(aNow)) {
+    m_deps.m_log.Info("workspaces", "coordinator_started");
     m_coordinator.Start(aNow);
-    AnnounceCoordinator(m_parts.m_settings.m_slot);
+    AnnounceCoordinator(m_deps.m_settings.m_slot);
   }
 }
 
@@ -345,11 +332,11 @@
   message.m_kind = GossipMessage::Kind::Quota;
   message.m_quotaReport =
     QuotaReport{ .m_coordinator = aCoordinator,
-                 .m_term = m_role.ExpectedRevision(),
-                 .m_isGranting = m_role.IsLeading(BootNow()) };
-  Membership& members = m_parts.m_members();
+                 .m_term = m_coordinatorRole.ExpectedRevision(),
+                 .m_isGranting = m_coordinatorRole.IsLeading(BootNow()) };
+  Membership& members = m_deps.m_members();
   for (const MemberPeer& each : members.Sample(members.Members().Present())) {
-    m_parts.m_send({ each, message });
+    m_deps.m_send({ each, message });
   }
 }
 
@@ -357,7 +344,7 @@
 WorkspaceService::CheckStoreIfStale(TimePoint aNow)
 {
   const auto provenAt = m_freshness.ProvenAt();
-  const auto bound = m_parts.m_settings.m_workspaces.m_maxRevokeDelay;
+  const auto bound = m_deps.m_settings.m_workspaces.m_maxRevokeDelay;
   const bool isStale = !provenAt || aNow - *provenAt > bound / kStaleDivisor;
   const bool isCheckDue =
     m_freshness.IsEnforced() && isStale && aNow >= m_nextStoreCheck;
@@ -367,20 +354,17 @@
   }
 }
 
-// ---------------------------------------------------------------------------
-// The store
-
 void
-WorkspaceService::SendStoreCheck(bool aIsConfirm)
+WorkspaceService::SendStoreCheck(bool aConfirmsRole)
 {
-  const StoreCheck check{ BootNow(), KnownConfig(), aIsConfirm };
+  const StoreCheck check{ BootNow(), KnownConfig(), aConfirmsRole };
   StoreRequest request =
     MakeCheck(std::string{ platform::kConfigKey }, check.m_config.m_revision);
-  if (aIsConfirm) {
+  if (aConfirmsRole) {
     request.m_secondKey = kCoordinatorKey;
-    request.m_secondExpected = m_role.ExpectedRevision();
+    request.m_secondExpected = m_coordinatorRole.ExpectedRevision();
   }
-  m_parts.m_store.Execute(std::move(request), [this, check](StoreReply aReply) {
+  m_deps.m_store.Execute(std::move(request), [this, check](StoreReply aReply) {
     OnStoreCheck(check, std::move(aReply));
   });
 }
@@ -397,24 +381,24 @@
   if (isOk) {
     m_freshness.OnProof({ aCheck.m_sentAt, aCheck.m_config.m_version });
   }
-  if (aCheck.m_isConfirm && m_role.HoldsKey()) {
+  if (aCheck.m_confirmsRole && m_coordinatorRole.HoldsKey()) {
     if (isOk) {
-      m_role.OnConfirmed(now, aCheck.m_sentAt, true);
+      m_coordinatorRole.OnConfirmed(now, aCheck.m_sentAt, true);
       m_lastCoordinatorReport = now;
     } else if (isConflict && !configDiffers) {
-      m_parts.m_log.Info("workspaces", "coordinator_deposed");
-      m_role.OnConfirmed(now, aCheck.m_sentAt, false);
+      m_deps.m_log.Info("workspaces", "coordinator_deposed");
+      m_coordinatorRole.OnConfirmed(now, aCheck.m_sentAt, false);
     } else {
-      m_role.OnFailed(now);
+      m_coordinatorRole.OnFailed(now);
     }
-    if (m_role.StandDownIfFailing(now)) {
-      m_parts.m_log.Warning("workspaces", "coordinator_stood_down");
+    if (m_coordinatorRole.StandDownIfFailing(now)) {
+      m_deps.m_log.Warning("workspaces", "coordinator_stood_down");
       AnnounceCoordinator({});
     }
   }
   if (configDiffers && !aReply.m_value.empty()) {
-    m_parts.m_onNewerConfig(std::move(aReply));
-    const StoreConfig read = m_parts.m_storeConfig();
+    m_deps.m_onNewerConfig(std::move(aReply));
+    const StoreConfig read = m_deps.m_storeConfig();
     m_freshness.OnProof({ aCheck.m_sentAt, read.m_version });
   }
 }
@@ -422,42 +406,44 @@
 void
 WorkspaceService::ReadCoordinatorKey()
 {
-  m_parts.m_store.Execute(MakeGet(std::string{ kCoordinatorKey }),
-                          [this](const StoreReply& aReply) {
-                            m_role.OnRead(BootNow(), aReply);
-                            AdvanceRole(BootNow());
-                          });
+  m_deps.m_store.Execute(MakeGet(std::string{ kCoordinatorKey }),
+                         [this](const StoreReply& aReply) {
+                           m_coordinatorRole.OnRead(BootNow(), aReply);
+                           AdvanceRole(BootNow());
+                         });
 }
 
 void
 WorkspaceService::ClaimCoordinatorKey()
 {
-  m_parts.m_store.Execute(MakePut(std::string{ kCoordinatorKey },
-                                  m_role.KeyValue(),
-                                  m_role.ExpectedRevision()),
-                          [this, sentAt = BootNow()](const StoreReply& aReply) {
-                            m_role.OnClaimed(BootNow(), sentAt, aReply);
-                            if (m_role.HoldsKey()) {
-                              m_parts.m_log.Info("workspaces",
-                                                 "coordinator_claimed");
-                              AnnounceCoordinator(m_parts.m_settings.m_slot);
-                            }
-                          });
+  m_deps.m_store.Execute(
+    MakePut(std::string{ kCoordinatorKey },
+            m_coordinatorRole.KeyValue(),
+            m_coordinatorRole.ExpectedRevision()),
+    [this, sentAt = BootNow()](const StoreReply& aReply) {
+      m_coordinatorRole.OnClaimed(BootNow(), sentAt, aReply);
+      if (m_coordinatorRole.HoldsKey()) {
+        m_deps.m_log.Info("workspaces", "coordinator_claimed");
+        AnnounceCoordinator(m_deps.m_settings.m_slot);
+      }
+    });
 }
 
 void
 WorkspaceService::OnStoreRestored()
 {
   m_reportedConfig = {};
-  m_role.OnStoreRestored(BootNow());
+  m_coordinatorRole.OnStoreRestored(BootNow());
 }
 
 void
 WorkspaceService::Resign()
 {
-  if (m_role.Resign() == CoordinatorRole::Step::Release) {
-    m_parts.m_store.Execute(
-      MakePut(std::string{ kCoordinatorKey }, {}, m_role.ExpectedRevision()),
+  if (m_coordinatorRole.Resign() == CoordinatorRole::Step::Release) {
+    m_deps.m_store.Execute(
+      MakePut(std::string{ kCoordinatorKey },
+              {},
+              m_coordinatorRole.ExpectedRevision()),
       [this](const StoreReply&) { AnnounceCoordinator({}); });
   }
 }
--- a/tests/daemon/config_feed.cpp
+++ b/tests/daemon/config_feed.cpp
@@ -42,7 +42,6 @@
   /// Restores an older state just before the next check and assigns the
   /// revision of version 5 to version 6.
   bool m_restoresBeforeCheck{ false };
-  /// Handler of the pending watch.
   StoreDone m_watch{};
 
   /// Restores the state as of a revision and starts a new era.
@@ -219,8 +218,8 @@
 
 TEST_CASE("a change is not missed when a restored store reuses revisions")
 {
-  // Guards against missing a change that a restored store assigned a revision
-  // below the watched one.
+  // Guards against missing a change to which a restored store assigned a
+  // revision below the watched one.
   FeedFixture fixture;
   fixture.m_store.m_era = 1;
   fixture.m_feed.SetWatching(true);
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -18,7 +18,7 @@
                                 .m_seal = "Seal",
                                 .m_sendsHopHeaders = false };
 
-/// A run service beside an HTTP server that plays the worker.
+/// A run service with an HTTP server in place of the worker.
 class RunServiceFixture
 {
 public:
@@ -49,7 +49,6 @@
   {
   }
 
-  /// Sends a request and waits for its answer.
   CallAnswer Call(CallRequest aRequest)
   {
     const std::size_t before = m_answers.size();
@@ -61,7 +60,6 @@
     return m_answers.back();
   }
 
-  /// Sends requests and waits for all answers.
   std::vector<CallAnswer> CallAll(std::vector<CallRequest> aRequests)
   {
     const std::size_t before = m_answers.size();
@@ -310,7 +308,7 @@
   fixture.Send(RunServiceFixture::ReleaseRequest());
   const CallAnswer answer = fixture.Call(other);
   CHECK(answer.m_outcome == CallOutcome::NotRun);
-  // Held prevents a retry at another worker.
+  // RefusalReason::Held prevents a retry at another worker.
   CHECK(answer.m_reason == RefusalReason::Held);
   CHECK(answer.m_retryAfter == 100ms);
   CHECK(fixture.Call(RunServiceFixture::ReleaseRequest()).m_reason ==
--- a/tests/daemon/start_buffer.cpp
+++ b/tests/daemon/start_buffer.cpp
@@ -40,9 +40,8 @@
 
 TEST_CASE("a slow start refuses requests after a bounded time")
 {
-  // Guards against callers that wait for an unavailable store: buffered
-  // requests expire after kMaxHoldTime, and none is buffered after
-  // kMaxStartTime.
+  // Guards against callers that wait without limit while the store is
+  // unavailable.
   StartBuffer buffer{ kStart };
   CHECK(Add(buffer, kStart, 1));
   CHECK(Add(buffer, kStart + 500ms, 2));
@@ -75,10 +74,10 @@
     CHECK(Add(buffer, kStart, i));
   }
   CHECK_FALSE(Add(buffer, kStart, 1000));
-  buffer.Drop(7);
+  buffer.DropConnection(7);
   CHECK(Add(buffer, kStart, 1000, std::string(StartBuffer::kMaxBytes, 'x')));
-  buffer.Drop(8);
+  buffer.DropConnection(8);
   CHECK_FALSE(Add(buffer, kStart, 1001, "x"));
-  buffer.Drop(1000);
+  buffer.DropConnection(1000);
   CHECK(Add(buffer, kStart, 1001, "x"));
 }
