--- a/include/greengagehub/transport/bulk_channel.hpp
+++ b/include/greengagehub/transport/bulk_channel.hpp
@@ -23,7 +23,6 @@
   using PullCallback = std::function<void(std::optional<PullAnswer>)>;
 
   /// \param aPort TCP port to listen on; 0 picks a free port.
-  /// \param aOnRequest computes the answer to a peer's request.
   BulkChannel(asio::io_context& aLoop,
               const std::string& aHost,
               std::uint16_t aPort,
@@ -33,11 +32,9 @@
   BulkChannel(const BulkChannel&) = delete;
   BulkChannel& operator=(const BulkChannel&) = delete;
 
-  /// \returns TCP port that it listens on.
   [[nodiscard]] std::uint16_t Port() const noexcept;
   [[nodiscard]] const TrafficCounts& Counts() const noexcept;
 
-  /// \brief Sends a request to the peer's bulk port.
   /// \returns Size of the encoded request in bytes.
   std::size_t Pull(const MemberAddress& aPeer,
                    const PullRequest& aRequest,
--- a/include/greengagehub/transport/bulk_message.hpp
+++ b/include/greengagehub/transport/bulk_message.hpp
@@ -12,7 +12,6 @@
 /// \brief Asks a peer for version entries and, optionally, member records.
 struct PullRequest
 {
-  /// Sender of the request.
   std::string m_slot;
   /// The answer starts after this version.
   Version m_knownVersion;
@@ -21,7 +20,6 @@
   MemberDigests m_members{};
 };
 
-/// \brief Answer to a PullRequest.
 struct PullAnswer
 {
   std::vector<VersionEntry> m_entries{};
--- a/include/greengagehub/transport/codec.hpp
+++ b/include/greengagehub/transport/codec.hpp
@@ -42,7 +42,6 @@
 [[nodiscard]] Outcome<LinkFrame>
 DecodeFrame(std::string_view aBytes, LinkInflater* aInflater = nullptr);
 
-/// Size in bytes of the length that precedes a frame.
 inline constexpr std::size_t kFrameLengthBytes = 4;
 /// Maximum frame length; a longer frame closes the connection.
 inline constexpr std::size_t kMaxFrameBytes = 32UL * 1024 * 1024;
--- a/include/greengagehub/transport/gossip_socket.hpp
+++ b/include/greengagehub/transport/gossip_socket.hpp
@@ -10,7 +10,6 @@
 
 namespace greengagehub {
 
-/// \brief Message and byte counts of a transport, in both directions.
 struct TrafficCounts
 {
   std::uint64_t m_sent{ 0 };
@@ -23,9 +22,8 @@
 
 /// \brief Exchanges datagrams between daemons over UDP.
 ///
-/// Every daemon probes every other daemon, so the number of peers is too high
-/// for persistent connections, and a connection per probe costs more than the
-/// probe itself.
+/// Datagrams avoid a connection per pair of daemons, as each daemon probes all
+/// others.
 class GossipSocket
 {
 public:
@@ -33,7 +31,6 @@
     std::function<void(const MemberAddress& aFrom, const GossipMessage&)>;
 
   /// \param aPort UDP port to bind; 0 picks a free port.
-  /// \param aHandler receives decoded messages with their source address.
   GossipSocket(asio::io_context& aLoop,
                const std::string& aHost,
                std::uint16_t aPort,
@@ -50,7 +47,7 @@
   void Send(const GossipSend& aSend);
 
 private:
-  /// Size of the receive buffer: the maximum UDP payload.
+  /// Maximum UDP payload.
   static constexpr std::size_t kMaxReceivedBytes = 65536;
   /// Fits one unfragmented packet at the usual MTU of 1500 bytes.
   static constexpr std::size_t kMaxSentBytes = 1400;
--- a/include/greengagehub/transport/link_connection.hpp
+++ b/include/greengagehub/transport/link_connection.hpp
@@ -19,16 +19,16 @@
 
 /// \brief A TCP connection that carries frames in both directions.
 ///
-/// Pending reads keep the object alive until Close() or Abort(). The OnClosed
-/// callback is then called once, posted to the loop.
+/// Pending reads keep the object alive until Close() or Abort(). The
+/// ClosedHandler is then called once, posted to the loop.
 class LinkConnection
   : public boost::intrusive_ref_counter<LinkConnection,
                                         boost::thread_unsafe_counter>
 {
 public:
   using Pointer = boost::intrusive_ptr<LinkConnection>;
-  using OnFrame = std::function<void(LinkConnection&, LinkFrame)>;
-  using OnClosed = std::function<void(LinkConnection&)>;
+  using FrameHandler = std::function<void(LinkConnection&, LinkFrame)>;
+  using ClosedHandler = std::function<void(LinkConnection&)>;
 
   /// \param aPacer shared by all connections of the daemon; nullptr sends
   /// large frames without pacing.
@@ -55,8 +55,7 @@
   bool m_helloReceived{ false };
   TimePoint m_openedAt{};
 
-  /// \brief Starts reading frames.
-  void Start(OnFrame aOnFrame, OnClosed aOnClosed);
+  void Start(FrameHandler aOnFrame, ClosedHandler aOnClosed);
   /// \brief Queues a frame; does nothing after a close.
   void Send(const LinkFrame& aFrame);
   /// \brief Marks the peer as being in another failure domain: later frames
@@ -64,9 +63,8 @@
   void SetCrossesDomains();
   /// \brief Closes; the system still delivers bytes already written.
   void Close();
-  /// \brief Resets the connection and discards bytes not yet delivered, so
-  /// that a request sent during a network outage does not arrive after its
-  /// caller has given up.
+  /// \brief Resets the connection and discards undelivered bytes, so that no
+  /// request arrives after its caller has given up.
   void Abort();
 
 private:
@@ -88,8 +86,8 @@
   void ReportClosed();
 
   asio::ip::tcp::socket m_socket;
-  OnFrame m_onFrame;
-  OnClosed m_onClosed;
+  FrameHandler m_onFrame;
+  ClosedHandler m_onClosed;
   /// The first m_unparsedBytes bytes are received and not yet decoded.
   std::string m_readBuffer;
   std::size_t m_unparsedBytes{ 0 };
@@ -97,7 +95,6 @@
   bool m_crossesDomains{ false };
   std::unique_ptr<LinkDeflater> m_deflater;
   std::unique_ptr<LinkInflater> m_inflater;
-  /// Encoded frames for the next write.
   std::string m_encoded;
   /// Large frames not yet encoded; small frames overtake them.
   std::deque<LinkFrame> m_largeFrames;
--- a/include/greengagehub/transport/link_frame.hpp
+++ b/include/greengagehub/transport/link_frame.hpp
@@ -44,7 +44,6 @@
   std::uint64_t m_number{ 0 };
 };
 
-/// \brief Answer to a LinkPing, with its number.
 struct LinkPong
 {
   std::uint64_t m_number{ 0 };
--- a/include/greengagehub/transport/link_pool.hpp
+++ b/include/greengagehub/transport/link_pool.hpp
@@ -12,7 +12,6 @@
 
 namespace greengagehub {
 
-/// \brief Timeouts and intervals of a LinkPool.
 struct LinkPoolSettings
 {
   /// Covers the TCP connection and the hello.
--- a/include/greengagehub/transport/link_server.hpp
+++ b/include/greengagehub/transport/link_server.hpp
@@ -19,7 +19,6 @@
 public:
   struct Handlers
   {
-    /// A process opened a connection with a higher epoch.
     std::function<void(std::uint64_t aProcess, std::uint64_t aEpoch)>
       m_onNewEpoch;
     std::function<void(LinkConnection&, LinkFrame)> m_onFrame;
@@ -48,7 +47,7 @@
   /// \brief Sends to every connection whose hello was received.
   void Broadcast(const LinkFrame& aFrame);
   void StopAccepting();
-  /// \brief Closes all connections; unread frames are dropped.
+  /// Drops unread frames.
   void CloseAll();
 
 private:
--- a/include/greengagehub/transport/traffic_meter.hpp
+++ b/include/greengagehub/transport/traffic_meter.hpp
@@ -6,7 +6,6 @@
 
 namespace greengagehub {
 
-/// \brief Purpose of traffic between daemons.
 enum class TrafficPurpose : std::uint8_t
 {
   /// Datagrams other than pushes: probes, their answers and quota messages.
@@ -17,7 +16,6 @@
   Versions,
   /// Comparisons of member tables and the records exchanged as a result.
   Reconciliation,
-  /// Call requests.
   Requests,
   /// Call answers, including rejections.
   Answers,
--- a/src/transport/bulk_channel.cpp
+++ b/src/transport/bulk_channel.cpp
@@ -109,7 +109,6 @@
     m_watch.emplace(aLoop, m_router, [this] { DrainRouter(); });
   }
 
-  /// A pending pull with its own connection.
   struct Pending
   {
     Pending(asio::io_context& aLoop, zmq::context_t& aContext)
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -3,8 +3,6 @@
 #include "quota_wire.hpp"
 #include "rollout_wire.hpp"
 
-// Conversion of datagrams and pull messages to and from protobuf.
-
 namespace greengagehub {
 
 namespace {
--- a/src/transport/gossip_socket.cpp
+++ b/src/transport/gossip_socket.cpp
@@ -54,7 +54,6 @@
                    udp::endpoint{ address, aSend.m_to.m_address.m_gossipPort },
                    0,
                    error);
-  // Send errors are ignored: the protocol tolerates lost datagrams.
   m_meter.Add(
     PurposeOf(aSend.m_message), aSend.m_to.m_crossesDomains, bytes.size());
   ++m_counts.m_sent;
--- a/src/transport/link_codec.cpp
+++ b/src/transport/link_codec.cpp
@@ -5,8 +5,6 @@
 #include <algorithm>
 #include <array>
 
-// Conversion of call link frames to and from protobuf.
-
 namespace greengagehub {
 
 namespace {
@@ -19,7 +17,6 @@
   static_cast<std::uint32_t>(RefusalReason::Busy);
 constexpr unsigned kByteBits = 8;
 
-/// Size in bytes of the head length.
 constexpr std::size_t kHeadLengthBytes = 4;
 /// Top bit of the head length: the head is compressed.
 constexpr std::uint32_t kDeflatedFlag = 0x8000'0000U;
--- a/src/transport/link_connection.cpp
+++ b/src/transport/link_connection.cpp
@@ -44,7 +44,7 @@
 }
 
 void
-LinkConnection::Start(OnFrame aOnFrame, OnClosed aOnClosed)
+LinkConnection::Start(FrameHandler aOnFrame, ClosedHandler aOnClosed)
 {
   m_onFrame = std::move(aOnFrame);
   m_onClosed = std::move(aOnClosed);
@@ -232,7 +232,6 @@
   }
   m_writeBuffer.clear();
   if (m_writeBuffer.capacity() > LinkPacer::kPartBytes) {
-    // Free the buffer of a large frame.
     m_writeBuffer.shrink_to_fit();
   }
   if (m_isOpen) {
@@ -278,7 +277,7 @@
     return;
   }
   m_isCloseReported = true;
-  const OnClosed onClosed = std::move(m_onClosed);
+  const ClosedHandler onClosed = std::move(m_onClosed);
   m_onFrame = nullptr;
   if (onClosed) {
     onClosed(*this);
--- a/src/transport/link_pool.cpp
+++ b/src/transport/link_pool.cpp
@@ -41,9 +41,6 @@
 
 LinkPool::~LinkPool() = default;
 
-// ---------------------------------------------------------------------------
-// Sending
-
 void
 LinkPool::Write(Link& aLink, const LinkFrame& aFrame)
 {
@@ -115,9 +112,6 @@
   }
 }
 
-// ---------------------------------------------------------------------------
-// Connection setup
-
 void
 LinkPool::Connect(const LinkPtr& aLink)
 {
@@ -233,20 +227,17 @@
     return;
   }
   aLink->m_connection.reset();
-  const bool wasUp = aLink->m_isReady;
+  const bool wasReady = aLink->m_isReady;
   aLink->m_isReady = false;
   FailPendingFrames(aLink);
   const TimePoint now = Clock::now();
   aLink->m_nextReconnectAt = now;
-  if (wasUp) {
+  if (wasReady) {
     aLink->m_reconnectUntil = now + m_settings.m_reconnectTimeout;
     m_handlers.m_onConnectionLost(aLink->m_slot);
   }
 }
 
-// ---------------------------------------------------------------------------
-// Timeouts
-
 void
 LinkPool::OnTick(TimePoint aNow)
 {
--- a/src/transport/quota_wire.hpp
+++ b/src/transport/quota_wire.hpp
@@ -3,8 +3,6 @@
 #include "control.pb.h"
 #include "greengagehub/workspaces/quota_message.hpp"
 
-// Conversion of quota queries and reports to and from protobuf.
-
 namespace greengagehub {
 
 void
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -214,7 +214,6 @@
 
 TEST_CASE("invalid and corrupted messages are errors and do not crash")
 {
-  // Guards against crashes and out-of-range values from corrupted input.
   Random random{ 11 };
   const std::string gossip = EncodeGossip(TestGossip(), 1400);
   const std::string frame = TestFrame().substr(kFrameLengthBytes);
--- a/tests/transport/link_pool.cpp
+++ b/tests/transport/link_pool.cpp
@@ -127,8 +127,6 @@
 
 TEST_CASE("a request that is canceled while the link opens is not sent")
 {
-  // Guards against running a request whose caller gave up while the link was
-  // being opened.
   asio::io_context loop;
   std::vector<std::uint64_t> received;
   TrafficMeter traffic;
