--- a/include/greengagehub/http/backend_client.hpp
+++ b/include/greengagehub/http/backend_client.hpp
@@ -12,7 +12,6 @@
 
 namespace greengagehub {
 
-/// \brief A request to the backend server of this daemon.
 struct BackendRequest
 {
   std::string m_method{ "GET" };
@@ -32,12 +31,10 @@
   std::chrono::milliseconds m_maxIdle{ std::chrono::seconds{ 5 } };
 };
 
-/// \brief Result of a request to the backend server.
 struct BackendResult
 {
   enum class Kind : std::uint8_t
   {
-    /// A complete response is in m_response.
     Answered,
     /// No byte of the request was sent.
     NotSent,
@@ -52,13 +49,11 @@
   /// A reused connection was lost before any byte of a response; most likely
   /// the backend server had closed it while it was idle.
   bool m_wasStale{ false };
-  /// The connection was refused.
   bool m_refused{ false };
   /// The backend server closed or reset the connection after the send began.
   bool m_closed{ false };
 };
 
-/// \brief Address and limits of a BackendClient.
 struct BackendClientSettings
 {
   asio::ip::tcp::endpoint m_address{};
@@ -85,8 +80,7 @@
 
   /// \returns Number of connections, idle and in use.
   [[nodiscard]] std::size_t Connections() const noexcept;
-  /// \returns Number of connection attempts so far.
-  [[nodiscard]] std::uint64_t Opened() const noexcept;
+  [[nodiscard]] std::uint64_t ConnectionAttempts() const noexcept;
 
   /// \brief Sends a request; `aDone` is called once, from the loop.
   Ticket Send(BackendRequest aRequest, Done aDone);
@@ -98,7 +92,6 @@
   /// the backend server has restarted: `aOpenedBefore` is the last time at
   /// which the former process was known to run.
   void ShortenDeadlines(TimePoint aOpenedBefore, TimePoint aUntil);
-  /// \brief Closes idle connections, such as after a backend server restart.
   void CloseIdle();
 
 private:
--- a/include/greengagehub/http/http_client.hpp
+++ b/include/greengagehub/http/http_client.hpp
@@ -11,7 +11,6 @@
 
 namespace greengagehub {
 
-/// \brief A request to an HTTP server.
 struct HttpClientRequest
 {
   std::string m_method{ "GET" };
@@ -22,12 +21,10 @@
   std::size_t m_maxAnswerBytes{ 16UL * 1024 * 1024 };
 };
 
-/// \brief Result of a request sent by HttpClient.
 struct HttpClientResult
 {
   enum class Kind : std::uint8_t
   {
-    /// A complete response is in m_response.
     Answered,
     /// No byte of the request was sent.
     NotSent,
--- a/include/greengagehub/http/http_message.hpp
+++ b/include/greengagehub/http/http_message.hpp
@@ -30,7 +30,6 @@
 [[nodiscard]] bool
 SameHeader(std::string_view aLeft, std::string_view aRight) noexcept;
 
-/// \brief A complete request received by a server.
 struct HttpRequest
 {
   std::string m_method;
@@ -38,7 +37,7 @@
   std::string m_target;
   std::vector<HttpHeader> m_headers;
   std::string m_body;
-  /// Connection id, as passed to the server's Closed handler.
+  /// Connection id, as passed to the server's ClosedHandler.
   std::uint64_t m_connection{ 0 };
   bool m_isFirstOnConnection{ true };
 };
--- a/include/greengagehub/http/http_server.hpp
+++ b/include/greengagehub/http/http_server.hpp
@@ -33,7 +33,6 @@
   Send m_send;
 };
 
-/// \brief Size and time limits for clients.
 struct HttpServerLimits
 {
   /// Larger heads are answered with status 431.
@@ -46,7 +45,6 @@
   std::chrono::milliseconds m_idleTimeout{ std::chrono::seconds{ 60 } };
 };
 
-/// \brief Address and limits of an HttpServer.
 struct HttpServerSettings
 {
   std::string m_address{ "127.0.0.1" };
@@ -68,20 +66,19 @@
 public:
   using Handler = std::function<void(HttpRequest, HttpResponder)>;
   /// Called when a connection closes while its request is handled.
-  using Closed = std::function<void(std::uint64_t aConnection)>;
+  using ClosedHandler = std::function<void(std::uint64_t aConnection)>;
 
   HttpServer(asio::io_context& aLoop,
              HttpServerSettings aSettings,
              Handler aHandler,
-             Closed aClosed = {});
+             ClosedHandler aClosed = {});
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// \returns Port that it listens on; 0 before Open().
+  /// 0 before Open().
   [[nodiscard]] std::uint16_t Port() const noexcept;
 
-  /// \brief Starts to listen.
   /// \returns The port, or ErrorCode::Io.
   [[nodiscard]] Outcome<std::uint16_t> Open();
   /// \brief Changes the limits, also for open connections.
--- a/include/greengagehub/http/listen_check.hpp
+++ b/include/greengagehub/http/listen_check.hpp
@@ -7,7 +7,6 @@
 
 namespace greengagehub {
 
-/// \brief Whether a process listens on an address.
 enum class ListenStatus : std::uint8_t
 {
   Yes,
--- a/src/http/backend_client.cpp
+++ b/src/http/backend_client.cpp
@@ -77,10 +77,9 @@
   /// connections reach their idle limit.
   std::vector<Pointer> m_idleConnections;
   Ticket m_lastTicket{ 0 };
-  std::uint64_t m_openedCount{ 0 };
+  std::uint64_t m_connectionAttempts{ 0 };
 };
 
-/// A connection that carries one request at a time.
 class BackendClient::Impl::Connection
   : public boost::intrusive_ref_counter<Connection,
                                         boost::thread_unsafe_counter>
@@ -151,7 +150,7 @@
 private:
   void Connect()
   {
-    ++m_client->m_openedCount;
+    ++m_client->m_connectionAttempts;
     const auto limit =
       std::min<TimePoint>(Clock::now() + m_client->m_settings.m_connectTimeout,
                           m_request.m_deadline);
@@ -452,9 +451,9 @@
 }
 
 std::uint64_t
-BackendClient::Opened() const noexcept
+BackendClient::ConnectionAttempts() const noexcept
 {
-  return m_impl->m_openedCount;
+  return m_impl->m_connectionAttempts;
 }
 
 BackendClient::Ticket
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -26,7 +26,6 @@
   HttpClient::Done m_done;
   HttpClient::Ticket m_ticket{ 0 };
   HttpResponse m_response;
-  /// Number of times that libcurl attempted to send the request.
   int m_sendCount{ 0 };
 };
 
@@ -82,7 +81,7 @@
 int
 OnNewSocket(void* /*unused*/, curl_socket_t aSocket, curlsocktype /*unused*/)
 {
-  constexpr int kOn = 1;
+  constexpr int kEnabled = 1;
   constexpr int kIdleSeconds = 1;
   constexpr int kIntervalSeconds = 1;
   constexpr int kProbes = 2;
@@ -90,7 +89,7 @@
   const auto set = [aSocket](int aLevel, int aName, const auto& aValue) {
     setsockopt(aSocket, aLevel, aName, &aValue, sizeof(aValue));
   };
-  set(SOL_SOCKET, SO_KEEPALIVE, kOn);
+  set(SOL_SOCKET, SO_KEEPALIVE, kEnabled);
   set(IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
   set(IPPROTO_TCP, TCP_KEEPINTVL, kIntervalSeconds);
   set(IPPROTO_TCP, TCP_KEEPCNT, kProbes);
@@ -263,11 +262,11 @@
 
   static int OnSocket(CURL* /*unused*/,
                       curl_socket_t aSocket,
-                      int aWhat,
+                      int aPollEvents,
                       void* aSelf,
                       void* /*unused*/)
   {
-    static_cast<Impl*>(aSelf)->UpdateWatch(aSocket, aWhat);
+    static_cast<Impl*>(aSelf)->UpdateWatch(aSocket, aPollEvents);
     return 0;
   }
 
@@ -294,10 +293,10 @@
     });
   }
 
-  void UpdateWatch(curl_socket_t aSocket, int aWhat)
+  void UpdateWatch(curl_socket_t aSocket, int aPollEvents)
   {
     const auto found = m_sockets.find(aSocket);
-    if (aWhat == CURL_POLL_REMOVE) {
+    if (aPollEvents == CURL_POLL_REMOVE) {
       // libcurl closes the socket next and its number may be reused at once, so
       // the loop must release it here.
       if (found != m_sockets.end()) {
@@ -313,7 +312,7 @@
     } else {
       watch = found->second;
     }
-    watch->m_events = aWhat;
+    watch->m_events = aPollEvents;
     StartWaits(aSocket, watch);
   }
 
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -25,12 +25,10 @@
 constexpr std::size_t kReadBytes = 8UL * 1024;
 /// Limit of pipelined bytes buffered per connection.
 constexpr std::size_t kMaxReadAhead = 64UL * 1024;
-/// Interval at which timeouts are checked.
 constexpr auto kTimeoutCheckInterval = std::chrono::milliseconds{ 250 };
 /// Time to read and discard input after the last answer: closing with unread
 /// bytes would reset the connection, and the client could lose the answer.
 constexpr auto kLingerTime = std::chrono::milliseconds{ 1000 };
-/// Maximum time to write an answer.
 constexpr auto kWriteTimeout = std::chrono::seconds{ 60 };
 
 }
@@ -56,7 +54,7 @@
   asio::io_context& m_loop;
   HttpServerSettings m_settings;
   Handler m_handler;
-  Closed m_closed;
+  ClosedHandler m_closed;
   tcp::acceptor m_acceptor;
   asio::steady_timer m_timeoutTimer;
   std::map<std::uint64_t, Pointer> m_connections;
@@ -65,7 +63,6 @@
   bool m_isStopped{ false };
 };
 
-/// A client's connection, which handles one request at a time.
 class HttpServer::Impl::Connection
   : public boost::intrusive_ref_counter<Connection,
                                         boost::thread_unsafe_counter>
@@ -424,7 +421,7 @@
 HttpServer::HttpServer(asio::io_context& aLoop,
                        HttpServerSettings aSettings,
                        Handler aHandler,
-                       Closed aClosed)
+                       ClosedHandler aClosed)
   : m_impl(std::make_unique<Impl>(aLoop))
 {
   m_impl->m_settings = std::move(aSettings);
--- a/src/http/message_parser.cpp
+++ b/src/http/message_parser.cpp
@@ -74,20 +74,20 @@
     return 0;
   }
 
-  static const http_parser_settings& Table()
+  static const http_parser_settings& ParserSettings()
   {
-    static const http_parser_settings kTable = [] {
-      http_parser_settings table;
-      http_parser_settings_init(&table);
-      table.on_url = OnTarget;
-      table.on_header_field = OnName;
-      table.on_header_value = OnValue;
-      table.on_headers_complete = OnHead;
-      table.on_body = OnBody;
-      table.on_message_complete = OnComplete;
-      return table;
+    static const http_parser_settings kSettings = [] {
+      http_parser_settings settings;
+      http_parser_settings_init(&settings);
+      settings.on_url = OnTarget;
+      settings.on_header_field = OnName;
+      settings.on_header_value = OnValue;
+      settings.on_headers_complete = OnHead;
+      settings.on_body = OnBody;
+      settings.on_message_complete = OnComplete;
+      return settings;
     }();
-    return kTable;
+    return kSettings;
   }
 };
 
@@ -131,7 +131,7 @@
   m_hasBegun = m_hasBegun || !aBytes.empty();
   const bool hadHead = m_hasHead;
   aConsumed = http_parser_execute(
-    &m_parser, &Callbacks::Table(), aBytes.data(), aBytes.size());
+    &m_parser, &Callbacks::ParserSettings(), aBytes.data(), aBytes.size());
   if (m_isBodyTooLarge) {
     return Status::BodyTooLarge;
   }
@@ -157,7 +157,7 @@
   if (!m_hasBegun) {
     return Status::NeedsMore;
   }
-  http_parser_execute(&m_parser, &Callbacks::Table(), nullptr, 0);
+  http_parser_execute(&m_parser, &Callbacks::ParserSettings(), nullptr, 0);
   return m_isComplete ? Status::Complete : Status::Malformed;
 }
 
--- a/src/http/message_parser.hpp
+++ b/src/http/message_parser.hpp
@@ -40,7 +40,6 @@
   MessageParser(const MessageParser&) = delete;
   MessageParser& operator=(const MessageParser&) = delete;
 
-  /// \brief Prepares for the next message.
   /// \param aIsHeadRequest the next response answers a HEAD request, so it has
   /// no body regardless of its headers.
   void Reset(bool aIsHeadRequest = false) noexcept;
--- a/src/http/message_text.hpp
+++ b/src/http/message_text.hpp
@@ -14,7 +14,6 @@
 [[nodiscard]] std::string
 ResponseText(const HttpResponse& aResponse, bool aIsHeadRequest, bool aClose);
 
-/// \returns The serialized request to the backend server.
 [[nodiscard]] std::string
 RequestText(const BackendRequest& aRequest);
 
--- a/tests/http/http_server.cpp
+++ b/tests/http/http_server.cpp
@@ -81,7 +81,6 @@
 
 TEST_CASE("a client that disconnects while its request is handled is detected")
 {
-  // Guards against processing a request after its client has disconnected.
   TestConnection client;
   client.Send(kGet);
   REQUIRE(client.RunUntil([&] { return client.m_requests.size() == 1; }));
