--- a/standins/backend_server.cpp
+++ b/standins/backend_server.cpp
@@ -106,7 +106,7 @@
       --m_cutsLeft;
       ++m_cuts;
       --m_running;
-      Cut(std::move(aRun));
+      DropRun(std::move(aRun));
       return;
     }
     const auto serviceTime =
@@ -139,7 +139,7 @@
 
   /// Drops a run without an answer; the HTTP server's timeout then closes the
   /// connection.
-  static void Cut(Run aRun) { static_cast<void>(aRun); }
+  static void DropRun(Run aRun) { static_cast<void>(aRun); }
 
   void SetFaults(const std::string& aBody)
   {
--- a/standins/platform_store.cpp
+++ b/standins/platform_store.cpp
@@ -43,7 +43,7 @@
 public:
   PlatformStore(asio::io_context& aLoop, HttpServerSettings aSettings)
     : m_loop(aLoop)
-    , m_tick(aLoop)
+    , m_tickTimer(aLoop)
     , m_http(aLoop,
              std::move(aSettings),
              [this](HttpRequest aRequest, HttpResponder aResponder) {
@@ -224,8 +224,7 @@
     }
   }
 
-  /// Answers a watch if there are changes, or if its time is over.
-  /// \returns Whether it was answered.
+  /// \returns Whether the watch had changes or expired, and so was answered.
   bool AnswerWatch(Watch& aWatch, bool aIsExpired)
   {
     Json events = Json::array();
@@ -393,8 +392,8 @@
         m_watches.push_back(std::move(each));
       }
     }
-    m_tick.expires_after(std::chrono::milliseconds{ 20 });
-    m_tick.async_wait([this](const asio::error_code& aError) {
+    m_tickTimer.expires_after(std::chrono::milliseconds{ 20 });
+    m_tickTimer.async_wait([this](const asio::error_code& aError) {
       if (!aError) {
         Tick();
       }
@@ -450,7 +449,7 @@
   }
 
   asio::io_context& m_loop;
-  asio::steady_timer m_tick;
+  asio::steady_timer m_tickTimer;
   HttpServer m_http;
   std::map<std::string, StoredKey> m_keys;
   std::map<std::string, StoredKey> m_backup;
--- a/standins/platform_store_state.hpp
+++ b/standins/platform_store_state.hpp
@@ -6,9 +6,6 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-/// \file
-/// \brief State of the stand-in for the platform's store.
-
 namespace greengagehub::standin {
 
 using Json = nlohmann::json;
@@ -46,7 +43,6 @@
   HttpResponder m_responder;
 };
 
-/// \brief Faults that are set over HTTP.
 struct Faults
 {
   std::string m_outage{ "none" };
@@ -55,7 +51,6 @@
   std::uint64_t m_lostAnswersLeft{ 0 };
 };
 
-/// \brief Counters that GET /stats reports.
 struct Counts
 {
   std::uint64_t m_reads{ 0 };
--- a/standins/platform_worker.cpp
+++ b/standins/platform_worker.cpp
@@ -216,7 +216,6 @@
     StartQueued();
   }
 
-  /// Cancels the run of a closed connection.
   void OnClosed(std::uint64_t aConnection)
   {
     const auto found = m_running.find(aConnection);
@@ -228,9 +227,6 @@
     }
   }
 
-  // -------------------------------------------------------------------------
-  // Crashes
-
   void ScheduleCrash()
   {
     if (std::exchange(m_isCrashing, true)) {
@@ -275,9 +271,6 @@
     }
   }
 
-  // -------------------------------------------------------------------------
-  // Heartbeats
-
   void RunHeartbeat()
   {
     if (!m_heartbeatUrl.empty() && m_http) {
@@ -327,7 +320,6 @@
              { "born", m_startedAt } };
   }
 
-  /// Sends an additional report with some fields changed.
   void SendChangedReport(const Json& aChanges)
   {
     Json report = MakeReport();
@@ -436,7 +428,6 @@
   std::map<std::string, std::uint32_t> m_targets;
   std::map<std::string, std::uint32_t> m_callers;
   std::map<std::string, std::uint32_t> m_tenants;
-  /// Requests that carried a caller's API key.
   std::uint64_t m_keysSeen{ 0 };
   std::string m_heartbeatUrl;
   std::uint64_t m_sequence{ 0 };
@@ -451,7 +442,6 @@
   std::uint64_t m_cancelled{ 0 };
   std::uint64_t m_acknowledged{ 0 };
   std::uint32_t m_foreignAnswers{ 0 };
-  /// Target of the requests that crash the process.
   std::string m_crashTarget;
   std::chrono::milliseconds m_crashDelay{ 20 };
   std::chrono::milliseconds m_restartDelay{ 500 };
--- a/standins/serve.hpp
+++ b/standins/serve.hpp
@@ -10,7 +10,6 @@
 
 /// \brief Opens a stand-in, logs its port as a "listening" event in JSON, and
 /// serves until the process ends.
-/// \returns The exit code of the process.
 template<class Server>
 int
 Serve(Server& aServer, asio::io_context& aLoop)
