--- a/tools/experiment.cpp
+++ b/tools/experiment.cpp
@@ -38,9 +38,6 @@
   std::string m_extraSettings;
 };
 
-// ---------------------------------------------------------------------------
-// Latency
-
 Json
 ReportLatencies(const std::vector<std::chrono::nanoseconds>& aDirect,
                 const std::vector<std::chrono::nanoseconds>& aThrough,
@@ -145,9 +142,6 @@
   return results;
 }
 
-// ---------------------------------------------------------------------------
-// Convergence and control traffic
-
 /// Resources used by a daemon, from its metrics and from /proc.
 struct Usage
 {
@@ -264,7 +258,6 @@
   return std::chrono::duration<double>(ClockType::now() - aSince).count();
 }
 
-/// Measures the usage of an idle fleet.
 Json
 MeasureIdleFleet(Fleet& aFleet, int aSeconds)
 {
@@ -278,9 +271,9 @@
 /// \returns For each daemon, the time from the acceptance of a version until
 /// the daemon logged that it is in force.
 std::vector<std::chrono::nanoseconds>
-TimesInForce(Fleet& aFleet,
-             std::uint64_t aVersion,
-             std::chrono::sys_time<std::chrono::milliseconds> aAccepted)
+ActivationDelays(Fleet& aFleet,
+                 std::uint64_t aVersion,
+                 std::chrono::sys_time<std::chrono::milliseconds> aAccepted)
 {
   std::vector<std::chrono::nanoseconds> times;
   for (const std::string& slot : aFleet.Slots()) {
@@ -343,8 +336,8 @@
   std::vector<std::chrono::nanoseconds> last;
   for (int i = 0; i < aOptions.m_changes; ++i) {
     const auto index = static_cast<std::size_t>(i);
-    const auto times =
-      TimesInForce(fleet, static_cast<std::uint64_t>(i) + 1, accepted[index]);
+    const auto times = ActivationDelays(
+      fleet, static_cast<std::uint64_t>(i) + 1, accepted[index]);
     all.insert(all.end(), times.begin(), times.end());
     last.push_back(*std::max_element(times.begin(), times.end()));
   }
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -48,7 +48,7 @@
     }
     PutConfig();
     if (m_options.m_rollout) {
-      m_badVersion.emplace(m_fleet, m_options.m_daemons / 2);
+      m_failingVersion.emplace(m_fleet, m_options.m_daemons / 2);
     }
   }
 
@@ -68,7 +68,7 @@
     readers.join();
     faults.join();
     ClearFaults();
-    if (!WaitUntil([this] { return AreAllReady(); }, kRecovery)) {
+    if (!WaitUntil([this] { return AreAllReady(); }, kRecoveryTimeout)) {
       result.m_violations.push_back("not every daemon is ready again: " +
                                     DescribeDaemons());
     }
@@ -81,7 +81,7 @@
   }
 
 private:
-  static constexpr auto kRecovery = std::chrono::seconds{ 30 };
+  static constexpr auto kRecoveryTimeout = std::chrono::seconds{ 30 };
 
   void PutConfig()
   {
@@ -138,9 +138,6 @@
     return plan;
   }
 
-  // -------------------------------------------------------------------------
-  // Plan
-
   std::chrono::milliseconds RandomTime(std::uint32_t aLow, std::uint32_t aHigh)
   {
     return std::chrono::milliseconds{ aLow + Below(m_random, aHigh - aLow) };
@@ -151,9 +148,9 @@
     return m_slots[Below(m_random, m_slots.size())];
   }
 
-  void Add(std::chrono::milliseconds aAt,
-           std::string aDescription,
-           std::function<void()> aAction)
+  void AddStep(std::chrono::milliseconds aAt,
+               std::string aDescription,
+               std::function<void()> aAction)
   {
     m_plan.push_back({ aAt, std::move(aDescription), std::move(aAction) });
   }
@@ -176,7 +173,7 @@
           AddWorkerFault(at, until);
           break;
         default:
-          Add(at, "configuration change", [this] { PutConfig(); });
+          AddStep(at, "change of configuration", [this] { PutConfig(); });
       }
     }
     if (m_options.m_restarts) {
@@ -210,9 +207,10 @@
       const auto at = RandomTime(300, aLength * 2 / 3);
       const std::string slot = RandomSlot();
       const auto control = [&](std::chrono::milliseconds aAt, Json aWanted) {
-        Add(aAt, slot + "'s worker: " + aWanted.dump(), [this, slot, aWanted] {
-          m_fleet.ControlWorker(slot, aWanted);
-        });
+        AddStep(
+          aAt, slot + "'s worker: " + aWanted.dump(), [this, slot, aWanted] {
+            m_fleet.ControlWorker(slot, aWanted);
+          });
       };
       control(at,
               { { "restart_same_id",
@@ -229,26 +227,26 @@
     m_crashing.emplace(m_fleet, m_slots);
     for (std::uint32_t i = 0; i < aLength / 300; ++i) {
       const std::string slot = RandomSlot();
-      Add(RandomTime(300, aLength * 2 / 3),
-          "crashing request at " + slot,
-          [this, slot] { m_crashing->Send(slot); });
+      AddStep(RandomTime(300, aLength * 2 / 3),
+              "the request that ends workers, by " + slot,
+              [this, slot] { m_crashing->Send(slot); });
     }
   }
 
   /// Orders a failing version, and restores the store to an older copy.
   void AddRollout(std::uint32_t aLength)
   {
-    Add(RandomTime(300, aLength / 3), "order of a failing version", [this] {
-      m_badVersion->Order();
-    });
+    AddStep(RandomTime(300, aLength / 3),
+            "order of a version that fails",
+            [this] { m_failingVersion->Order(); });
     const auto copied = RandomTime(100, aLength / 3);
     const auto store = [this](const char* aPath) {
-      return [this, aPath] { m_fleet.StoreAction(aPath); };
+      return [this, aPath] { m_fleet.PostToStore(aPath); };
     };
-    Add(copied, "store backed up", store("/backup"));
-    Add(copied + RandomTime(500, aLength / 3),
-        "store restored",
-        store("/restore"));
+    AddStep(copied, "store copied", store("/backup"));
+    AddStep(copied + RandomTime(500, aLength / 3),
+            "store back from the copy",
+            store("/restore"));
   }
 
   void AddSignal(std::chrono::milliseconds aAt,
@@ -261,22 +259,23 @@
     };
     switch (Below(m_random, 4)) {
       case 0:
-        Add(aAt, slot + " paused", signal(SIGSTOP));
-        Add(aUntil, slot + " resumed", signal(SIGCONT));
+        AddStep(aAt, slot + " paused", signal(SIGSTOP));
+        AddStep(aUntil, slot + " goes on", signal(SIGCONT));
         break;
       case 1:
-        Add(
+        AddStep(
           aAt, slot + " killed", [this, slot] { m_fleet.Daemon(slot).Kill(); });
-        Add(aUntil, slot + " started", [this, slot] { m_fleet.Restart(slot); });
+        AddStep(
+          aUntil, slot + " started", [this, slot] { m_fleet.Restart(slot); });
         break;
       case 2:
-        Add(aAt, slot + " sent SIGTERM", signal(SIGTERM));
-        Add(aAt + std::chrono::milliseconds{ 4500 },
-            slot + " started",
-            [this, slot] { m_fleet.Restart(slot); });
+        AddStep(aAt, slot + " told to stop", signal(SIGTERM));
+        AddStep(aAt + std::chrono::milliseconds{ 4500 },
+                slot + " started",
+                [this, slot] { m_fleet.Restart(slot); });
         break;
       default:
-        Add(aAt, slot + " sent SIGHUP", signal(SIGHUP));
+        AddStep(aAt, slot + " told to reload", signal(SIGHUP));
     }
   }
 
@@ -286,27 +285,27 @@
     const std::vector<Json>& faults = StoreFaults();
     if (Below(m_random, 2) == 0) {
       const Json& fault = faults[Below(m_random, faults.size())];
-      Add(aAt, "store: " + fault.dump(), [this, fault] {
+      AddStep(aAt, "store: " + fault.dump(), [this, fault] {
         m_fleet.SetStoreFaults(fault);
       });
-      Add(aUntil, "store fault cleared", [this] {
+      AddStep(aUntil, "store well", [this] {
         m_fleet.SetStoreFaults({ { "outage", "none" } });
       });
       return;
     }
     static const std::vector<std::pair<ProxyFault, const char*>> kFaults{
       { ProxyFault::Delay, "delayed" },
-      { ProxyFault::Drop, "dropped" },
-      { ProxyFault::DropAnswers, "dropped from the store" },
+      { ProxyFault::Drop, "silenced" },
+      { ProxyFault::DropAnswers, "cut one way" },
       { ProxyFault::Reset, "reset" },
     };
     const auto& entry = kFaults[Below(m_random, kFaults.size())];
     const ProxyFault fault = entry.first;
     const char* name = entry.second;
-    Add(aAt, fmt::format("connections to the store {}", name), [this, fault] {
-      m_proxy.SetFault(fault);
-    });
-    Add(aUntil, "connections to the store restored", [this] {
+    AddStep(aAt,
+            fmt::format("connections to the store {}", name),
+            [this, fault] { m_proxy.SetFault(fault); });
+    AddStep(aUntil, "connections to the store well", [this] {
       m_proxy.SetFault(ProxyFault::None);
     });
   }
@@ -319,10 +318,10 @@
     const Json& begin = pair.first;
     const Json& end = pair.second;
     const std::string slot = RandomSlot();
-    Add(aAt, slot + "'s worker: " + begin.dump(), [this, slot, begin] {
+    AddStep(aAt, slot + "'s worker: " + begin.dump(), [this, slot, begin] {
       m_fleet.ControlWorker(slot, begin);
     });
-    Add(aUntil, slot + "'s worker: " + end.dump(), [this, slot, end] {
+    AddStep(aUntil, slot + "'s worker: " + end.dump(), [this, slot, end] {
       m_fleet.ControlWorker(slot, end);
     });
   }
@@ -347,8 +346,8 @@
     // An earlier write may have failed or its answer been lost; this one is
     // known to hold the newest version.
     PutConfig();
-    if (m_badVersion) {
-      m_badVersion->Order();
+    if (m_failingVersion) {
+      m_failingVersion->Order();
     }
     for (const std::string& each : m_slots) {
       m_fleet.ControlWorker(each,
@@ -366,9 +365,6 @@
     }
   }
 
-  // -------------------------------------------------------------------------
-  // Check
-
   void Check(const std::vector<CallRecord>& aReleases,
              const std::vector<CallRecord>& aLookups,
              Result& aOut)
@@ -381,8 +377,8 @@
       }
     }
     const std::uint64_t goodRuns = TotalRuns(runs);
-    if (m_badVersion) {
-      m_badVersion->AddRunsTo(runs);
+    if (m_failingVersion) {
+      m_failingVersion->AddRunsTo(runs);
     }
     aOut.m_releases = CheckCalls(aReleases, runs);
     aOut.m_lookups = CheckCalls(aLookups, runs);
@@ -399,7 +395,7 @@
       aOut.m_violations.push_back(*crashes);
     }
     const auto exposure =
-      m_badVersion ? m_badVersion->Check(goodRuns) : std::nullopt;
+      m_failingVersion ? m_failingVersion->Check(goodRuns) : std::nullopt;
     if (exposure) {
       aOut.m_violations.push_back(*exposure);
     }
@@ -418,7 +414,7 @@
   std::vector<std::string> m_slots;
   std::vector<Step> m_plan;
   std::optional<CrashingRequests> m_crashing;
-  std::optional<FailingVersion> m_badVersion;
+  std::optional<FailingVersion> m_failingVersion;
   /// Number of faults that kill, stop or pause a daemon.
   int m_daemonFaults{ 0 };
   std::uint64_t m_version{ 0 };
--- a/tools/soak_crashing.hpp
+++ b/tools/soak_crashing.hpp
@@ -40,7 +40,6 @@
   }
 
   /// Waits for all answers, then until all backend servers are running.
-  /// \returns Whether they are.
   [[nodiscard]] bool WaitForWorkers()
   {
     m_sent.clear();
@@ -53,7 +52,6 @@
 
   /// \param aDaemonFaults Number of daemons killed, stopped or paused; each may
   /// lose or delay a crash report.
-  ///
   /// \returns A description of the violation, if any.
   [[nodiscard]] std::optional<std::string> Check(int aDaemonFaults) const
   {
@@ -61,7 +59,7 @@
     for (const std::string& each : m_slots) {
       crashes += m_fleet.WorkerCounts(each).value("ends", 0);
     }
-    const int limit = kQuarantineAt + kInFlight + aDaemonFaults;
+    const int limit = kCrashLimit + kMaxCopiesInFlight + aDaemonFaults;
     if (crashes <= limit) {
       return std::nullopt;
     }
@@ -73,8 +71,8 @@
   static constexpr const char* kTarget = "/read/crashing";
   /// Crashes after which the request is quarantined, and copies that may be in
   /// flight at that time.
-  static constexpr int kQuarantineAt = 3;
-  static constexpr int kInFlight = 3;
+  static constexpr int kCrashLimit = 3;
+  static constexpr int kMaxCopiesInFlight = 3;
 
   Fleet& m_fleet;
   std::vector<std::string> m_slots;
--- a/tools/soak_plan.hpp
+++ b/tools/soak_plan.hpp
@@ -8,8 +8,6 @@
 #include <string>
 #include <vector>
 
-// Options, plan and result of a soak test.
-
 namespace greengagehub::testkit {
 
 struct SoakOptions
@@ -51,7 +49,6 @@
   std::vector<std::string> m_violations;
 };
 
-/// \returns Faults of the store.
 inline const std::vector<nlohmann::json>&
 StoreFaults()
 {
--- a/tools/soak_rollout.hpp
+++ b/tools/soak_rollout.hpp
@@ -8,7 +8,6 @@
 
 namespace greengagehub::testkit {
 
-/// \returns The number of runs of all requests.
 inline std::uint64_t
 TotalRuns(const RunCounts& aRuns)
 {
@@ -19,8 +18,8 @@
   return sum;
 }
 
-/// \brief A version of the soak's service whose runs all fail, and the roll-out
-/// that tries it.
+/// \brief A version of the soak's service whose runs all fail, and its
+/// roll-out.
 class FailingVersion
 {
 public:
@@ -40,7 +39,6 @@
     }
   }
 
-  /// \brief Writes the order of its roll-out into the store.
   void Order() const
   {
     m_fleet.WriteToStore("op/rollout/lockers",
@@ -50,7 +48,6 @@
                            .dump());
   }
 
-  /// \brief Adds the runs at its workers, by request id.
   void AddRunsTo(RunCounts& aRuns) const
   {
     for (const std::string& each : m_slots) {
--- a/tools/testkit/distribution.hpp
+++ b/tools/testkit/distribution.hpp
@@ -25,7 +25,6 @@
   std::vector<std::chrono::nanoseconds> m_sample;
 };
 
-/// \returns A duration in microseconds.
 [[nodiscard]] double
 ToMicroseconds(std::chrono::nanoseconds aSpan) noexcept;
 
--- a/tools/testkit/fleet.cpp
+++ b/tools/testkit/fleet.cpp
@@ -363,7 +363,7 @@
 }
 
 void
-Fleet::StoreAction(const std::string& aPath) const
+Fleet::PostToStore(const std::string& aPath) const
 {
   HttpClientRequest request;
   request.m_method = "POST";
--- a/tools/testkit/fleet.hpp
+++ b/tools/testkit/fleet.hpp
@@ -12,7 +12,6 @@
 
 namespace greengagehub::testkit {
 
-/// \brief Settings of a worker and of its daemon.
 struct WorkerSpec
 {
   std::string m_slot{};
@@ -25,7 +24,6 @@
   std::uint32_t m_serviceMs{ 2 };
   /// Additional sections of the daemon's settings file, as TOML.
   std::string m_settings{};
-  /// Additional command-line arguments of the backend server.
   std::vector<std::string> m_backendArguments{};
   bool m_withBackend{ true };
   /// Whether the backend server uses the platform's protocol and heartbeats,
@@ -33,7 +31,6 @@
   bool m_onPlatform{ false };
 };
 
-/// \brief Result of an HTTP request to a process of the fleet.
 struct CallResult
 {
   HttpClientResult m_result;
@@ -48,7 +45,7 @@
   }
 };
 
-/// \brief Output and exit code of the command line; -1 when it did not exit.
+/// m_exitCode is -1 if the command line did not exit.
 struct CommandResult
 {
   int m_exitCode{ -1 };
@@ -81,18 +78,14 @@
   /// \brief Sets the port at which daemons that start later reach the store.
   void UseStoreAt(std::uint16_t aPort) { m_storePortOfDaemons = aPort; }
   [[nodiscard]] std::string ReadinessUrl(const std::string& aSlot) const;
-  /// \brief Sends a control request to a platform worker, such as a fault to
-  /// set.
+  /// \brief Sends PUT /control to a platform worker, such as to set a fault.
   void ControlWorker(const std::string& aSlot,
                      const nlohmann::json& aControl) const;
-  /// \returns A platform worker's counters; no object while it is down.
+  /// \returns Counters of a platform worker; not an object while it is down.
   [[nodiscard]] nlohmann::json WorkerCounts(const std::string& aSlot) const;
-  /// \brief Writes the operators' configuration into the platform's store.
   void PutPlatformConfig(const nlohmann::json& aDocument) const;
-  /// \brief Writes a value into the platform's store.
   void WriteToStore(const std::string& aKey, const std::string& aValue) const;
-  /// \returns The value of a key in the platform's store; empty if it is
-  /// missing.
+  /// \returns The value of a key; empty if it is missing.
   [[nodiscard]] std::string ReadFromStore(const std::string& aKey) const;
   /// \brief Runs the `trace` command over the logs of all daemons.
   [[nodiscard]] CommandResult Trace(const std::string& aId);
@@ -113,14 +106,12 @@
                                       std::vector<std::string> aArguments);
   void SetStoreFaults(const nlohmann::json& aFaults) const;
   /// \brief Sends a POST request to the store, such as "/backup" or "/restore".
-  void StoreAction(const std::string& aPath) const;
+  void PostToStore(const std::string& aPath) const;
   void SetBackendFaults(const std::string& aSlot,
                         const nlohmann::json& aFaults) const;
   [[nodiscard]] nlohmann::json StoreStats() const;
   [[nodiscard]] nlohmann::json Runs(const std::string& aSlot) const;
-  /// \returns Number of runs of each request id, over all backend servers.
   [[nodiscard]] RunCounts AllRuns() const;
-  /// \brief Submits a patch through a daemon.
   /// \returns Whether it was accepted.
   [[nodiscard]] bool SubmitPatch(const std::string& aSlot,
                                  const std::string& aId,
@@ -136,8 +127,7 @@
     std::chrono::milliseconds aLimit = std::chrono::seconds{ 30 });
   /// \brief Waits until every running daemon knows all running daemons.
   [[nodiscard]] bool WaitForMembers();
-  /// \brief Writes a file in this fleet's temporary directory.
-  /// \returns Its path.
+  /// \returns Path of the written file, in this fleet's temporary directory.
   std::string WriteFile(const std::string& aName,
                         const std::string& aText) const;
 
--- a/tools/testkit/load.cpp
+++ b/tools/testkit/load.cpp
@@ -13,7 +13,6 @@
 
 using ClockType = std::chrono::steady_clock;
 
-/// Executes a plan on an event loop of its own.
 class LoadRun
 {
 public:
--- a/tools/testkit/load.hpp
+++ b/tools/testkit/load.hpp
@@ -29,7 +29,6 @@
   std::chrono::milliseconds m_timeout{ std::chrono::seconds{ 10 } };
 };
 
-/// \brief Outcome of one call, as its caller received it.
 struct CallRecord
 {
   std::string m_id;
@@ -50,19 +49,16 @@
 /// \brief An action during the load, run on a thread of its own.
 struct LoadEvent
 {
-  /// Number of calls sent before the action.
   std::size_t m_afterCalls{ 0 };
   std::function<void()> m_action;
 };
 
-/// \brief Sends the plan's calls and waits for all answers.
 [[nodiscard]] std::vector<CallRecord>
 RunLoad(const LoadPlan& aPlan, std::vector<LoadEvent> aEvents = {});
 
 /// \brief Number of runs of each request id, over all workers.
 using RunCounts = std::map<std::string, std::uint32_t>;
 
-/// \brief Result of a comparison of outcomes with runs.
 struct CallReport
 {
   std::size_t m_answered{ 0 };
--- a/tools/testkit/process.hpp
+++ b/tools/testkit/process.hpp
@@ -11,7 +11,6 @@
 namespace greengagehub::testkit {
 
 /// \brief Polls a condition until it holds or the time limit has passed.
-/// \returns Whether it held.
 [[nodiscard]] bool
 WaitUntil(const std::function<bool()>& aCondition,
           std::chrono::milliseconds aLimit = std::chrono::seconds{ 20 });
@@ -50,15 +49,13 @@
   /// \returns Standard output, then standard error, since the first start that
   /// used the log file.
   [[nodiscard]] std::string Log() const;
-  /// \returns Whether the log has a line with this event.
   [[nodiscard]] bool HasLogged(const std::string& aEvent) const;
   [[nodiscard]] bool IsRunning();
 
   void Signal(int aSignal) const;
-  /// \brief Sends SIGKILL and waits for the end of the process.
+  /// \brief Sends SIGKILL and waits until the process has exited.
   void Kill();
-  /// \returns The exit code; nothing when the process does not end in time or
-  /// is ended by a signal.
+  /// \returns The exit code; std::nullopt after the time limit or a signal.
   [[nodiscard]] std::optional<int> Wait(
     std::chrono::milliseconds aLimit = std::chrono::seconds{ 20 });
 
--- a/tools/testkit/tcp_proxy.cpp
+++ b/tools/testkit/tcp_proxy.cpp
@@ -17,7 +17,6 @@
 
 constexpr auto kDelay = std::chrono::milliseconds{ 150 };
 
-/// The two sockets of a proxied connection.
 struct ProxiedConnection : std::enable_shared_from_this<ProxiedConnection>
 {
   explicit ProxiedConnection(asio::io_context& aLoop)
--- a/tools/testkit/tcp_proxy.hpp
+++ b/tools/testkit/tcp_proxy.hpp
@@ -7,11 +7,9 @@
 
 namespace greengagehub::testkit {
 
-/// \brief Fault that a proxy applies to its connections.
 enum class ProxyFault : std::uint8_t
 {
   None,
-  /// Data is delayed.
   Delay,
   /// Data is dropped in both directions; connections stay open.
   Drop,
