--- a/tests/end_to_end/calls_under_failure.cpp
+++ b/tests/end_to_end/calls_under_failure.cpp
@@ -3,9 +3,6 @@
 #include <csignal>
 #include <doctest/doctest.h>
 
-// Compares the outcomes that callers receive with the runs at the backend
-// servers while processes are killed, paused and restarted.
-
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 
@@ -46,8 +43,7 @@
 
 TEST_CASE("answers that overtake each other reach their own callers")
 {
-  // Workers with different service times answer concurrent calls out of order;
-  // a body with another request's id shows a mix-up.
+  // A body with another request's id shows a mix-up.
   Fleet fleet;
   StartLockers(fleet);
   fleet.SetBackendFaults("locker-app-1", { { "service_ms", 40 } });
@@ -62,8 +58,7 @@
 
 TEST_CASE("a worker's daemon is killed under load")
 {
-  // A worker's daemon is killed with releases queued, running and answered: no
-  // release may run twice, and none that is reported as not run may have run.
+  // No release may run twice, and none reported as not run may have run.
   Fleet fleet;
   StartLockers(fleet, { .m_slots = 4, .m_serviceMs = 10 });
   const auto records = RunLoad(
@@ -123,8 +118,7 @@
 
 TEST_CASE("rolling restarts of every daemon lose no call")
 {
-  // Daemons are drained and restarted in turn under load: calls in flight must
-  // finish, new ones must go elsewhere, and each daemon must exit with code 0.
+  // Each daemon must finish its calls in flight and exit with code 0.
   Fleet fleet;
   StartLockers(fleet, { .m_slots = 8, .m_serviceMs = 20 });
   std::vector<int> exitCodes;
@@ -148,8 +142,6 @@
 
 TEST_CASE("a draining worker starts nothing new and finishes its running calls")
 {
-  // A worker drains with slow calls in flight: these must finish, and calls
-  // after its announcement must run elsewhere.
   Fleet fleet;
   StartLockers(fleet, { .m_serviceMs = 300 });
   const auto before =
@@ -171,8 +163,6 @@
 
 TEST_CASE("the caller's own daemon is killed: no release runs twice")
 {
-  // The daemon that callers are connected to is killed with calls in flight:
-  // callers are disconnected, but no call may run twice.
   Fleet fleet;
   StartLockers(fleet, { .m_slots = 4, .m_serviceMs = 10 });
   const auto records = RunLoad(
@@ -185,7 +175,6 @@
 
 TEST_CASE("the checker finds duplicate runs and false \"not run\" outcomes")
 {
-  // Guards against a checker that misses violations.
   CallRecord answered;
   answered.m_id = "a";
   answered.m_result.m_kind = HttpClientResult::Kind::Answered;
--- a/tests/end_to_end/config_under_failure.cpp
+++ b/tests/end_to_end/config_under_failure.cpp
@@ -4,8 +4,6 @@
 #include <doctest/doctest.h>
 #include <fmt/format.h>
 
-// Configuration versions in force while watchers, daemons and the store fail.
-
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 
@@ -55,8 +53,7 @@
 
 TEST_CASE("a daemon restarted during a store outage serves no older version")
 {
-  // A daemon restarts without state while the store is unreachable: it must
-  // take version 3 from its peers before it accepts calls.
+  // The daemon must take version 3 from its peers before it accepts calls.
   Fleet fleet;
   StartDaemons(fleet, 4);
   for (std::uint64_t i = 0; i < 3; ++i) {
@@ -101,8 +98,7 @@
 
 TEST_CASE("all watchers and a third of the daemons are killed at once")
 {
-  // All daemons that watch the store are killed: others must take the watches
-  // over, and a version accepted afterwards must reach every daemon.
+  // A version accepted afterwards must reach every remaining daemon.
   Fleet fleet;
   StartDaemons(fleet, 9);
   const auto slots = fleet.Slots();
@@ -147,17 +143,16 @@
 
 TEST_CASE("daemons keep their version after a restore of an older store")
 {
-  // The store returns two versions older: daemons must keep the newer version,
-  // log the fact, and reject patches.
+  // Daemons must also log the restore and reject patches.
   Fleet fleet;
   StartDaemons(fleet, 3);
   REQUIRE(fleet.SubmitPatch("d00", "p0", 0, Patch(0)));
   REQUIRE(fleet.WaitForVersion(1));
-  fleet.StoreAction("/backup");
+  fleet.PostToStore("/backup");
   REQUIRE(fleet.SubmitPatch("d00", "p1", 1, Patch(1)));
   REQUIRE(fleet.SubmitPatch("d00", "p2", 2, Patch(2)));
   REQUIRE(fleet.WaitForVersion(3));
-  fleet.StoreAction("/restore");
+  fleet.PostToStore("/restore");
   const CallResult rejected =
     fleet.CallOperatorsApi("d01", "POST", "/v1/patches?id=p3&base=3", Patch(3));
   CHECK(rejected.Status() == 500);
--- a/tests/end_to_end/crashing_requests.cpp
+++ b/tests/end_to_end/crashing_requests.cpp
@@ -2,8 +2,6 @@
 
 #include <doctest/doctest.h>
 
-// Quarantine of a request that crashes every backend server that runs it.
-
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 using namespace std::chrono_literals;
@@ -14,10 +12,9 @@
 /// Crashes after which a request is quarantined.
 constexpr int kCrashLimit = 3;
 /// Copies in flight when the last of these crashes becomes known.
-constexpr int kInFlight = 2;
+constexpr int kMaxCopiesInFlight = 2;
 constexpr int kWorkers = 8;
 
-/// Makes all workers of the fleet crash when they run kCrashingTarget.
 void
 CrashOnRequest(const Fleet& aFleet)
 {
@@ -32,7 +29,8 @@
 /// Waits until each worker answers.
 /// \returns The sum of a count over all workers.
 int
-Sum(const Fleet& aFleet, const std::function<int(const Json&)>& aSelect)
+SumOverWorkers(const Fleet& aFleet,
+               const std::function<int(const Json&)>& aSelect)
 {
   int sum = 0;
   for (const std::string& each : aFleet.Slots()) {
@@ -49,14 +47,14 @@
 int
 CrashCount(const Fleet& aFleet)
 {
-  return Sum(aFleet,
-             [](const Json& aCounts) { return aCounts.value("ends", 0); });
+  return SumOverWorkers(
+    aFleet, [](const Json& aCounts) { return aCounts.value("ends", 0); });
 }
 
 int
 CrashingRuns(const Fleet& aFleet)
 {
-  return Sum(aFleet, [](const Json& aCounts) {
+  return SumOverWorkers(aFleet, [](const Json& aCounts) {
     return aCounts["targets"].value(kCrashingTarget, 0);
   });
 }
@@ -81,8 +79,8 @@
       SendRequest(fleet, slot, "GET", "/status/1", "o" + std::to_string(i));
     CHECK(other.Status() == 200);
   }
-  CHECK(CrashCount(fleet) <= kCrashLimit + kInFlight);
-  CHECK(CrashingRuns(fleet) <= kCrashLimit + kInFlight);
+  CHECK(CrashCount(fleet) <= kCrashLimit + kMaxCopiesInFlight);
+  CHECK(CrashingRuns(fleet) <= kCrashLimit + kMaxCopiesInFlight);
 }
 
 TEST_CASE("a quarantine outlasts a restart of all daemons")
--- a/tests/end_to_end/paused_daemon.cpp
+++ b/tests/end_to_end/paused_daemon.cpp
@@ -3,9 +3,6 @@
 #include <csignal>
 #include <thread>
 
-// A daemon is paused, as it is without processor time. Requests wait unread in
-// its sockets; their callers may have disconnected by the time it resumes.
-
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 using namespace std::chrono_literals;
--- a/tests/end_to_end/platform.cpp
+++ b/tests/end_to_end/platform.cpp
@@ -6,9 +6,6 @@
 #include <doctest/doctest.h>
 #include <thread>
 
-// Daemons as real processes on the platform: workers send heartbeats, and the
-// operators' configuration is in the platform's store.
-
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 
@@ -51,8 +48,6 @@
 
 TEST_CASE("a draining worker gets no more calls")
 {
-  // Once the drain is acknowledged, all daemons must send calls to the other
-  // worker.
   Fleet fleet;
   StartLockers(fleet, 2);
   fleet.ControlWorker("lockers-1", { { "draining", true } });
@@ -126,8 +121,7 @@
 
 TEST_CASE("late and malformed reports do not affect a worker")
 {
-  // Late reports of a previous incarnation and malformed ones must each get an
-  // answer, and none may drain the worker.
+  // Each report must get an answer, and none may drain the worker.
   Fleet fleet;
   StartLockers(fleet, 1);
   fleet.ControlWorker("lockers-1", { { "restart_same_id", 5000 } });
@@ -276,7 +270,6 @@
 
 TEST_CASE("a caller that disconnects cancels its run")
 {
-  // Guards against runs that occupy a slot after their caller disconnected.
   Fleet fleet;
   StartLockers(fleet, 1, 800);
   HttpClientRequest request;
@@ -312,7 +305,7 @@
   // The copy is older than the fleet: without seeds, new daemons could not
   // join.
   Fleet fleet;
-  fleet.StoreAction("/backup");
+  fleet.PostToStore("/backup");
   StartLockers(fleet, 3);
   const auto seeds = [&] {
     const std::string prefix{ kSeedPrefix };
@@ -323,7 +316,7 @@
     return found;
   };
   REQUIRE(WaitUntil([&] { return seeds() == 2; }));
-  fleet.StoreAction("/restore");
+  fleet.PostToStore("/restore");
   CHECK(seeds() == 0);
   CHECK(WaitUntil([&] { return seeds() == 2; }));
 }
--- a/tests/end_to_end/rollouts.cpp
+++ b/tests/end_to_end/rollouts.cpp
@@ -2,8 +2,6 @@
 
 #include <doctest/doctest.h>
 
-// Roll-outs of a new version of a service beside the current one.
-
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 using namespace std::chrono_literals;
@@ -124,8 +122,7 @@
 
 TEST_CASE("a failing version gets a few calls and is rolled back")
 {
-  // Workers of a failing version must get no call before the order, few after
-  // it, and none after the rollback.
+  // Its workers must get no call before the order or after the rollback.
   Fleet fleet;
   StartLockers(fleet, kOldWorkers);
   AddNewWorkers(fleet, true);
@@ -192,13 +189,13 @@
   Fleet fleet;
   StartLockers(fleet, kOldWorkers);
   AddNewWorkers(fleet, true);
-  fleet.StoreAction("/backup");
+  fleet.PostToStore("/backup");
   CallGenerator generator{ fleet };
   OrderRollout(fleet, 20.0);
   REQUIRE(generator.CallUntil("rolled_back"));
   const int canaryRuns = RunsAtNew(fleet);
 
-  fleet.StoreAction("/restore");
+  fleet.PostToStore("/restore");
   CHECK(StateOf(fleet).empty());
   OrderRollout(fleet, 20.0);
   REQUIRE(generator.CallUntil("rolled_back"));
--- a/tests/end_to_end/workspaces.cpp
+++ b/tests/end_to_end/workspaces.cpp
@@ -5,9 +5,6 @@
 #include <csignal>
 #include <doctest/doctest.h>
 
-// API keys and quotas of workspaces, with real processes and the operators'
-// configuration in the platform's store.
-
 using namespace greengagehub;
 using namespace greengagehub::testkit;
 
