--- a/bench/rollout_lab.hpp
+++ b/bench/rollout_lab.hpp
@@ -15,7 +15,6 @@
 
 namespace greengagehub::lab {
 
-/// \brief Fault of the new version.
 enum class VersionFault : std::uint8_t
 {
   None,
@@ -24,7 +23,7 @@
   /// Fails at workers with at least m_loadThreshold pending calls.
   UnderLoad,
   OneRoute,
-  /// Fails from kLateFrom after the order.
+  /// Fails from kLateFaultDelay after the order.
   Late,
 };
 
@@ -45,29 +44,24 @@
   Burst,
 };
 
-/// \brief Parameters of a simulated roll-out.
 struct RolloutScenario
 {
   VersionFault m_fault{ VersionFault::None };
   Disturbance m_disturbance{ Disturbance::None };
   /// Share of the new version's runs that the fault affects.
   double m_faultShare{ 0.33 };
-  /// Factor on the duration of a slow run.
   double m_slowFactor{ 8.0 };
-  /// Pending calls from which a worker fails under load.
   std::uint32_t m_loadThreshold{ 3 };
   std::uint32_t m_oldWorkers{ 57 };
   std::uint32_t m_newWorkers{ 57 };
   double m_callsPerSecond{ 1865.0 };
   std::chrono::milliseconds m_duration{ 15'000 };
   /// Time from the order to the loss of the leader; 0 for no loss. A successor
-  /// leads kTakeOver later.
+  /// leads kTakeoverDelay later.
   std::chrono::milliseconds m_leaderLost{ 0 };
-  /// Whether a successor takes over.
   bool m_hasSuccessor{ true };
 };
 
-/// \brief Result of a simulated roll-out.
 struct RolloutResult
 {
   RolloutState m_state{ RolloutState::Running };
@@ -89,8 +83,8 @@
 {
 public:
   static constexpr std::chrono::milliseconds kTick{ 50 };
-  static constexpr std::chrono::milliseconds kLateFrom{ 4000 };
-  static constexpr std::chrono::milliseconds kTakeOver{ 2000 };
+  static constexpr std::chrono::milliseconds kLateFaultDelay{ 4000 };
+  static constexpr std::chrono::milliseconds kTakeoverDelay{ 2000 };
 
   RolloutLab(RolloutScenario aScenario, std::uint64_t aSeed)
     : m_scenario(aScenario)
@@ -109,8 +103,8 @@
     while (m_now < end + std::chrono::seconds{ 2 }) {
       m_now += kTick;
       FinishRuns();
-      Arrive(m_now <= end);
-      Lead();
+      GenerateCalls(m_now <= end);
+      RunLeader();
     }
     return m_result;
   }
@@ -143,7 +137,7 @@
     TimePoint m_startsAt;
     std::vector<TimePoint> m_freeAt{ std::vector<TimePoint>(kSlots) };
     std::uint32_t m_pendingCalls{ 0 };
-    RunCounter m_tally;
+    RunCounter m_runCounter;
   };
   struct RunEnd
   {
@@ -200,7 +194,7 @@
       --worker.m_pendingCalls;
       const bool isCold =
         worker.m_isNew && runEnd.m_at < worker.m_startsAt + kColdStart;
-      worker.m_tally.Ended(
+      worker.m_runCounter.Ended(
         runEnd.m_route, runEnd.m_result, runEnd.m_took, isCold);
       m_badRuns += runEnd.m_isBad ? 1 : 0;
       if (m_badRuns == kBadRunLimit && !m_badRunsAt) {
@@ -209,14 +203,14 @@
     }
   }
 
-  void Arrive(bool aCountsCalls)
+  void GenerateCalls(bool aCountsCalls)
   {
     const double burst = IsDisturbed(Disturbance::Burst) ? 1.6 : 1.0;
     m_dueCalls += burst * m_scenario.m_callsPerSecond *
                   std::chrono::duration<double>(kTick).count();
     for (; m_dueCalls >= 1.0; m_dueCalls -= 1.0) {
       m_result.m_calls += aCountsCalls ? 1 : 0;
-      const auto chosen = Choose();
+      const auto chosen = ChooseWorker();
       if (!chosen) {
         continue;
       }
@@ -225,11 +219,11 @@
       if (isNew && m_badRunsAt) {
         m_result.m_usedAfterBadRuns = m_now - *m_badRunsAt;
       }
-      Begin(*chosen);
+      StartRun(*chosen);
     }
   }
 
-  [[nodiscard]] std::optional<std::size_t> Choose()
+  [[nodiscard]] std::optional<std::size_t> ChooseWorker()
   {
     const bool isCanary = m_table.DrawsCanary(m_now, kService, m_random);
     for (const VersionRule& rule :
@@ -260,7 +254,7 @@
     return std::nullopt;
   }
 
-  void Begin(std::size_t aWorker)
+  void StartRun(std::size_t aWorker)
   {
     Worker& worker = m_workers[aWorker];
     const double drawn = std::uniform_real_distribution<>{}(m_random);
@@ -282,7 +276,7 @@
     const bool slow =
       runEnd.m_isBad && m_scenario.m_fault == VersionFault::Slow;
     runMs *= slow ? m_scenario.m_slowFactor : 1.0;
-    runEnd.m_result = ResultOf(worker, runEnd.m_isBad && !slow);
+    runEnd.m_result = DrawResult(worker, runEnd.m_isBad && !slow);
     const auto whole = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>{ runMs });
     const Duration span = std::min<Duration>(whole, kDeadline);
@@ -295,7 +289,7 @@
     runEnd.m_took = span;
     runEnd.m_at = *slot;
     ++worker.m_pendingCalls;
-    worker.m_tally.Arrived();
+    worker.m_runCounter.Arrived();
     m_runEnds.push(runEnd);
   }
 
@@ -311,13 +305,15 @@
         return aRoute.m_id == kRoutes[1].m_id &&
                Chance(m_scenario.m_faultShare);
       case VersionFault::Late:
-        return SinceOrder() > kLateFrom && Chance(m_scenario.m_faultShare);
+        return SinceOrder() > kLateFaultDelay &&
+               Chance(m_scenario.m_faultShare);
       default:
         return Chance(m_scenario.m_faultShare);
     }
   }
 
-  [[nodiscard]] RunCounter::Result ResultOf(const Worker& aWorker, bool aFails)
+  [[nodiscard]] RunCounter::Result DrawResult(const Worker& aWorker,
+                                              bool aFails)
   {
     constexpr double kBaseFailureShare = 0.004;
     const bool grey =
@@ -332,7 +328,7 @@
                                : RunCounter::Result::Good;
   }
 
-  void Lead()
+  void RunLeader()
   {
     const auto lost = m_scenario.m_leaderLost;
     if (lost.count() > 0 && SinceOrder() >= lost && !m_wasLost) {
@@ -341,7 +337,7 @@
     }
     const bool takesOver = m_wasLost && !m_leader &&
                            m_scenario.m_hasSuccessor &&
-                           SinceOrder() >= lost + kTakeOver;
+                           SinceOrder() >= lost + kTakeoverDelay;
     if (takesOver) {
       m_leader.emplace(m_now, "new", RolloutLimits{});
     }
@@ -356,7 +352,7 @@
     const auto decision = m_leader->OnTick(
       m_now, *record, { m_scenario.m_oldWorkers, StartedNew() });
     if (decision) {
-      Take(decision->m_record);
+      ApplyDecision(decision->m_record);
     }
   }
 
@@ -374,13 +370,13 @@
       counts.m_service = kService;
       counts.m_version = each.m_isNew ? "new" : "old";
       counts.m_pendingCalls = each.m_pendingCalls;
-      counts.m_arrived = each.m_tally.CountArrived();
-      counts.m_routes = each.m_tally.Routes();
+      counts.m_arrived = each.m_runCounter.CountArrived();
+      counts.m_routes = each.m_runCounter.Routes();
       m_leader->OnCounts(counts);
     }
   }
 
-  void Take(RolloutRecord aRecord)
+  void ApplyDecision(RolloutRecord aRecord)
   {
     if (aRecord.m_state == RolloutState::Completing) {
       // The simulated store confirms the write at once.
--- a/bench/routing_lab.hpp
+++ b/bench/routing_lab.hpp
@@ -17,14 +17,12 @@
 
 using namespace std::chrono_literals;
 
-/// \brief Slots and mean service time of a simulated worker.
 struct WorkerShape
 {
   std::uint32_t m_slots{ 20 };
   Duration m_service{ 10ms };
 };
 
-/// \brief Workers of a simulated service, and its load.
 struct ServiceShape
 {
   const char* m_name;
@@ -36,7 +34,6 @@
   Duration m_phase{ 10s };
 };
 
-/// \brief Fault in what workers report.
 enum class WorkerBehavior
 {
   Honest,
@@ -52,7 +49,6 @@
 /// One-way delay between caller and worker.
 constexpr auto kNetworkDelay = std::chrono::microseconds{ 500 };
 
-/// \brief Outcomes of the calls of one class.
 struct ClassResult
 {
   /// Of calls that succeeded before their deadline.
@@ -103,7 +99,7 @@
 
   Result Run()
   {
-    Schedule(m_start, [this] { Arrive(); });
+    Schedule(m_start, [this] { GenerateCall(); });
     Schedule(m_start + 100ms, [this] { Tick(); });
     while (!m_events.empty()) {
       const Event event = m_events.top();
@@ -150,14 +146,14 @@
     return m_shape.m_loads[phase % m_shape.m_loads.size()];
   }
 
-  void Arrive()
+  void GenerateCall()
   {
     if (m_now - m_start > kLength) {
       return;
     }
     const std::chrono::duration<double> gap{ 1.0 / (LoadNow() * m_capacity) };
     Schedule(m_now + Exponential(std::chrono::duration_cast<Duration>(gap)),
-             [this] { Arrive(); });
+             [this] { GenerateCall(); });
     const auto draw = Below(m_random, 10);
     const CallClass callClass = draw < 6   ? CallClass::Critical
                                 : draw < 9 ? CallClass::Lookup
@@ -297,8 +293,6 @@
     }
   }
 
-  /// Updates the longest time from the end of a burst until all queues are
-  /// empty.
   void UpdateRecovery()
   {
     const bool isLowPhase =
