--- a/bench/rollout_lab.hpp
+++ b/bench/rollout_lab.hpp
@@ -387,7 +387,7 @@
       }
     }
     aRecord.m_isWritten = IsFinal(aRecord.m_state);
-    static_cast<void>(m_table.Take(m_now, aRecord));
+    static_cast<void>(m_table.ApplyRecord(m_now, aRecord));
     m_result.m_state = aRecord.m_state;
     m_result.m_cause = aRecord.m_cause;
     if (IsFinal(aRecord.m_state)) {
--- a/include/greengagehub/daemon/rollout_service.hpp
+++ b/include/greengagehub/daemon/rollout_service.hpp
@@ -89,7 +89,7 @@
   void OnStatusesRead(std::vector<StoreItem> aOrders, const StoreReply& aReply);
   void Write(std::optional<StoreRequest> aRequest);
   void OnWritten(const RolloutStatus& aStatus);
-  void LogStep(const RolloutLeader::Lead& aDecision) const;
+  void LogStep(const RolloutLeader::Decision& aDecision) const;
   void LogChange(const RolloutRecord& aRecord, Scope aScope) const;
 
   Dependencies m_deps;
--- a/include/greengagehub/membership/member_sync.hpp
+++ b/include/greengagehub/membership/member_sync.hpp
@@ -51,9 +51,9 @@
   }
 
   /// \brief The exchange failed; another peer may be tried at once.
-  void Failed() noexcept { m_nextExchange = TimePoint{}; }
+  void OnExchangeFailed() noexcept { m_nextExchange = TimePoint{}; }
   /// \param aChanges number of records that were new or changed.
-  void Ended(std::size_t aChanges) noexcept
+  void OnExchangeSucceeded(std::size_t aChanges) noexcept
   {
     if (aChanges >= kManyChanges) {
       m_interval = kMinInterval;
--- a/include/greengagehub/quarantine/verdict_writer.hpp
+++ b/include/greengagehub/quarantine/verdict_writer.hpp
@@ -31,9 +31,9 @@
 public:
   /// \brief Queues a write of the verdict.
   /// \param aChecksFirst whether to skip the write if the key already exists.
-  void Hold(QuarantineVerdict aVerdict,
-            TimePoint aNotBefore,
-            bool aChecksFirst);
+  void QueueWrite(QuarantineVerdict aVerdict,
+                  TimePoint aNotBefore,
+                  bool aChecksFirst);
   /// \brief Queues the deletion of the request's key.
   void Lift(Fingerprint aFingerprint, TimePoint aNow);
   /// \returns The next call to the store, if one is due and none is in
--- a/include/greengagehub/rollout/rollout_leader.hpp
+++ b/include/greengagehub/rollout/rollout_leader.hpp
@@ -23,22 +23,22 @@
   };
 
   /// \brief The decision to publish to all daemons.
-  struct Lead
+  struct Decision
   {
     RolloutRecord m_record;
     /// Whether the state or the canary share changes.
     bool m_isStep{ false };
     CanaryAnalyzer::Judgement m_judgement{};
-    StepInputs m_view{};
+    StepInputs m_inputs{};
   };
 
   RolloutLeader(TimePoint aNow, std::string aTarget, RolloutLimits aLimits);
 
   [[nodiscard]] const std::string& Target() const noexcept { return m_target; }
   void OnCounts(const WorkerCounts& aCounts) { m_analyzer.OnCounts(aCounts); }
-  [[nodiscard]] std::optional<Lead> OnTick(TimePoint aNow,
-                                           const RolloutRecord& aRecord,
-                                           const Workers& aWorkers);
+  [[nodiscard]] std::optional<Decision> OnTick(TimePoint aNow,
+                                               const RolloutRecord& aRecord,
+                                               const Workers& aWorkers);
 
 private:
   void Evaluate(TimePoint aNow);
--- a/include/greengagehub/rollout/rollout_table.hpp
+++ b/include/greengagehub/rollout/rollout_table.hpp
@@ -98,7 +98,8 @@
                                 const std::string& aTarget,
                                 RolloutState aState);
   /// \brief Applies a record from another daemon or the local leader.
-  [[nodiscard]] Change Take(TimePoint aNow, const RolloutRecord& aRecord);
+  [[nodiscard]] Change ApplyRecord(TimePoint aNow,
+                                   const RolloutRecord& aRecord);
 
   /// \returns Whether a call is randomly assigned to the canary.
   [[nodiscard]] bool DrawsCanary(TimePoint aNow,
--- a/include/greengagehub/rollout/status_writer.hpp
+++ b/include/greengagehub/rollout/status_writer.hpp
@@ -56,9 +56,9 @@
 
   /// \brief Queues a status in place of a queued one of the same service.
   /// Ignored if the store has accepted another final status of the order.
-  void Want(RolloutStatus aStatus, TimePoint aNotBefore)
+  void QueueWrite(RolloutStatus aStatus, TimePoint aNotBefore)
   {
-    Drop(aStatus.m_service);
+    CancelWrite(aStatus.m_service);
     const auto final = m_finalStatuses.find(aStatus.m_service);
     const bool isDecided = final != m_finalStatuses.end() &&
                            final->second.m_target == aStatus.m_target &&
@@ -69,7 +69,7 @@
     m_jobs.push_back({ std::move(aStatus), aNotBefore });
   }
 
-  void Drop(const std::string& aService)
+  void CancelWrite(const std::string& aService)
   {
     const auto first = m_jobs.begin() + (m_isBusy ? 1 : 0);
     const auto isSame = [&](const Job& aJob) {
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -118,7 +118,7 @@
                 kPullTimeout,
                 [this, aPullsMembers](std::optional<PullAnswer> aAnswer) {
                   if (aPullsMembers && !aAnswer) {
-                    m_memberSync.Failed();
+                    m_memberSync.OnExchangeFailed();
                   }
                   OnPulled(std::move(aAnswer));
                 });
@@ -148,7 +148,7 @@
     std::max(aAnswer->m_head.m_version, aAnswer->m_minimumVersion));
   MembershipActions actions =
     m_membership.OnRecords(Clock::now(), aAnswer->m_members);
-  m_memberSync.Ended(actions.m_events.size());
+  m_memberSync.OnExchangeSucceeded(actions.m_events.size());
   Execute(std::move(actions));
   if (!aAnswer->m_members.empty()) {
     SetJoined();
--- a/src/daemon/quarantine_service.cpp
+++ b/src/daemon/quarantine_service.cpp
@@ -69,7 +69,7 @@
   const TimePoint now = Clock::now();
   for (const QuarantineVerdict& each : m_quarantine.Verdicts(now)) {
     if (each.m_isQuarantined) {
-      m_writer.Hold(each, now, true);
+      m_writer.QueueWrite(each, now, true);
     }
   }
   Write(m_writer.OnTick(now));
@@ -104,9 +104,9 @@
         m_writer.Lift(each.m_content, aNow);
       }
     } else if (isOwn) {
-      m_writer.Hold(each, aNow, false);
+      m_writer.QueueWrite(each, aNow, false);
     } else if (m_deps.m_isBackupWriter()) {
-      m_writer.Hold(each, aNow + kBackupWriteDelay, true);
+      m_writer.QueueWrite(each, aNow + kBackupWriteDelay, true);
     }
   }
   if (!aChanges.m_update.IsEmpty()) {
--- a/src/daemon/rollout_service.cpp
+++ b/src/daemon/rollout_service.cpp
@@ -59,8 +59,10 @@
 {
   const TimePoint now = Clock::now();
   for (const RolloutRecord& each : aRecords) {
-    ApplyChange(
-      now, each.m_order.m_service, m_table.Take(now, each), Scope::OwnDomain);
+    ApplyChange(now,
+                each.m_order.m_service,
+                m_table.ApplyRecord(now, each),
+                Scope::OwnDomain);
   }
 }
 
@@ -88,7 +90,7 @@
 {
   const std::string& service = aRecord.m_order.m_service;
   if (aRecord.m_isWritten) {
-    m_writer.Drop(service);
+    m_writer.CancelWrite(service);
     return;
   }
   const bool isOwn = aScope == Scope::AllDomains && m_deps.m_isLeader();
@@ -97,7 +99,8 @@
   if (!isWriter || aRecord.m_isFromStore) {
     return;
   }
-  m_writer.Want(StatusOf(aRecord), isOwn ? aNow : aNow + kBackupWriteDelay);
+  m_writer.QueueWrite(StatusOf(aRecord),
+                      isOwn ? aNow : aNow + kBackupWriteDelay);
 }
 
 void
@@ -140,7 +143,7 @@
                         { "step", aRecord.m_step } });
     // The first leader writes the running state; an existing status is kept.
     if (aRecord.m_state == RolloutState::Running && !aRecord.m_isFromStore) {
-      m_writer.Want({ service, target, RolloutState::Running }, aNow);
+      m_writer.QueueWrite({ service, target, RolloutState::Running }, aNow);
     }
   }
   const auto decision =
@@ -151,8 +154,10 @@
   if (decision->m_isStep) {
     LogStep(*decision);
   }
-  ApplyChange(
-    aNow, service, m_table.Take(aNow, decision->m_record), Scope::AllDomains);
+  ApplyChange(aNow,
+              service,
+              m_table.ApplyRecord(aNow, decision->m_record),
+              Scope::AllDomains);
 }
 
 bool
@@ -176,7 +181,8 @@
   record->m_state = RolloutState::RolledBack;
   record->m_cause = RollbackCause::Operator;
   record->m_permit = {};
-  ApplyChange(now, aService, m_table.Take(now, *record), Scope::AllDomains);
+  ApplyChange(
+    now, aService, m_table.ApplyRecord(now, *record), Scope::AllDomains);
   return true;
 }
 
@@ -191,7 +197,8 @@
     return;
   }
   for (const RolloutRecord& each : m_table.All(now)) {
-    m_writer.Want(StatusOf(each), isLeader ? now : now + kBackupWriteDelay);
+    m_writer.QueueWrite(StatusOf(each),
+                        isLeader ? now : now + kBackupWriteDelay);
   }
 }
 
@@ -353,7 +360,7 @@
 }
 
 void
-RolloutService::LogStep(const RolloutLeader::Lead& aDecision) const
+RolloutService::LogStep(const RolloutLeader::Decision& aDecision) const
 {
   const RolloutRecord& record = aDecision.m_record;
   const CanaryAnalyzer::Judgement& judged = aDecision.m_judgement;
@@ -372,9 +379,9 @@
       { "runs", judged.m_runs },
       { "harmed", judged.m_badRuns },
       { "harmed_expected", judged.m_expected },
-      { "old_workers", std::uint64_t{ aDecision.m_view.m_oldWorkers } },
-      { "new_workers", std::uint64_t{ aDecision.m_view.m_newWorkers } },
-      { "calls_per_second", aDecision.m_view.m_callsPerSecond } });
+      { "old_workers", std::uint64_t{ aDecision.m_inputs.m_oldWorkers } },
+      { "new_workers", std::uint64_t{ aDecision.m_inputs.m_newWorkers } },
+      { "calls_per_second", aDecision.m_inputs.m_callsPerSecond } });
 }
 
 void
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -76,9 +76,9 @@
 }
 
 void
-VerdictWriter::Hold(QuarantineVerdict aVerdict,
-                    TimePoint aNotBefore,
-                    bool aChecksFirst)
+VerdictWriter::QueueWrite(QuarantineVerdict aVerdict,
+                          TimePoint aNotBefore,
+                          bool aChecksFirst)
 {
   DropJobs(aVerdict.m_content);
   m_jobs.push_back({ std::move(aVerdict),
--- a/src/rollout/rollout_leader.cpp
+++ b/src/rollout/rollout_leader.cpp
@@ -77,7 +77,7 @@
   return inputs;
 }
 
-std::optional<RolloutLeader::Lead>
+std::optional<RolloutLeader::Decision>
 RolloutLeader::OnTick(TimePoint aNow,
                       const RolloutRecord& aRecord,
                       const Workers& aWorkers)
@@ -94,7 +94,7 @@
     m_permille = aRecord.m_permit.m_permille;
     m_permilleSince = aNow;
   }
-  Lead decision{
+  Decision decision{
     aRecord, false, m_judgement, MakeInputs(aNow, aRecord, aWorkers)
   };
   RolloutStep step;
@@ -103,7 +103,7 @@
   } else if (m_judgement.m_verdict == CanaryAnalyzer::Verdict::Bad) {
     step = { RolloutState::RolledBack, m_judgement.m_cause, {} };
   } else {
-    step = NextStep(m_limits, decision.m_view);
+    step = NextStep(m_limits, decision.m_inputs);
   }
   // The state never goes back from completing to running.
   step.m_state = std::max(step.m_state, aRecord.m_state);
--- a/src/rollout/rollout_table.cpp
+++ b/src/rollout/rollout_table.cpp
@@ -150,7 +150,7 @@
   record.m_state = aState;
   record.m_isWritten = true;
   record.m_age = aNow - entry->m_orderedAt;
-  return Take(aNow, record);
+  return ApplyRecord(aNow, record);
 }
 
 bool
@@ -176,7 +176,7 @@
 }
 
 RolloutTable::Change
-RolloutTable::Take(TimePoint aNow, const RolloutRecord& aRecord)
+RolloutTable::ApplyRecord(TimePoint aNow, const RolloutRecord& aRecord)
 {
   Entry& entry = m_entries[aRecord.m_order.m_service];
   const RolloutRecord& known = entry.m_record;
--- a/tests/calls/canary_routing.cpp
+++ b/tests/calls/canary_routing.cpp
@@ -111,7 +111,7 @@
   "a canary gets its share of calls, at the workers permitted in a step")
 {
   TwoVersions fleet;
-  REQUIRE(fleet.m_rollouts.Take(kStart, CanaryRecord(100, 1, 0)) ==
+  REQUIRE(fleet.m_rollouts.ApplyRecord(kStart, CanaryRecord(100, 1, 0)) ==
           RolloutTable::Change::State);
   std::set<std::string> first;
   const int canaryCalls = fleet.CountByVersion(&first)["v2"];
@@ -121,7 +121,8 @@
 
   RolloutRecord next = CanaryRecord(100, 1, 1);
   next.m_step = 2;
-  REQUIRE(fleet.m_rollouts.Take(kStart, next) == RolloutTable::Change::Permit);
+  REQUIRE(fleet.m_rollouts.ApplyRecord(kStart, next) ==
+          RolloutTable::Change::Permit);
   std::set<std::string> second;
   static_cast<void>(fleet.CountByVersion(&second));
   CHECK(second.size() == 1);
@@ -133,7 +134,7 @@
 {
   // A call assigned to the version in service is never retried at the canary.
   TwoVersions fleet;
-  REQUIRE(fleet.m_rollouts.Take(kStart, CanaryRecord(300, 0, 0)) ==
+  REQUIRE(fleet.m_rollouts.ApplyRecord(kStart, CanaryRecord(300, 0, 0)) ==
           RolloutTable::Change::State);
   int movedToBase = 0;
   for (int i = 0; i < 400; ++i) {
@@ -151,7 +152,8 @@
   TwoVersions fleet;
   RolloutRecord record = CanaryRecord(1000, 0, 0);
   record.m_state = RolloutState::RolledBack;
-  REQUIRE(fleet.m_rollouts.Take(kStart, record) == RolloutTable::Change::State);
+  REQUIRE(fleet.m_rollouts.ApplyRecord(kStart, record) ==
+          RolloutTable::Change::State);
   CHECK(fleet.CountByVersion()["v2"] == 0);
   for (int i = 0; i < 4; ++i) {
     fleet.m_dispatcher.Workers().Remove("v1" + std::to_string(i));
--- a/tests/membership/group.hpp
+++ b/tests/membership/group.hpp
@@ -204,7 +204,7 @@
     m_crossDomainExchanges += crossesDomains ? 1 : 0;
     const auto records = At(aMessage.m_from).DifferingRecords(here.Digests());
     const MembershipActions actions = here.OnRecords(m_now, records);
-    sync.Ended(actions.m_events.size());
+    sync.OnExchangeSucceeded(actions.m_events.size());
     if (!records.empty()) {
       sync.Joined();
     }
--- a/tests/quarantine/verdict_writer.cpp
+++ b/tests/quarantine/verdict_writer.cpp
@@ -67,7 +67,7 @@
 TEST_CASE("a verdict is written with a lease")
 {
   VerdictWriter writer;
-  writer.Hold(MakeVerdict(), kStart, false);
+  writer.QueueWrite(MakeVerdict(), kStart, false);
   const auto lease = writer.OnTick(kStart);
   REQUIRE(lease);
   CHECK(lease->m_kind == Kind::LeaseGrant);
@@ -122,7 +122,7 @@
 {
   // The daemon that reached the verdict may have lost power before writing it.
   VerdictWriter writer;
-  writer.Hold(MakeVerdict(), kStart + 1s, true);
+  writer.QueueWrite(MakeVerdict(), kStart + 1s, true);
   CHECK_FALSE(writer.OnTick(kStart));
   const auto check = writer.OnTick(kStart + 1s);
   REQUIRE(check);
--- a/tests/rollout/rollout_table.cpp
+++ b/tests/rollout/rollout_table.cpp
@@ -52,7 +52,8 @@
   CHECK(Allowed(table, kNow, true) == Versions{ "v1" });
   CHECK_FALSE(table.MayRun(kNow, "lockers", "v2"));
 
-  CHECK(table.Take(kNow, Record(RolloutState::Running)) == Change::Permit);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::Running)) ==
+        Change::Permit);
   CHECK(Allowed(table, kNow, true) == Versions{ "v2", "v1" });
   CHECK(Allowed(table, kNow, false) == Versions{ "v1" });
   CHECK(table.MayRun(kNow, "lockers", "v2"));
@@ -62,7 +63,8 @@
   CHECK_FALSE(table.MayRun(later, "lockers", "v2"));
   CHECK(table.MayRun(later, "lockers", "v1"));
 
-  CHECK(table.Take(later, Record(RolloutState::Running, 2)) == Change::Permit);
+  CHECK(table.ApplyRecord(later, Record(RolloutState::Running, 2)) ==
+        Change::Permit);
   table.RevokePermits();
   CHECK(Allowed(table, later, true) == Versions{ "v1" });
 }
@@ -70,11 +72,13 @@
 TEST_CASE("a version that was rolled back receives no calls")
 {
   RolloutTable table;
-  CHECK(table.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::RolledBack)) ==
+        Change::State);
   CHECK(Allowed(table, kNow, true) == Versions{ "v1" });
   CHECK_FALSE(table.MayRun(kNow, "lockers", "v2"));
   // A permit that was granted earlier arrives late.
-  CHECK(table.Take(kNow, Record(RolloutState::Running, 9)) == Change::None);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::Running, 9)) ==
+        Change::None);
   CHECK_FALSE(table.MayRun(kNow, "lockers", "v2"));
   // Workers without a reported version are then assumed to be in service.
   CHECK(Allowed(table, kNow + RolloutTable::kOldWorkersGoneAfter, true) ==
@@ -84,7 +88,8 @@
 TEST_CASE("a completed version receives all calls, even beside old workers")
 {
   RolloutTable table;
-  CHECK(table.Take(kNow, Record(RolloutState::Completing)) == Change::State);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::Completing)) ==
+        Change::State);
   CHECK(Allowed(table, kNow, false) == Versions{ "v2" });
   CHECK(table.OnStatus(kNow, "lockers", "v2", RolloutState::Completed) ==
         Change::State);
@@ -96,10 +101,12 @@
 {
   // Two leaders decide differently, and the store accepts the completion first.
   RolloutTable table;
-  CHECK(table.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::RolledBack)) ==
+        Change::State);
   CHECK(table.OnStatus(kNow, "lockers", "v2", RolloutState::Completed) ==
         Change::State);
-  CHECK(table.Take(kNow, Record(RolloutState::RolledBack, 99)) == Change::None);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::RolledBack, 99)) ==
+        Change::None);
   CHECK(table.OnStatus(kNow, "lockers", "v2", RolloutState::RolledBack) ==
         Change::None);
   CHECK(Allowed(table, kNow, false) == Versions{ "v2" });
@@ -110,7 +117,8 @@
   // The store is restored from an older copy that still contains the order.
   RolloutTable table;
   CHECK(table.OnOrder(kNow, kOrder, "v1") == Change::State);
-  CHECK(table.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::RolledBack)) ==
+        Change::State);
   CHECK(table.OnOrder(kNow, kOrder, "v1") == Change::None);
   const RolloutOrder next{ "lockers", "v3", 12s };
   CHECK(table.OnOrder(kNow, next, "v1") == Change::State);
@@ -125,7 +133,8 @@
 TEST_CASE("the next order starts from the completed version")
 {
   RolloutTable table;
-  CHECK(table.Take(kNow, Record(RolloutState::Completing)) == Change::State);
+  CHECK(table.ApplyRecord(kNow, Record(RolloutState::Completing)) ==
+        Change::State);
   CHECK(table.OnStatus(kNow, "lockers", "v2", RolloutState::Completed) ==
         Change::State);
   CHECK(table.OnOrder(kNow, { "lockers", "v3", 12s }, "v1") == Change::State);
@@ -138,13 +147,15 @@
   RolloutTable second;
   CHECK(first.Summary() == 0);
   CHECK(first.OnOrder(kNow, kOrder, "v1") == Change::State);
-  CHECK(second.Take(kNow + 1s, *first.Find(kNow + 1s, "lockers")) ==
+  CHECK(second.ApplyRecord(kNow + 1s, *first.Find(kNow + 1s, "lockers")) ==
         Change::State);
   CHECK(first.Summary() == second.Summary());
   // A renewed permit does not change the digest.
-  CHECK(first.Take(kNow, Record(RolloutState::Running)) == Change::Permit);
+  CHECK(first.ApplyRecord(kNow, Record(RolloutState::Running)) ==
+        Change::Permit);
   CHECK(first.Summary() == second.Summary());
-  CHECK(first.Take(kNow, Record(RolloutState::RolledBack)) == Change::State);
+  CHECK(first.ApplyRecord(kNow, Record(RolloutState::RolledBack)) ==
+        Change::State);
   CHECK(first.Summary() != second.Summary());
   CHECK(second.Find(kNow + 3s, "lockers")->m_age == 3s);
 }
--- a/tests/rollout/status_writer.cpp
+++ b/tests/rollout/status_writer.cpp
@@ -109,7 +109,7 @@
     aDaemon.m_request = aDaemon.m_writer.OnTick(kNow + 1h);
     if (!aDaemon.m_request && !aDaemon.m_hasQueuedFinal) {
       aDaemon.m_hasQueuedFinal = true;
-      aDaemon.m_writer.Want(Status(aDaemon.m_finalState), kNow);
+      aDaemon.m_writer.QueueWrite(Status(aDaemon.m_finalState), kNow);
     }
     return true;
   }
@@ -140,7 +140,7 @@
   daemons[0].m_finalState = RolloutState::RolledBack;
   daemons[1].m_finalState = RolloutState::Completed;
   for (Daemon& each : daemons) {
-    each.m_writer.Want(Status(RolloutState::Running), kNow);
+    each.m_writer.QueueWrite(Status(RolloutState::Running), kNow);
   }
   Interleavings all;
   all.Explore(daemons, {}, 12);
