--- a/include/greengagehub/calls/answer_sizes.hpp
+++ b/include/greengagehub/calls/answer_sizes.hpp
@@ -13,10 +13,10 @@
 public:
   void Record(CallKind aKind, std::size_t aBytes);
   /// \returns Average in bytes; 0 before the first answer of the kind.
-  [[nodiscard]] std::size_t Of(CallKind aKind) const;
+  [[nodiscard]] std::size_t MeanSize(CallKind aKind) const;
 
 private:
-  /// Further kinds are not tracked; Of() returns 0 for them.
+  /// Further kinds are not tracked; MeanSize() returns 0 for them.
   static constexpr std::size_t kMaxKinds = 64;
   static constexpr double kSampleWeight = 0.05;
 
--- a/include/greengagehub/calls/call.hpp
+++ b/include/greengagehub/calls/call.hpp
@@ -51,7 +51,7 @@
   Busy,
   WorkerCrashed,
   /// The request's fingerprint is quarantined.
-  Held,
+  Quarantined,
   /// The worker runs a version that receives no calls at present.
   NotInService,
   /// A retry whose execution would call a service that has used up its retry
--- a/include/greengagehub/calls/call_age_estimator.hpp
+++ b/include/greengagehub/calls/call_age_estimator.hpp
@@ -18,7 +18,7 @@
 public:
   /// \param aTimeLeft remaining time that the caller stated.
   /// \returns Zero if the call counts as a first attempt.
-  [[nodiscard]] std::chrono::milliseconds Of(
+  [[nodiscard]] std::chrono::milliseconds Estimate(
     std::chrono::milliseconds aTimeLeft,
     bool aIsFirstOnConnection) const;
 
--- a/include/greengagehub/calls/run_table.hpp
+++ b/include/greengagehub/calls/run_table.hpp
@@ -123,9 +123,9 @@
   void OnWorkerRestarted();
   [[nodiscard]] Duration ServiceTime(TimePoint aNow, CallKind aKind) const;
   /// \returns Expected queueing delay of such a call if it arrived now.
-  [[nodiscard]] Duration WaitOf(TimePoint aNow,
-                                std::uint32_t aPriority,
-                                CallKind aKind) const;
+  [[nodiscard]] Duration ExpectedWaitOfKind(TimePoint aNow,
+                                            std::uint32_t aPriority,
+                                            CallKind aKind) const;
   [[nodiscard]] std::uint32_t Slots() const noexcept
   {
     return m_settings.m_slots;
--- a/include/greengagehub/calls/worker_presence.hpp
+++ b/include/greengagehub/calls/worker_presence.hpp
@@ -20,7 +20,7 @@
   std::string m_version{};
   /// Requests that it processes concurrently.
   std::uint32_t m_slots{ 0 };
-  bool m_leaving{ false };
+  bool m_isDraining{ false };
   std::chrono::milliseconds m_warmUpLeft{ 0 };
   /// Increases with each report of an incarnation.
   std::uint64_t m_sequence{ 0 };
@@ -61,7 +61,7 @@
   }
   [[nodiscard]] bool TakesCalls() const noexcept
   {
-    return m_current && !m_current->m_leaving;
+    return m_current && !m_current->m_isDraining;
   }
   /// \returns When the previous incarnation last reported.
   [[nodiscard]] TimePoint PreviousLastReportAt() const noexcept
--- a/include/greengagehub/calls/worker_table.hpp
+++ b/include/greengagehub/calls/worker_table.hpp
@@ -48,7 +48,7 @@
   double m_refusals{ 0.0 };
   TimePoint m_ejectedUntil{};
   std::uint32_t m_ejections{ 0 };
-  bool m_leaving{ false };
+  bool m_isUnavailable{ false };
 };
 
 /// \brief Load statistics in a worker's answer.
@@ -157,7 +157,7 @@
   /// its incarnation changed.
   void Put(WorkerRow aRow);
   void Remove(const std::string& aSlot);
-  void SetLeaving(const std::string& aSlot);
+  void MarkUnavailable(const std::string& aSlot);
 
   /// \returns The version that most workers of the service report; in a tie,
   /// the one seen first.
--- a/src/calls/answer_sizes.cpp
+++ b/src/calls/answer_sizes.cpp
@@ -15,7 +15,7 @@
 }
 
 std::size_t
-AnswerSizes::Of(CallKind aKind) const
+AnswerSizes::MeanSize(CallKind aKind) const
 {
   const auto found = m_means.find(aKind);
   return found != m_means.end() ? static_cast<std::size_t>(found->second) : 0;
--- a/src/calls/call.cpp
+++ b/src/calls/call.cpp
@@ -42,7 +42,7 @@
       return "worker-replaced";
     case RefusalReason::WorkerCrashed:
       return "worker-ended";
-    case RefusalReason::Held:
+    case RefusalReason::Quarantined:
       return "held";
     case RefusalReason::NotInService:
       return "not-in-service";
--- a/src/calls/call_age_estimator.cpp
+++ b/src/calls/call_age_estimator.cpp
@@ -6,8 +6,8 @@
 namespace greengagehub {
 
 std::chrono::milliseconds
-CallAgeEstimator::Of(std::chrono::milliseconds aTimeLeft,
-                     bool aIsFirstOnConnection) const
+CallAgeEstimator::Estimate(std::chrono::milliseconds aTimeLeft,
+                           bool aIsFirstOnConnection) const
 {
   using std::chrono::milliseconds;
   if (!aIsFirstOnConnection || m_sampleCount < kMinSamples) {
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -73,7 +73,7 @@
     case RefusalReason::WorkerRefused:
       return WorkerTable::Verdict::Refused;
     case RefusalReason::Busy:
-    case RefusalReason::Held:
+    case RefusalReason::Quarantined:
     case RefusalReason::NotInService:
     case RefusalReason::RetryBudgetExhausted:
       return WorkerTable::Verdict::None;
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -130,9 +130,11 @@
                                       CallAnswer aPrevious)
 {
   if (const auto left = QuarantineTimeLeft(aNow, aCall)) {
-    Finish(aOut,
-           aCall,
-           Refuse(aCall.m_id, CallOutcome::NotRun, RefusalReason::Held, *left));
+    Finish(
+      aOut,
+      aCall,
+      Refuse(
+        aCall.m_id, CallOutcome::NotRun, RefusalReason::Quarantined, *left));
     return;
   }
   const auto selected = SelectWorker(aNow, aCall);
@@ -240,7 +242,7 @@
       (aNow - aCall.m_sentAt - m_busyReplyTime) / kBusyReplyTimeDivisor;
     return true;
   }
-  if (aAnswer.m_reason == RefusalReason::Held ||
+  if (aAnswer.m_reason == RefusalReason::Quarantined ||
       aAnswer.m_reason == RefusalReason::RetryBudgetExhausted) {
     return false;
   }
@@ -334,7 +336,7 @@
     return out;
   }
   if (aAnswer.m_reason == RefusalReason::Leaving) {
-    m_workers.SetLeaving(call->m_slot);
+    m_workers.MarkUnavailable(call->m_slot);
   }
   EndAttempt(aNow, *call, VerdictOf(aAnswer), report);
   RetryOrFinish(aNow, out, *call, std::move(aAnswer));
--- a/src/calls/run_table_waits.cpp
+++ b/src/calls/run_table_waits.cpp
@@ -105,7 +105,9 @@
 }
 
 Duration
-RunTable::WaitOf(TimePoint aNow, std::uint32_t aPriority, CallKind aKind) const
+RunTable::ExpectedWaitOfKind(TimePoint aNow,
+                             std::uint32_t aPriority,
+                             CallKind aKind) const
 {
   const double gain = GainOf(
     m_settings.m_decisions, m_serviceTimes.Estimate(aKind), aPriority, false);
--- a/src/calls/worker_presence.cpp
+++ b/src/calls/worker_presence.cpp
@@ -85,15 +85,15 @@
   if (aReport.m_sequence <= m_current->m_sequence) {
     return Change::None;
   }
-  const bool wasLeaving = m_current->m_leaving;
+  const bool wasLeaving = m_current->m_isDraining;
   const bool isUnchanged = m_current->m_slots == aReport.m_slots &&
                            m_current->m_start == aReport.m_start;
   m_candidate.reset();
   m_lastReportAt = aNow;
   m_current = aReport;
   // An incarnation that is draining never accepts calls again.
-  m_current->m_leaving = aReport.m_leaving || wasLeaving;
-  if (m_current->m_leaving) {
+  m_current->m_isDraining = aReport.m_isDraining || wasLeaving;
+  if (m_current->m_isDraining) {
     return wasLeaving ? Change::None : Change::Leaving;
   }
   return isUnchanged ? Change::None : Change::Updated;
@@ -112,7 +112,7 @@
   m_candidate.reset();
   m_lastReportAt = aNow;
   m_current = aReport;
-  return aReport.m_leaving ? Change::Leaving : Change::Arrived;
+  return aReport.m_isDraining ? Change::Leaving : Change::Arrived;
 }
 
 void
@@ -157,8 +157,8 @@
     AddPast({ aIncarnation, 0, aNow });
     return Change::None;
   }
-  const bool wasLeaving = m_current->m_leaving;
-  m_current->m_leaving = true;
+  const bool wasLeaving = m_current->m_isDraining;
+  m_current->m_isDraining = true;
   return wasLeaving ? Change::None : Change::Leaving;
 }
 
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -162,7 +162,7 @@
   return group != m_byService.end() &&
          std::any_of(
            group->second.begin(), group->second.end(), [this](Index aIndex) {
-             return !m_rows.At(aIndex).m_leaving;
+             return !m_rows.At(aIndex).m_isUnavailable;
            });
 }
 
@@ -174,7 +174,7 @@
     if (row.m_service == aRow.m_service) {
       row.m_domain = std::move(aRow.m_domain);
       row.m_slots = aRow.m_slots;
-      row.m_leaving = aRow.m_leaving;
+      row.m_isUnavailable = aRow.m_isUnavailable;
       if (row.m_version != aRow.m_version) {
         row.m_version = std::move(aRow.m_version);
         UpdateMainVersion(row.m_service);
@@ -273,10 +273,10 @@
 }
 
 void
-WorkerTable::SetLeaving(const std::string& aSlot)
+WorkerTable::MarkUnavailable(const std::string& aSlot)
 {
   if (const auto known = Find(aSlot)) {
-    m_rows.At(*known).m_leaving = true;
+    m_rows.At(*known).m_isUnavailable = true;
   }
 }
 
@@ -296,7 +296,7 @@
   allowed.reserve(group->second.size());
   std::ranges::copy_if(
     group->second, std::back_inserter(allowed), [this](Index aIndex) {
-      return !m_rows.At(aIndex).m_leaving;
+      return !m_rows.At(aIndex).m_isUnavailable;
     });
   const auto mainVersion = m_mainVersions.find(aService);
   if (aRule != nullptr) {
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -110,7 +110,7 @@
   LinkPool::Handlers handlers;
   handlers.m_onFrame = [this](const std::string& aSlot, LinkFrame aFrame) {
     if (std::holds_alternative<LinkDraining>(aFrame)) {
-      m_dispatcher.Workers().SetLeaving(aSlot);
+      m_dispatcher.Workers().MarkUnavailable(aSlot);
       return;
     }
     OnPoolFrame(std::move(aFrame));
@@ -150,7 +150,7 @@
   own.m_service = m_deps.m_settings.m_service;
   own.m_domain = m_deps.m_settings.m_domain;
   own.m_slots = m_deps.m_settings.m_runs.m_slots;
-  own.m_leaving = m_deps.m_settings.m_platform.m_enabled;
+  own.m_isUnavailable = m_deps.m_settings.m_platform.m_enabled;
   if (m_deps.m_settings.m_platform.m_enabled) {
     m_dispatcher.Routing().m_domain = own.m_domain;
   }
@@ -244,7 +244,7 @@
     std::chrono::duration<double>(Clock::now() - call.m_receivedAt).count());
   RecordSpan(call, answer);
   const TimePoint now = Clock::now();
-  if (answer.m_reason == RefusalReason::Held) {
+  if (answer.m_reason == RefusalReason::Quarantined) {
     m_deps.m_requestLog.OnQuarantined(
       now,
       call.m_id,
@@ -323,7 +323,7 @@
 CallGateway::StartDraining()
 {
   m_draining = true;
-  m_dispatcher.Workers().SetLeaving(m_deps.m_settings.m_slot);
+  m_dispatcher.Workers().MarkUnavailable(m_deps.m_settings.m_slot);
   m_runService.StartDraining();
   m_server.Broadcast(LinkDraining{});
 }
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -157,7 +157,7 @@
     static_cast<std::uint64_t>(aRoute.m_deadline.count())) };
   const auto callAge =
     StatisticsOf(aRoute.m_host + aRoute.m_path)
-      .m_age.Of(requestedDeadline, aRequest.m_isFirstOnConnection);
+      .m_age.Estimate(requestedDeadline, aRequest.m_isFirstOnConnection);
   return callAge + (Clock::now() - aReceivedAt) >= aRoute.m_targetLatency;
 }
 
@@ -250,9 +250,10 @@
   RouteStatistics& statistics = StatisticsOf(routeKey);
   if (aRoute.m_targetLatency.count() > 0) {
     const bool isFirst = aRequest.m_isFirstOnConnection;
-    const auto callAge = decisions.m_usesCallAge
-                           ? statistics.m_age.Of(requestedDeadline, isFirst)
-                           : std::chrono::milliseconds::zero();
+    const auto callAge =
+      decisions.m_usesCallAge
+        ? statistics.m_age.Estimate(requestedDeadline, isFirst)
+        : std::chrono::milliseconds::zero();
     statistics.m_age.Record(requestedDeadline, isFirst);
     plan.m_target = aReceivedAt + aRoute.m_targetLatency - callAge;
   }
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -141,7 +141,7 @@
   own.m_slots = aPresence.Current()->m_slots;
   own.m_start = TagOf(aPresence.Current()->m_start);
   own.m_version = aPresence.Current()->m_version;
-  own.m_leaving = !aPresence.TakesCalls() || m_draining;
+  own.m_isUnavailable = !aPresence.TakesCalls() || m_draining;
   m_dispatcher.Workers().Put(std::move(own));
   if (!aPresence.TakesCalls()) {
     m_server.Broadcast(LinkDraining{});
@@ -168,7 +168,7 @@
   row.m_slots = std::max(1U, aRecord.m_slots);
   row.m_start = aRecord.m_workerIncarnation;
   row.m_version = aRecord.m_workerVersion;
-  row.m_leaving = !TakesCalls(aRecord.m_state) || aRecord.m_slots == 0;
+  row.m_isUnavailable = !TakesCalls(aRecord.m_state) || aRecord.m_slots == 0;
   m_dispatcher.Workers().Put(std::move(row));
   m_addresses[aRecord.m_slot] = aRecord.m_address;
 }
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -177,7 +177,7 @@
   }
   const Quarantine& quarantine = m_deps.m_quarantine;
   if (const auto left = quarantine.QuarantineTimeLeft(aNow, aFingerprint)) {
-    return Refusal{ RefusalReason::Held, *left };
+    return Refusal{ RefusalReason::Quarantined, *left };
   }
   const bool runsBesideSuspect =
     quarantine.IsSuspect(aFingerprint) &&
@@ -186,9 +186,9 @@
       return run.m_ticket != 0 && quarantine.IsSuspect(run.m_fingerprint);
     });
   if (runsBesideSuspect) {
-    // RefusalReason::Held prevents a retry at another worker, where another
-    // suspect request may run.
-    return Refusal{ RefusalReason::Held, kSuspectRetryAfter };
+    // RefusalReason::Quarantined prevents a retry at another worker, where
+    // another suspect request may run.
+    return Refusal{ RefusalReason::Quarantined, kSuspectRetryAfter };
   }
   return std::nullopt;
 }
@@ -200,7 +200,7 @@
                       Fingerprint aFingerprint,
                       const Refusal& aRefusal)
 {
-  if (aRefusal.m_reason == RefusalReason::Held) {
+  if (aRefusal.m_reason == RefusalReason::Quarantined) {
     m_deps.m_requestLog.OnQuarantined(
       aNow, RequestIdOf(aRequest), aFingerprint, aRefusal.m_retryAfter);
   }
@@ -350,7 +350,7 @@
   aAnswer.m_serviceTime =
     duration_cast<microseconds>(m_runs.ServiceTime(Clock::now(), kind));
   aAnswer.m_wait = duration_cast<microseconds>(
-    m_runs.WaitOf(Clock::now(), aRequest.m_priority, kind));
+    m_runs.ExpectedWaitOfKind(Clock::now(), aRequest.m_priority, kind));
   m_deps.m_deliver(aKey, std::move(aAnswer));
 }
 
@@ -444,7 +444,7 @@
            .m_queued = m_runs.Queued(),
            .m_slots = m_hasWorker ? m_runs.Slots() : 0,
            .m_wait = std::chrono::duration_cast<std::chrono::microseconds>(
-             m_runs.WaitOf(
+             m_runs.ExpectedWaitOfKind(
                Clock::now(), aRequest.m_priority, aRequest.m_kind)) };
 }
 
--- a/src/daemon/run_service_link.cpp
+++ b/src/daemon/run_service_link.cpp
@@ -7,9 +7,9 @@
 Duration
 RunService::AnswerSendTime(TimePoint aNow, CallKind aKind) const
 {
-  std::size_t bytes = m_answerSizes.Of(aKind);
+  std::size_t bytes = m_answerSizes.MeanSize(aKind);
   for (const auto& [key, run] : m_activeRuns) {
-    bytes += m_answerSizes.Of(run.m_request.m_kind);
+    bytes += m_answerSizes.MeanSize(run.m_request.m_kind);
   }
   return m_deps.m_pacer->Backlog(aNow) +
          m_deps.m_pacer->TransmissionTime(bytes);
@@ -19,7 +19,7 @@
 RunService::IsLinkTooBusy(TimePoint aNow, const CallRequest& aRequest) const
 {
   if (m_deps.m_pacer == nullptr ||
-      m_answerSizes.Of(aRequest.m_kind) <= LinkPacer::kPartBytes) {
+      m_answerSizes.MeanSize(aRequest.m_kind) <= LinkPacer::kPartBytes) {
     return false;
   }
   const bool isBeforeTarget = aRequest.m_targetLeft.count() > 0;
--- a/src/transport/link_codec.cpp
+++ b/src/transport/link_codec.cpp
@@ -50,7 +50,7 @@
   switch (aReason) {
     case RefusalReason::WorkerCrashed:
       return RefusalReason::AnswerLost;
-    case RefusalReason::Held:
+    case RefusalReason::Quarantined:
       return RefusalReason::Cancelled;
     case RefusalReason::RetryBudgetExhausted:
       return RefusalReason::Overloaded;
@@ -133,7 +133,7 @@
     out.set_outcome(static_cast<std::uint32_t>(aAnswer.m_outcome));
     out.set_reason(
       static_cast<std::uint32_t>(CompatibleReason(aAnswer.m_reason)));
-    out.set_held(aAnswer.m_reason == RefusalReason::Held);
+    out.set_held(aAnswer.m_reason == RefusalReason::Quarantined);
     out.set_no_repeats(aAnswer.m_reason == RefusalReason::RetryBudgetExhausted);
     if (aAnswer.m_reason == RefusalReason::WorkerCrashed) {
       out.set_ends(std::max(1U, aAnswer.m_ends));
@@ -215,7 +215,7 @@
   answer.m_outcome = static_cast<CallOutcome>(aWire.outcome());
   answer.m_reason = static_cast<RefusalReason>(aWire.reason());
   if (aWire.held()) {
-    answer.m_reason = RefusalReason::Held;
+    answer.m_reason = RefusalReason::Quarantined;
   } else if (aWire.no_repeats()) {
     answer.m_reason = RefusalReason::RetryBudgetExhausted;
   } else if (aWire.ends() > 0) {
--- a/tests/calls/call_age_estimator.cpp
+++ b/tests/calls/call_age_estimator.cpp
@@ -29,11 +29,11 @@
   const CallAgeEstimator age = EstimatorWithSamples(random);
   for (int i = 0; i < 200; ++i) {
     const auto asked = 3400ms + std::chrono::milliseconds{ Below(random, 600) };
-    CHECK(age.Of(asked, false) == 0ms);
-    CHECK(age.Of(asked, true) <= 300ms);
+    CHECK(age.Estimate(asked, false) == 0ms);
+    CHECK(age.Estimate(asked, true) <= 300ms);
   }
-  CHECK(age.Of(3450ms, true) == 0ms);
-  CHECK(age.Of(4000ms, true) == 0ms);
+  CHECK(age.Estimate(3450ms, true) == 0ms);
+  CHECK(age.Estimate(4000ms, true) == 0ms);
 }
 
 TEST_CASE("a retry after a refusal counts from the first attempt")
@@ -41,22 +41,22 @@
   // The caller retried after one second, so its target has passed.
   Random random{ 1 };
   const CallAgeEstimator age = EstimatorWithSamples(random);
-  CHECK(age.Of(2700ms, true) >= 900ms);
-  CHECK(age.Of(2700ms, true) <= 1100ms);
+  CHECK(age.Estimate(2700ms, true) >= 900ms);
+  CHECK(age.Estimate(2700ms, true) <= 1100ms);
   // Requests on a reused connection are first attempts, however little time
   // they have.
-  CHECK(age.Of(400ms, false) == 0ms);
+  CHECK(age.Estimate(400ms, false) == 0ms);
 }
 
 TEST_CASE("without samples of first attempts no call counts as a retry")
 {
   // After a start the first requests may all be retries.
   CallAgeEstimator age;
-  CHECK(age.Of(100ms, true) == 0ms);
+  CHECK(age.Estimate(100ms, true) == 0ms);
   for (int i = 0; i < 100; ++i) {
     age.Record(100ms, true);
   }
-  CHECK(age.Of(50ms, true) == 0ms);
+  CHECK(age.Estimate(50ms, true) == 0ms);
 }
 
 TEST_CASE("an outlier leaves the sample window")
@@ -65,9 +65,9 @@
   Random random{ 1 };
   CallAgeEstimator age = EstimatorWithSamples(random);
   age.Record(10ms, false);
-  CHECK(age.Of(2700ms, true) == 0ms);
+  CHECK(age.Estimate(2700ms, true) == 0ms);
   for (int i = 0; i < 32; ++i) {
     age.Record(3700ms, false);
   }
-  CHECK(age.Of(2700ms, true) == 1000ms);
+  CHECK(age.Estimate(2700ms, true) == 1000ms);
 }
--- a/tests/calls/quarantined_calls.cpp
+++ b/tests/calls/quarantined_calls.cpp
@@ -93,7 +93,7 @@
   const CallAnswer quarantined = caller.Call(crashes);
   CHECK(caller.m_sends.empty());
   CHECK(quarantined.m_outcome == CallOutcome::NotRun);
-  CHECK(quarantined.m_reason == RefusalReason::Held);
+  CHECK(quarantined.m_reason == RefusalReason::Quarantined);
   // The call is refused until the quarantine expires.
   CHECK(quarantined.m_retryAfter > 9min);
 }
@@ -110,7 +110,7 @@
   });
   CHECK(caller.m_sends.size() == 1);
   CHECK(answer.m_outcome == CallOutcome::NotRun);
-  CHECK(answer.m_reason == RefusalReason::Held);
+  CHECK(answer.m_reason == RefusalReason::Quarantined);
 }
 
 TEST_CASE("a call quarantined by the worker's daemon is not retried")
@@ -118,10 +118,10 @@
   // The caller's daemon has not received the quarantine entry yet.
   TestCaller caller;
   const CallAnswer answer = caller.Call([](const SendAttempt&) {
-    return Refuse(0, CallOutcome::NotRun, RefusalReason::Held, 5min);
+    return Refuse(0, CallOutcome::NotRun, RefusalReason::Quarantined, 5min);
   });
   CHECK(caller.m_sends.size() == 1);
-  CHECK(answer.m_reason == RefusalReason::Held);
+  CHECK(answer.m_reason == RefusalReason::Quarantined);
   CHECK(answer.m_retryAfter == 5min);
 }
 
@@ -163,7 +163,8 @@
     static_cast<void>(caller.Crash());
     for (int copies = 0; copies < 4; ++copies) {
       static_cast<void>(caller.Call([](const SendAttempt&) {
-        return Refuse(0, CallOutcome::NotRun, RefusalReason::Held, 100ms);
+        return Refuse(
+          0, CallOutcome::NotRun, RefusalReason::Quarantined, 100ms);
       }));
       REQUIRE(caller.m_sends.size() == 1);
       slots.insert(caller.m_sends[0].m_slot);
--- a/tests/calls/replay.hpp
+++ b/tests/calls/replay.hpp
@@ -256,7 +256,7 @@
     aAnswer.m_serviceTime =
       duration_cast<microseconds>(worker.ServiceTime(m_now, kTarget));
     aAnswer.m_wait =
-      duration_cast<microseconds>(worker.WaitOf(m_now, 2, kTarget));
+      duration_cast<microseconds>(worker.ExpectedWaitOfKind(m_now, 2, kTarget));
     Schedule(kHop, [this, aKey, answer = std::move(aAnswer)] {
       const std::size_t caller = aKey.m_process - 1;
       Execute(caller, m_callers[caller]->OnAnswer(m_now, answer));
--- a/tests/calls/worker_presence.cpp
+++ b/tests/calls/worker_presence.cpp
@@ -16,7 +16,7 @@
   return { .m_start = { aId, std::nullopt },
            .m_service = "locker-app",
            .m_slots = 18,
-           .m_leaving = aLeaving,
+           .m_isDraining = aLeaving,
            .m_sequence = aSequence };
 }
 
--- a/tests/calls/worker_restart.cpp
+++ b/tests/calls/worker_restart.cpp
@@ -26,7 +26,7 @@
   return { .m_start = { aId, aStartTime },
            .m_service = "locker-app",
            .m_slots = 18,
-           .m_leaving = aLeaving,
+           .m_isDraining = aLeaving,
            .m_sequence = aSequence };
 }
 
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -276,9 +276,9 @@
     fixture.CallAll({ first, RunServiceFixture::ReleaseRequest() });
   CHECK(seenRequests == std::vector<std::string>{ "/other" });
   CHECK(answers[1].m_outcome == CallOutcome::NotRun);
-  CHECK(answers[1].m_reason == RefusalReason::Held);
+  CHECK(answers[1].m_reason == RefusalReason::Quarantined);
   const CallAnswer next = fixture.Call(RunServiceFixture::ReleaseRequest());
-  CHECK(next.m_reason == RefusalReason::Held);
+  CHECK(next.m_reason == RefusalReason::Quarantined);
   CHECK(next.m_retryAfter > 9min);
   CHECK(seenRequests.size() == 1);
 }
@@ -308,9 +308,9 @@
   fixture.Send(RunServiceFixture::ReleaseRequest());
   const CallAnswer answer = fixture.Call(other);
   CHECK(answer.m_outcome == CallOutcome::NotRun);
-  // RefusalReason::Held prevents a retry at another worker.
-  CHECK(answer.m_reason == RefusalReason::Held);
+  // RefusalReason::Quarantined prevents a retry at another worker.
+  CHECK(answer.m_reason == RefusalReason::Quarantined);
   CHECK(answer.m_retryAfter == 100ms);
   CHECK(fixture.Call(RunServiceFixture::ReleaseRequest()).m_reason ==
-        RefusalReason::Held);
+        RefusalReason::Quarantined);
 }
--- a/tests/platform/heartbeat.cpp
+++ b/tests/platform/heartbeat.cpp
@@ -34,7 +34,7 @@
   CHECK(report.m_start.m_id == "i-7f");
   CHECK(report.m_service == "lockers");
   CHECK(report.m_slots == 18);
-  CHECK(report.m_leaving);
+  CHECK(report.m_isDraining);
   CHECK(report.m_warmUpLeft == std::chrono::milliseconds{ 250 });
   CHECK(report.m_sequence == 4);
 
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -164,7 +164,7 @@
   // Older daemons close the link, with all calls on it, on an unknown reason.
   const auto lastKnown = RefusalReason::Busy;
   for (const RefusalReason reason : { RefusalReason::WorkerCrashed,
-                                      RefusalReason::Held,
+                                      RefusalReason::Quarantined,
                                       RefusalReason::RetryBudgetExhausted }) {
     CallAnswer sent = Refuse(3, CallOutcome::NotRun, reason, 5min);
     sent.m_ends = reason == RefusalReason::WorkerCrashed ? 2 : 0;
