--- a/include/greengagehub/transport/bulk_message.hpp
+++ b/include/greengagehub/transport/bulk_message.hpp
@@ -15,8 +15,8 @@
   std::string m_slot;
   /// The answer starts after this version.
   Version m_knownVersion;
-  bool m_wantMembers{ false };
-  /// Digests of the sender's member table; sent only with m_wantMembers.
+  bool m_includeMembers{ false };
+  /// Digests of the sender's member table; sent only with m_includeMembers.
   MemberDigests m_members{};
 };
 
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -16,8 +16,8 @@
 TrafficPurpose
 PurposeOf(const PullRequest& aRequest)
 {
-  return aRequest.m_wantMembers ? TrafficPurpose::Reconciliation
-                                : TrafficPurpose::Versions;
+  return aRequest.m_includeMembers ? TrafficPurpose::Reconciliation
+                                   : TrafficPurpose::Versions;
 }
 
 }
@@ -175,7 +175,7 @@
   PullAnswer answer;
   answer.m_head = { m_holder.GetVersion(), m_holder.Active()->m_chain };
   answer.m_minimumVersion = m_membership.MinimumVersionOf(aRequest.m_slot);
-  if (aRequest.m_wantMembers) {
+  if (aRequest.m_includeMembers) {
     answer.m_members = m_membership.DifferingRecords(aRequest.m_members);
     answer.m_rollouts = m_rollouts.Table().All(Clock::now());
   }
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -306,8 +306,8 @@
   wire::PullRequest out;
   out.set_slot(aRequest.m_slot);
   out.set_have_version(aRequest.m_knownVersion.m_number);
-  out.set_want_members(aRequest.m_wantMembers);
-  if (aRequest.m_wantMembers) {
+  out.set_want_members(aRequest.m_includeMembers);
+  if (aRequest.m_includeMembers) {
     for (const std::uint64_t each : aRequest.m_members.m_sums) {
       out.add_member_digests(each);
     }
@@ -325,12 +325,12 @@
   PullRequest request;
   request.m_slot = in.slot();
   request.m_knownVersion = Version{ in.have_version() };
-  request.m_wantMembers = in.want_members();
+  request.m_includeMembers = in.want_members();
   const auto buckets = static_cast<std::size_t>(in.member_digests_size());
-  if (request.m_wantMembers && buckets != MemberDigests::kBuckets) {
+  if (request.m_includeMembers && buckets != MemberDigests::kBuckets) {
     return Malformed("pull request: unexpected number of member_digests");
   }
-  for (std::size_t i = 0; i < buckets && request.m_wantMembers; ++i) {
+  for (std::size_t i = 0; i < buckets && request.m_includeMembers; ++i) {
     request.m_members.m_sums[i] = in.member_digests(static_cast<int>(i));
   }
   return request;
