--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -38,7 +38,6 @@
   }
   aAnswer.m_call = call;
   if (aAnswer.m_outcome == CallOutcome::NotRun && aCall.m_mayHaveRun) {
-    // An earlier attempt may have run, even though the last was refused.
     aAnswer.m_outcome = CallOutcome::Unknown;
   }
   m_attempts.erase(aCall.m_attempt);
@@ -64,10 +63,9 @@
   if (m_rollouts == nullptr || m_rollouts->IsEmpty()) {
     return SelectWorkerByRule(aNow, aCall, nullptr);
   }
-  const bool triesCanary =
-    aCall.m_isAssignedToCanary && !aCall.m_hasReachedWorker;
+  const bool toCanary = aCall.m_isAssignedToCanary && !aCall.m_hasReachedWorker;
   const VersionRules rules =
-    m_rollouts->RulesFor(aNow, aCall.m_plan.m_service, triesCanary);
+    m_rollouts->RulesFor(aNow, aCall.m_plan.m_service, toCanary);
   if (rules.IsEmpty()) {
     return SelectWorkerByRule(aNow, aCall, nullptr);
   }
@@ -99,11 +97,10 @@
       pinned, aCall.m_plan.m_service, aCall.m_tried, context, m_random, aRule);
   }
   if (aCall.m_busySlots.size() < m_decisions.m_maxBusyReplies) {
-    std::vector<std::string> exclude = aCall.m_tried;
-    exclude.insert(
-      exclude.end(), aCall.m_busySlots.begin(), aCall.m_busySlots.end());
+    std::vector<std::string> skip = aCall.m_tried;
+    skip.insert(skip.end(), aCall.m_busySlots.begin(), aCall.m_busySlots.end());
     const auto selected = m_workers.Choose(
-      m_policy, aCall.m_plan.m_service, exclude, context, m_random, aRule);
+      m_policy, aCall.m_plan.m_service, skip, context, m_random, aRule);
     // Otherwise waiting at a busy worker may cost less than crossing.
     if (selected && IsInOwnDomain(m_policy, m_workers.At(*selected))) {
       return selected;
@@ -139,13 +136,11 @@
   }
   const auto selected = SelectWorker(aNow, aCall);
   const bool isRetry = !aCall.m_tried.empty();
-  // After a refusal by a daemon, workers that refuse most calls aren't tried.
-  // The retry budget bounds refusals by workers themselves.
-  const bool wouldBeRefused =
-    selected && isRetry && !aPrevious.m_reachedWorker &&
-    aPrevious.m_reason != RefusalReason::Busy &&
-    m_workers.At(*selected).m_refusals > kMaxRefusalShare;
-  if (!selected || wouldBeRefused) {
+  // Only after refusals by daemons; the retry budget bounds those by workers.
+  const bool isRefused = selected && isRetry && !aPrevious.m_reachedWorker &&
+                         aPrevious.m_reason != RefusalReason::Busy &&
+                         m_workers.At(*selected).m_refusals > kMaxRefusalShare;
+  if (!selected || isRefused) {
     Finish(aOut, aCall, std::move(aPrevious));
     return;
   }
@@ -299,15 +294,13 @@
                                         CallAnswer aAnswer)
 {
   const bool failed = aAnswer.m_response.m_status >= kFirstServerError;
-  // A retry is useful if the cause is local to the worker and an answer can
-  // still meet the target.
-  const bool isCommonFailure =
+  // Retries only if the cause is local and an answer can meet the target.
+  const bool isCommon =
     failed && m_decisions.m_detectsCommonCause &&
     m_workers.MeanFailures(aCall.m_plan.m_service) > kCommonCauseFailureShare;
-  const bool shouldRetry =
-    failed && !isCommonFailure && aCall.m_plan.m_idempotent &&
-    aNow + 2 * aAnswer.m_serviceTime < aCall.m_plan.m_target;
-  if (!shouldRetry) {
+  const bool retry = failed && !isCommon && aCall.m_plan.m_idempotent &&
+                     aNow + 2 * aAnswer.m_serviceTime < aCall.m_plan.m_target;
+  if (!retry) {
     Finish(aOut, aCall, std::move(aAnswer));
     return;
   }
@@ -355,8 +348,7 @@
     return out;
   }
   if (aState == AttemptState::Started) {
-    // The answer will arrive on the new connection.
-    call->m_inDoubt = false;
+    call->m_inDoubt = false; // the answer arrives on the new connection
     return out;
   }
   EndAttempt(aNow, *call, Verdict::Failed, std::nullopt);
@@ -381,8 +373,7 @@
   for (const std::uint64_t id : affected) {
     Call& call = m_calls.at(id);
     if (!call.m_plan.m_idempotent) {
-      // The daemon's state of the attempt is queried on the next connection.
-      call.m_inDoubt = true;
+      call.m_inDoubt = true; // the state is queried on the next connection
       continue;
     }
     EndAttempt(aNow, call, Verdict::Failed, std::nullopt);
@@ -413,7 +404,6 @@
       out.emplace_back(SendCancel{ call.m_attempt, aSlot, false });
       continue;
     }
-    // The daemon has restarted and lost the state; the call may have run.
     EndAttempt(aNow, call, Verdict::Failed, std::nullopt);
     RetryOrFinish(aNow,
                   out,
