--- a/src/cli/quarantine.cpp
+++ b/src/cli/quarantine.cpp
@@ -14,7 +14,7 @@
   const auto seconds = [](const Json& aJson, const char* aName) {
     return aJson.value(aName, 0.0) / kMsInSecond;
   };
-  fmt::print("{}  {} ends under it at {}, held for {:.0f} s, {:.0f} s left\n",
+  fmt::print("{}  {} crashes at {}, quarantined for {:.0f} s, {:.0f} s left\n",
              aEntry.value("content", ""),
              aEntry.value("ends", 0),
              aEntry.value("service", ""),
@@ -41,11 +41,11 @@
     fmt::print("{}\n", answer->dump());
     return Done;
   }
-  const Json held = answer->value("held", Json::array());
-  for (const Json& each : held) {
+  const Json quarantined = answer->value("held", Json::array());
+  for (const Json& each : quarantined) {
     PrintQuarantined(each);
   }
-  fmt::print("{} held\n", held.size());
+  fmt::print("{} quarantined\n", quarantined.size());
   return Done;
 }
 
--- a/tests/end_to_end/crashing_requests.cpp
+++ b/tests/end_to_end/crashing_requests.cpp
@@ -155,10 +155,9 @@
   CommandResult listed;
   REQUIRE(WaitUntil([&] {
     listed = fleet.Command("lockers-2", { "held" });
-    return listed.m_output.find("1 held") != std::string::npos;
+    return listed.m_output.find("1 quarantined") != std::string::npos;
   }));
-  CHECK(listed.m_output.find("3 ends under it at lockers") !=
-        std::string::npos);
+  CHECK(listed.m_output.find("3 crashes at lockers") != std::string::npos);
   CHECK(listed.m_output.find("s ago, after") != std::string::npos);
   const std::string fingerprint = listed.m_output.substr(0, 32);
 
