--- a/include/greengagehub/calls/dispatcher.hpp
+++ b/include/greengagehub/calls/dispatcher.hpp
@@ -29,7 +29,7 @@
   std::uint32_t m_priority{ 0 };
   /// Probability that the call is made by a retried run.
   double m_retriedRunProbability{ 0.0 };
-  Fingerprint m_content{};
+  Fingerprint m_fingerprint{};
 };
 
 /// \brief Send attempt `m_attempt` of call `m_call` to a worker's daemon.
--- a/include/greengagehub/quarantine/quarantine_update.hpp
+++ b/include/greengagehub/quarantine/quarantine_update.hpp
@@ -17,7 +17,7 @@
 /// \brief A request that was running when a backend server crashed.
 struct Witness
 {
-  Fingerprint m_content{};
+  Fingerprint m_fingerprint{};
   /// How long the request had been running.
   Duration m_ran{};
   /// Time from the last success of this request on the same backend server to
@@ -57,7 +57,7 @@
 /// and changes no quarantine.
 struct QuarantineVerdict
 {
-  Fingerprint m_content{};
+  Fingerprint m_fingerprint{};
   /// Service of the last backend server that crashed.
   std::string m_service{};
   std::uint32_t m_generation{ 0 };
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -92,7 +92,7 @@
     aCall.m_plan.m_crossingCost,
     aCall.m_plan.m_deadline - aNow
   };
-  const Fingerprint fingerprint = aCall.m_plan.m_content;
+  const Fingerprint fingerprint = aCall.m_plan.m_fingerprint;
   if (m_quarantine != nullptr && m_quarantine->IsSuspect(fingerprint)) {
     RendezvousPolicy pinned{ fingerprint };
     return m_workers.Choose(
@@ -215,7 +215,7 @@
 {
   return m_quarantine == nullptr
            ? std::nullopt
-           : m_quarantine->QuarantineTimeLeft(aNow, aCall.m_plan.m_content);
+           : m_quarantine->QuarantineTimeLeft(aNow, aCall.m_plan.m_fingerprint);
 }
 
 template<RoutingPolicy Policy>
@@ -224,8 +224,7 @@
                                       const CallAnswer& aAnswer) const
 {
   const std::uint32_t knownCrashes =
-    m_quarantine == nullptr ? 0
-                            : m_quarantine->CrashCount(aCall.m_plan.m_content);
+    !m_quarantine ? 0 : m_quarantine->CrashCount(aCall.m_plan.m_fingerprint);
   return std::max(knownCrashes, aAnswer.m_ends) < Quarantine::kSuspectCrashes;
 }
 
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -312,7 +312,7 @@
   request.m_body = std::move(aRequest.m_body);
   request.m_class = plan.m_class;
   request.m_idempotent = plan.m_idempotent;
-  plan.m_content = CallFingerprint(m_deps.m_dialect, request);
+  plan.m_fingerprint = CallFingerprint(m_deps.m_dialect, request);
 
   const std::uint64_t id = ++m_lastCall;
   m_latestCallByConnection[call.m_connection] = id;
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -306,13 +306,13 @@
       continue;
     }
     Json witnesses = Json::array();
-    for (const auto& crash : quarantine.KnownCrashes(now, each.m_content)) {
+    for (const auto& crash : quarantine.KnownCrashes(now, each.m_fingerprint)) {
       witnesses.push_back({ { "slot", crash.m_slot },
                             { "ago_ms", Millis(crash.m_age) },
                             { "ran_ms", Millis(crash.m_ran) } });
     }
     quarantined.push_back(
-      { { "content", ToHex(each.m_content) },
+      { { "content", ToHex(each.m_fingerprint) },
         { "service", each.m_service },
         { "generation", each.m_generation },
         { "ends", each.m_ends },
--- a/src/daemon/quarantine_service.cpp
+++ b/src/daemon/quarantine_service.cpp
@@ -95,13 +95,13 @@
     LogVerdict(each, aScope);
     const bool isOwn = std::ranges::any_of(
       aChanges.m_ownVerdicts, [&](const QuarantineVerdict& aOwn) {
-        return aOwn.m_content == each.m_content;
+        return aOwn.m_fingerprint == each.m_fingerprint;
       });
     if (!each.m_isQuarantined) {
       // The daemon that lifts a verdict deletes its key; expired keys are
       // deleted by the store.
       if (aScope == Scope::AllDomains) {
-        m_writer.Lift(each.m_content, aNow);
+        m_writer.Lift(each.m_fingerprint, aNow);
       }
     } else if (isOwn) {
       m_writer.QueueWrite(each, aNow, false);
@@ -126,7 +126,7 @@
   m_deps.m_log.Warning(
     kComponent,
     aVerdict.m_isQuarantined ? "content_held" : "content_lifted",
-    { { "content", ToHex(aVerdict.m_content) },
+    { { "content", ToHex(aVerdict.m_fingerprint) },
       { "cause", NameOf(aVerdict.m_cause) },
       { "service", aVerdict.m_service },
       { "ends", std::uint64_t{ aVerdict.m_ends } },
--- a/src/daemon/request_log.cpp
+++ b/src/daemon/request_log.cpp
@@ -129,7 +129,7 @@
   std::string fingerprints;
   for (const Witness& each : aExit.m_runs) {
     fingerprints += fingerprints.empty() ? "" : " ";
-    fingerprints += ToHex(each.m_content);
+    fingerprints += ToHex(each.m_fingerprint);
   }
   m_log.Warning("worker",
                 "worker_ended",
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -14,7 +14,7 @@
 DigestOf(const QuarantineVerdict& aVerdict)
 {
   return ShortHash(fmt::format("{}/{}/{}",
-                               ToHex(aVerdict.m_content),
+                               ToHex(aVerdict.m_fingerprint),
                                aVerdict.m_generation,
                                aVerdict.m_isQuarantined));
 }
@@ -176,7 +176,7 @@
 {
   QuarantineChanges out;
   for (Witness& each : aReport.m_ran) {
-    if (const auto lastSuccess = m_successes.Find(each.m_content)) {
+    if (const auto lastSuccess = m_successes.Find(each.m_fingerprint)) {
       each.m_lastSuccess = aNow - aReport.m_age - *lastSuccess;
     }
   }
@@ -203,13 +203,13 @@
   }
   bool addsRuns = false;
   for (const Witness& each : aReport.m_ran) {
-    if (std::ranges::find(crash.m_fingerprints, each.m_content) !=
+    if (std::ranges::find(crash.m_fingerprints, each.m_fingerprint) !=
         crash.m_fingerprints.end()) {
       continue;
     }
     addsRuns = true;
-    crash.m_fingerprints.push_back(each.m_content);
-    Suspect& suspect = m_suspects[each.m_content];
+    crash.m_fingerprints.push_back(each.m_fingerprint);
+    Suspect& suspect = m_suspects[each.m_fingerprint];
     suspect.m_runs.push_back(
       { aReport.m_id, crash.m_crashedAt - each.m_ran, crash.m_crashedAt });
     if (each.m_lastSuccess) {
@@ -229,7 +229,7 @@
                           QuarantineChanges& aOut)
 {
   for (const Witness& each : aReport.m_ran) {
-    EvaluateFingerprint(aNow, aReport.m_service, each.m_content, aOut);
+    EvaluateFingerprint(aNow, aReport.m_service, each.m_fingerprint, aOut);
   }
 }
 
@@ -255,7 +255,7 @@
   }
   const auto record = m_records.find(aFingerprint);
   QuarantineVerdict verdict;
-  verdict.m_content = aFingerprint;
+  verdict.m_fingerprint = aFingerprint;
   verdict.m_service = aService;
   verdict.m_generation =
     record == m_records.end() ? 1 : record->second.m_verdict.m_generation + 1;
@@ -323,7 +323,7 @@
   }
   aSuspect.m_lastSuccess = localSuccess;
   QuarantineVerdict update;
-  update.m_content = aFingerprint;
+  update.m_fingerprint = aFingerprint;
   update.m_cause = VerdictCause::Succeeded;
   update.m_age = aNow - *localSuccess;
   aOut.m_update.m_verdicts.push_back(std::move(update));
@@ -334,17 +334,17 @@
                          const QuarantineVerdict& aVerdict,
                          QuarantineChanges& aOut)
 {
-  const auto suspect = m_suspects.find(aVerdict.m_content);
+  const auto suspect = m_suspects.find(aVerdict.m_fingerprint);
   if (suspect == m_suspects.end()) {
     return;
   }
   std::optional<TimePoint>& lastSuccess = suspect->second.m_lastSuccess;
   const TimePoint at = aNow - aVerdict.m_age;
   const auto counted =
-    CountCrashes(suspect->second, aVerdict.m_content, lastSuccess).m_count;
+    CountCrashes(suspect->second, aVerdict.m_fingerprint, lastSuccess).m_count;
   const bool isNew =
     !(lastSuccess >= at) &&
-    CountCrashes(suspect->second, aVerdict.m_content, at).m_count < counted;
+    CountCrashes(suspect->second, aVerdict.m_fingerprint, at).m_count < counted;
   if (isNew) {
     lastSuccess = at;
     aOut.m_update.m_verdicts.push_back(aVerdict);
@@ -385,7 +385,7 @@
     return;
   }
   const TimePoint at = aNow - aVerdict.m_age;
-  const auto known = m_records.find(aVerdict.m_content);
+  const auto known = m_records.find(aVerdict.m_fingerprint);
   if (known == m_records.end() ||
       Overrides(aVerdict, known->second.m_verdict)) {
     SetVerdict(at, aVerdict, aOut);
@@ -399,14 +399,14 @@
                        const QuarantineVerdict& aVerdict,
                        QuarantineChanges& aOut)
 {
-  EraseRecord(aVerdict.m_content);
+  EraseRecord(aVerdict.m_fingerprint);
   if (m_records.size() >= kMaxVerdicts) {
     DropOldestRecord();
   }
-  m_records.emplace(aVerdict.m_content, Record{ aVerdict, aAt });
+  m_records.emplace(aVerdict.m_fingerprint, Record{ aVerdict, aAt });
   m_summary ^= DigestOf(aVerdict);
   m_quarantinedCount += aVerdict.m_isQuarantined ? 1 : 0;
-  const auto suspect = m_suspects.find(aVerdict.m_content);
+  const auto suspect = m_suspects.find(aVerdict.m_fingerprint);
   const bool clearsCrashes =
     !aVerdict.m_isQuarantined && aVerdict.m_cause != VerdictCause::Expired;
   if (clearsCrashes && suspect != m_suspects.end()) {
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -47,7 +47,7 @@
   const Json json = Json::parse(aValue, nullptr, false);
   FieldReader fields{ json };
   QuarantineVerdict verdict;
-  verdict.m_content = fingerprint.value();
+  verdict.m_fingerprint = fingerprint.value();
   verdict.m_isQuarantined = true;
   verdict.m_service = fields.Text("service");
   verdict.m_generation =
@@ -68,7 +68,7 @@
 VerdictWriter::DropJobs(Fingerprint aFingerprint)
 {
   const auto isSame = [aFingerprint](const Job& aJob) {
-    return aJob.m_verdict.m_content == aFingerprint;
+    return aJob.m_verdict.m_fingerprint == aFingerprint;
   };
   const auto first = m_jobs.begin() + (m_step ? 1 : 0);
   m_isStale = m_isStale || (m_step && isSame(m_jobs.front()));
@@ -80,7 +80,7 @@
                           TimePoint aNotBefore,
                           bool aChecksFirst)
 {
-  DropJobs(aVerdict.m_content);
+  DropJobs(aVerdict.m_fingerprint);
   m_jobs.push_back({ std::move(aVerdict),
                      aNotBefore,
                      aChecksFirst ? Step::Check : Step::Lease });
@@ -91,7 +91,7 @@
 {
   DropJobs(aFingerprint);
   QuarantineVerdict verdict;
-  verdict.m_content = aFingerprint;
+  verdict.m_fingerprint = aFingerprint;
   m_jobs.push_back({ std::move(verdict), aNow, Step::Delete });
 }
 
@@ -99,7 +99,7 @@
 VerdictWriter::Begin(Step aStep)
 {
   m_step = aStep;
-  const std::string key = KeyOf(m_jobs.front().m_verdict.m_content);
+  const std::string key = KeyOf(m_jobs.front().m_verdict.m_fingerprint);
   switch (aStep) {
     case Step::Check:
       return MakeGet(key);
@@ -117,7 +117,7 @@
   m_step = Step::Put;
   const QuarantineVerdict& verdict = m_jobs.front().m_verdict;
   StoreRequest request =
-    MakePut(KeyOf(verdict.m_content), VerdictToJson(verdict), aExpected);
+    MakePut(KeyOf(verdict.m_fingerprint), VerdictToJson(verdict), aExpected);
   request.m_lease = m_lease;
   return request;
 }
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -119,8 +119,8 @@
   aOut.set_age_ms(ToMs(aReport.m_age));
   for (const Witness& each : aReport.m_ran) {
     wire::Witness& ran = *aOut.add_ran();
-    ran.set_content_high(each.m_content.m_high);
-    ran.set_content_low(each.m_content.m_low);
+    ran.set_content_high(each.m_fingerprint.m_high);
+    ran.set_content_low(each.m_fingerprint.m_low);
     ran.set_ran_ms(ToMs(each.m_ran));
     if (each.m_lastSuccess) {
       ran.set_last_good_ms(ToMs(*each.m_lastSuccess));
@@ -151,8 +151,8 @@
 void
 ToWire(const QuarantineVerdict& aVerdict, wire::Verdict& aOut)
 {
-  aOut.set_content_high(aVerdict.m_content.m_high);
-  aOut.set_content_low(aVerdict.m_content.m_low);
+  aOut.set_content_high(aVerdict.m_fingerprint.m_high);
+  aOut.set_content_low(aVerdict.m_fingerprint.m_low);
   aOut.set_service(aVerdict.m_service);
   aOut.set_generation(aVerdict.m_generation);
   aOut.set_is_held(aVerdict.m_isQuarantined);
@@ -168,7 +168,7 @@
     return Malformed("verdict: unknown cause");
   }
   QuarantineVerdict verdict;
-  verdict.m_content = { aWire.content_high(), aWire.content_low() };
+  verdict.m_fingerprint = { aWire.content_high(), aWire.content_low() };
   verdict.m_service = aWire.service();
   verdict.m_generation = aWire.generation();
   verdict.m_isQuarantined = aWire.is_held();
--- a/tests/calls/quarantined_calls.cpp
+++ b/tests/calls/quarantined_calls.cpp
@@ -38,7 +38,7 @@
     plan.m_idempotent = true;
     plan.m_deadline = kStart + 1s;
     plan.m_retriesLeft = 3;
-    plan.m_content = kFingerprint;
+    plan.m_fingerprint = kFingerprint;
     m_sends.clear();
     auto actions = m_dispatcher.Begin(kStart, ++m_lastCall, std::move(plan));
     while (const auto* send = std::get_if<SendAttempt>(&actions.front())) {
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -86,7 +86,7 @@
   void QuarantineRequests(Fingerprint aFingerprint)
   {
     QuarantineVerdict verdict;
-    verdict.m_content = aFingerprint;
+    verdict.m_fingerprint = aFingerprint;
     verdict.m_generation = 1;
     verdict.m_isQuarantined = true;
     static_cast<void>(m_quarantine.OnUpdate(Clock::now(), { {}, { verdict } }));
@@ -220,9 +220,9 @@
   }
   REQUIRE(fixture.CrashReports().size() == 1);
   REQUIRE(fixture.CrashReports()[0].m_ran.size() == 2);
-  CHECK(fixture.CrashReports()[0].m_ran[0].m_content ==
+  CHECK(fixture.CrashReports()[0].m_ran[0].m_fingerprint ==
         RunServiceFixture::ReleaseFingerprint());
-  CHECK(fixture.CrashReports()[0].m_ran[1].m_content ==
+  CHECK(fixture.CrashReports()[0].m_ran[1].m_fingerprint ==
         CallFingerprint(kDialect, other));
 }
 
--- a/tests/quarantine/crash_detector.cpp
+++ b/tests/quarantine/crash_detector.cpp
@@ -55,5 +55,5 @@
   const auto crash = detector.OnProbed(true);
   REQUIRE(crash);
   CHECK(crash->m_runs.size() == 1);
-  CHECK(crash->m_runs.front().m_content == Fingerprint{ 0, 2 });
+  CHECK(crash->m_runs.front().m_fingerprint == Fingerprint{ 0, 2 });
 }
--- a/tests/quarantine/quarantine.cpp
+++ b/tests/quarantine/quarantine.cpp
@@ -152,7 +152,7 @@
   CHECK_FALSE(elsewhere.IsQuarantined(kStart + 3s, kOther));
   // The superseded verdict arrives late.
   QuarantineVerdict late;
-  late.m_content = kOther;
+  late.m_fingerprint = kOther;
   late.m_generation = 1;
   late.m_isQuarantined = true;
   static_cast<void>(elsewhere.OnUpdate(kStart + 4s, { {}, { late } }));
@@ -206,7 +206,7 @@
   std::vector<QuarantineVerdict> lifted;
   for (std::uint64_t i = 1; i <= 2 * Quarantine::kMaxVerdicts; ++i) {
     QuarantineVerdict verdict;
-    verdict.m_content = { i, 0 };
+    verdict.m_fingerprint = { i, 0 };
     verdict.m_generation = 1;
     lifted.push_back(verdict);
   }
@@ -220,7 +220,7 @@
   QuarantineUpdate update;
   update.m_ends.push_back(MakeReport(1, std::vector<Fingerprint>(100, kOther)));
   for (std::uint64_t i = 0; i < 100; ++i) {
-    update.m_ends[0].m_ran[i].m_content = { i, i };
+    update.m_ends[0].m_ran[i].m_fingerprint = { i, i };
   }
   Quarantine quarantine;
   for (const QuarantineUpdate& each : SplitIntoDatagrams(update)) {
--- a/tests/quarantine/verdict_writer.cpp
+++ b/tests/quarantine/verdict_writer.cpp
@@ -15,7 +15,7 @@
 MakeVerdict(std::uint32_t aGeneration = 1)
 {
   QuarantineVerdict verdict;
-  verdict.m_content = { 1, 2 };
+  verdict.m_fingerprint = { 1, 2 };
   verdict.m_service = "locker-app";
   verdict.m_generation = aGeneration;
   verdict.m_isQuarantined = true;
@@ -38,11 +38,11 @@
 TEST_CASE("verdicts round-trip and malformed values are rejected")
 {
   const std::string key =
-    std::string{ kVerdictPrefix } + ToHex(MakeVerdict().m_content);
+    std::string{ kVerdictPrefix } + ToHex(MakeVerdict().m_fingerprint);
   const std::string value = VerdictToJson(MakeVerdict(4));
   const auto read = ParseVerdict(key, value);
   REQUIRE(read);
-  CHECK(read.value().m_content == MakeVerdict().m_content);
+  CHECK(read.value().m_fingerprint == MakeVerdict().m_fingerprint);
   CHECK(read.value().m_generation == 4);
   CHECK(read.value().m_isQuarantined);
   CHECK_FALSE(ParseVerdict(key + "0", value));
@@ -107,7 +107,7 @@
   }
   SUBCASE("a verdict lifted during its write is deleted afterwards")
   {
-    writer.Lift(MakeVerdict().m_content, kStart);
+    writer.Lift(MakeVerdict().m_fingerprint, kStart);
     CHECK_FALSE(writer.OnTick(kStart));
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
     const auto gone = writer.OnTick(kStart);
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -35,7 +35,7 @@
   end.m_ran.push_back({ { 3, 4 }, 7ms, 900ms });
   message.m_quarantine.m_ends.push_back(std::move(end));
   QuarantineVerdict verdict;
-  verdict.m_content = { 1, 2 };
+  verdict.m_fingerprint = { 1, 2 };
   verdict.m_service = "locker-app";
   verdict.m_generation = 2;
   verdict.m_cause = VerdictCause::Operator;
@@ -84,13 +84,13 @@
   CHECK(end.m_service == "locker-app");
   CHECK(end.m_age == 40ms);
   REQUIRE(end.m_ran.size() == 2);
-  CHECK(end.m_ran[0].m_content == Fingerprint{ 1, 2 });
+  CHECK(end.m_ran[0].m_fingerprint == Fingerprint{ 1, 2 });
   CHECK(end.m_ran[0].m_ran == 60ms);
   CHECK_FALSE(end.m_ran[0].m_lastSuccess);
   CHECK(end.m_ran[1].m_lastSuccess == 900ms);
   REQUIRE(got.value().m_quarantine.m_verdicts.size() == 1);
   const QuarantineVerdict& verdict = got.value().m_quarantine.m_verdicts[0];
-  CHECK(verdict.m_content == Fingerprint{ 1, 2 });
+  CHECK(verdict.m_fingerprint == Fingerprint{ 1, 2 });
   CHECK(verdict.m_service == "locker-app");
   CHECK(verdict.m_generation == 2);
   CHECK_FALSE(verdict.m_isQuarantined);
