--- a/include/greengagehub/calls/call.hpp
+++ b/include/greengagehub/calls/call.hpp
@@ -130,7 +130,7 @@
   /// Expected queueing delay of another such call at the worker.
   std::chrono::microseconds m_wait{ 0 };
   /// WorkerCrashed: crashes counted so far for the request's fingerprint.
-  std::uint32_t m_ends{ 0 };
+  std::uint32_t m_crashCount{ 0 };
 };
 
 [[nodiscard]] CallAnswer
--- a/include/greengagehub/daemon/quarantine_service.hpp
+++ b/include/greengagehub/daemon/quarantine_service.hpp
@@ -45,7 +45,7 @@
   /// \brief Writes verdicts again that a store restored from a backup may have
   /// lost, with their leases.
   void OnStoreRestored();
-  void OnLocalCrash(EndReport aReport);
+  void OnLocalCrash(CrashReport aReport);
   void OnSuccess(Fingerprint aFingerprint);
   void OnUpdate(const QuarantineUpdate& aUpdate);
   /// \returns Whether the fingerprint was quarantined.
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -44,7 +44,7 @@
     AnswerHandler m_deliver;
     SpanHandler m_trace;
     /// Called after a crash of the worker with the runs that it interrupted.
-    std::function<void(EndReport)> m_onCrash;
+    std::function<void(CrashReport)> m_onCrash;
     /// Called when a run was answered without a server error.
     std::function<void(Fingerprint)> m_onSuccess;
     /// Whether the retry budget allows another retried run, with the calls that
--- a/include/greengagehub/quarantine/quarantine.hpp
+++ b/include/greengagehub/quarantine/quarantine.hpp
@@ -79,7 +79,7 @@
   /// \param aReport crash of the local backend server; m_lastSuccess of its
   /// runs is filled in here.
   [[nodiscard]] QuarantineChanges OnLocalCrash(TimePoint aNow,
-                                               EndReport aReport);
+                                               CrashReport aReport);
   /// \param aUpdate crashes and verdicts from another daemon or the store.
   [[nodiscard]] QuarantineChanges OnUpdate(TimePoint aNow,
                                            const QuarantineUpdate& aUpdate);
@@ -162,9 +162,9 @@
                                    Fingerprint aFingerprint) const;
   [[nodiscard]] bool HasLocalCrash(const Suspect& aSuspect) const;
   /// \returns Whether the report contained new runs.
-  bool AddCrash(TimePoint aNow, const EndReport& aReport, bool aIsLocal);
+  bool AddCrash(TimePoint aNow, const CrashReport& aReport, bool aIsLocal);
   void EvaluateCrash(TimePoint aNow,
-                     const EndReport& aReport,
+                     const CrashReport& aReport,
                      QuarantineChanges& aOut);
   void EvaluateFingerprint(TimePoint aNow,
                            const std::string& aService,
--- a/include/greengagehub/quarantine/quarantine_update.hpp
+++ b/include/greengagehub/quarantine/quarantine_update.hpp
@@ -26,7 +26,7 @@
 };
 
 /// \brief A crash of a backend server, as reported by its daemon.
-struct EndReport
+struct CrashReport
 {
   /// Unique across the fleet.
   std::uint64_t m_id{ 0 };
@@ -64,19 +64,19 @@
   bool m_isQuarantined{ false };
   VerdictCause m_cause{ VerdictCause::Crashes };
   /// Crashes that count against the request.
-  std::uint32_t m_ends{ 0 };
+  std::uint32_t m_crashCount{ 0 };
   Duration m_age{};
 };
 
 /// \brief Crash reports and verdicts exchanged between daemons.
 struct QuarantineUpdate
 {
-  std::vector<EndReport> m_ends{};
+  std::vector<CrashReport> m_crashes{};
   std::vector<QuarantineVerdict> m_verdicts{};
 
   [[nodiscard]] bool IsEmpty() const noexcept
   {
-    return m_ends.empty() && m_verdicts.empty();
+    return m_crashes.empty() && m_verdicts.empty();
   }
 };
 
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -225,7 +225,8 @@
 {
   const std::uint32_t knownCrashes =
     !m_quarantine ? 0 : m_quarantine->CrashCount(aCall.m_plan.m_fingerprint);
-  return std::max(knownCrashes, aAnswer.m_ends) < Quarantine::kSuspectCrashes;
+  return std::max(knownCrashes, aAnswer.m_crashCount) <
+         Quarantine::kSuspectCrashes;
 }
 
 template<RoutingPolicy Policy>
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -50,7 +50,7 @@
                      },
                    .m_trace = m_deps.m_trace,
                    .m_onCrash =
-                     [this](EndReport aReport) {
+                     [this](CrashReport aReport) {
                        m_deps.m_quarantine.OnLocalCrash(std::move(aReport));
                      },
                    .m_onSuccess =
--- a/src/daemon/operators_api.cpp
+++ b/src/daemon/operators_api.cpp
@@ -315,7 +315,7 @@
       { { "content", ToHex(each.m_fingerprint) },
         { "service", each.m_service },
         { "generation", each.m_generation },
-        { "ends", each.m_ends },
+        { "ends", each.m_crashCount },
         { "held_ms", Millis(each.m_age) },
         { "left_ms", Millis(Quarantine::kQuarantineTime - each.m_age) },
         { "witnesses", std::move(witnesses) } });
--- a/src/daemon/quarantine_service.cpp
+++ b/src/daemon/quarantine_service.cpp
@@ -38,7 +38,7 @@
 }
 
 void
-QuarantineService::OnLocalCrash(EndReport aReport)
+QuarantineService::OnLocalCrash(CrashReport aReport)
 {
   const TimePoint now = Clock::now();
   ApplyChanges(
@@ -129,7 +129,7 @@
     { { "content", ToHex(aVerdict.m_fingerprint) },
       { "cause", NameOf(aVerdict.m_cause) },
       { "service", aVerdict.m_service },
-      { "ends", std::uint64_t{ aVerdict.m_ends } },
+      { "ends", std::uint64_t{ aVerdict.m_crashCount } },
       { "generation", std::uint64_t{ aVerdict.m_generation } },
       { "age_ms", duration_cast<milliseconds>(aVerdict.m_age).count() },
       { "decided", aScope == Scope::AllDomains ? "here" : "elsewhere" } });
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -84,7 +84,8 @@
                                             : RefusalReason::AnswerLost);
   answer.m_reachedWorker = true;
   if (aWorkerCrashed) {
-    answer.m_ends = m_deps.m_quarantine.CrashCount(run->second.m_fingerprint);
+    answer.m_crashCount =
+      m_deps.m_quarantine.CrashCount(run->second.m_fingerprint);
   }
   FinishRun(aKey, std::move(answer));
 }
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -172,7 +172,7 @@
 }
 
 QuarantineChanges
-Quarantine::OnLocalCrash(TimePoint aNow, EndReport aReport)
+Quarantine::OnLocalCrash(TimePoint aNow, CrashReport aReport)
 {
   QuarantineChanges out;
   for (Witness& each : aReport.m_ran) {
@@ -182,13 +182,13 @@
   }
   if (AddCrash(aNow, aReport, true)) {
     EvaluateCrash(aNow, aReport, out);
-    out.m_update.m_ends.push_back(std::move(aReport));
+    out.m_update.m_crashes.push_back(std::move(aReport));
   }
   return out;
 }
 
 bool
-Quarantine::AddCrash(TimePoint aNow, const EndReport& aReport, bool aIsLocal)
+Quarantine::AddCrash(TimePoint aNow, const CrashReport& aReport, bool aIsLocal)
 {
   if (aReport.m_age > kRetention) {
     return false;
@@ -225,7 +225,7 @@
 
 void
 Quarantine::EvaluateCrash(TimePoint aNow,
-                          const EndReport& aReport,
+                          const CrashReport& aReport,
                           QuarantineChanges& aOut)
 {
   for (const Witness& each : aReport.m_ran) {
@@ -260,7 +260,7 @@
   verdict.m_generation =
     record == m_records.end() ? 1 : record->second.m_verdict.m_generation + 1;
   verdict.m_isQuarantined = true;
-  verdict.m_ends = tally.m_count;
+  verdict.m_crashCount = tally.m_count;
   SetVerdict(aNow, verdict, aOut);
   if (HasLocalCrash(suspect)) {
     aOut.m_ownVerdicts.push_back(std::move(verdict));
@@ -360,9 +360,9 @@
   for (const QuarantineVerdict& each : aUpdate.m_verdicts) {
     ApplyVerdict(aNow, each, out);
   }
-  for (const EndReport& each : aUpdate.m_ends) {
+  for (const CrashReport& each : aUpdate.m_crashes) {
     if (AddCrash(aNow, each, false)) {
-      out.m_update.m_ends.push_back(each);
+      out.m_update.m_crashes.push_back(each);
       EvaluateCrash(aNow, each, out);
     }
   }
--- a/src/quarantine/quarantine_update.cpp
+++ b/src/quarantine/quarantine_update.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t kMaxVerdictsPerPart = 18;
 
 void
-AppendCrash(std::vector<QuarantineUpdate>& aParts, const EndReport& aReport)
+AppendCrash(std::vector<QuarantineUpdate>& aParts, const CrashReport& aReport)
 {
   for (std::size_t i = 0; i < aReport.m_ran.size(); i += kMaxRunsPerPart) {
     const std::size_t end = std::min(i + kMaxRunsPerPart, aReport.m_ran.size());
-    EndReport part{
+    CrashReport part{
       aReport.m_id, aReport.m_slot, aReport.m_service, aReport.m_age, {}
     };
     const auto first = aReport.m_ran.begin();
@@ -42,7 +42,7 @@
                       { first + static_cast<std::ptrdiff_t>(i),
                         first + static_cast<std::ptrdiff_t>(end) } });
   }
-  for (const EndReport& each : aUpdate.m_ends) {
+  for (const CrashReport& each : aUpdate.m_crashes) {
     AppendCrash(parts, each);
   }
   return parts;
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -31,7 +31,7 @@
     { "format", kFormatVersion },
     { "service", aVerdict.m_service },
     { "generation", aVerdict.m_generation },
-    { "ends", aVerdict.m_ends }
+    { "ends", aVerdict.m_crashCount }
   }.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -52,7 +52,7 @@
   verdict.m_service = fields.Text("service");
   verdict.m_generation =
     static_cast<std::uint32_t>(fields.Unsigned("generation", UINT32_MAX));
-  verdict.m_ends =
+  verdict.m_crashCount =
     static_cast<std::uint32_t>(fields.Unsigned("ends", UINT32_MAX));
   if (fields.Unsigned("format") != kFormatVersion ||
       verdict.m_generation == 0) {
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -111,7 +111,7 @@
 }
 
 void
-ToWire(const EndReport& aReport, wire::EndReport& aOut)
+ToWire(const CrashReport& aReport, wire::EndReport& aOut)
 {
   aOut.set_id(aReport.m_id);
   aOut.set_slot(aReport.m_slot);
@@ -128,10 +128,10 @@
   }
 }
 
-Outcome<EndReport>
+Outcome<CrashReport>
 FromWire(const wire::EndReport& aWire)
 {
-  EndReport report;
+  CrashReport report;
   report.m_id = aWire.id();
   report.m_slot = aWire.slot();
   report.m_service = aWire.service();
@@ -157,7 +157,7 @@
   aOut.set_generation(aVerdict.m_generation);
   aOut.set_is_held(aVerdict.m_isQuarantined);
   aOut.set_cause(static_cast<std::uint32_t>(aVerdict.m_cause));
-  aOut.set_ends(aVerdict.m_ends);
+  aOut.set_ends(aVerdict.m_crashCount);
   aOut.set_age_ms(ToMs(aVerdict.m_age));
 }
 
@@ -173,7 +173,7 @@
   verdict.m_generation = aWire.generation();
   verdict.m_isQuarantined = aWire.is_held();
   verdict.m_cause = static_cast<VerdictCause>(aWire.cause());
-  verdict.m_ends = aWire.ends();
+  verdict.m_crashCount = aWire.ends();
   verdict.m_age = FromMs(aWire.age_ms());
   return verdict;
 }
@@ -212,7 +212,7 @@
   out.set_floor(aMessage.m_minimumVersion.m_number);
   out.set_watching(aMessage.m_watching);
   out.set_members(aMessage.m_members);
-  for (const EndReport& each : aMessage.m_quarantine.m_ends) {
+  for (const CrashReport& each : aMessage.m_quarantine.m_crashes) {
     ToWire(each, *out.add_ends());
   }
   for (const QuarantineVerdict& each : aMessage.m_quarantine.m_verdicts) {
@@ -263,7 +263,7 @@
   auto head = FromWire(in.head());
   auto updates = AllFromWire<MemberRecord>(in.updates());
   auto entries = AllFromWire<VersionEntry>(in.entries());
-  auto ends = AllFromWire<EndReport>(in.ends());
+  auto ends = AllFromWire<CrashReport>(in.ends());
   auto verdicts = AllFromWire<QuarantineVerdict>(in.verdicts());
   auto rollouts = AllFromWire<RolloutRecord>(in.rollouts());
   auto counts = FromWire(in.counts());
--- a/src/transport/link_codec.cpp
+++ b/src/transport/link_codec.cpp
@@ -136,7 +136,7 @@
     out.set_held(aAnswer.m_reason == RefusalReason::Quarantined);
     out.set_no_repeats(aAnswer.m_reason == RefusalReason::RetryBudgetExhausted);
     if (aAnswer.m_reason == RefusalReason::WorkerCrashed) {
-      out.set_ends(std::max(1U, aAnswer.m_ends));
+      out.set_ends(std::max(1U, aAnswer.m_crashCount));
     }
     out.set_status(aAnswer.m_response.m_status);
     HeadersToWire(aAnswer.m_response.m_headers, out);
@@ -221,7 +221,7 @@
   } else if (aWire.ends() > 0) {
     answer.m_reason = RefusalReason::WorkerCrashed;
   }
-  answer.m_ends = aWire.ends();
+  answer.m_crashCount = aWire.ends();
   answer.m_response.m_status = static_cast<std::uint16_t>(aWire.status());
   answer.m_response.m_headers = HeadersFromWire(aWire);
   answer.m_response.m_body = aBody;
--- a/tests/calls/quarantined_calls.cpp
+++ b/tests/calls/quarantined_calls.cpp
@@ -53,14 +53,14 @@
   /// \returns The answer for a worker that crashes during the call.
   CallAnswer Crash()
   {
-    EndReport report{ ++m_lastCrash, "lockers-1", "locker-app", {}, {} };
+    CrashReport report{ ++m_lastCrash, "lockers-1", "locker-app", {}, {} };
     report.m_ran.push_back({ kFingerprint, 40ms, std::nullopt });
     const TimePoint at = kStart + std::chrono::seconds{ m_lastCrash };
     static_cast<void>(m_quarantine.OnUpdate(at, { { report }, {} }));
     CallAnswer answer =
       Refuse(0, CallOutcome::Unknown, RefusalReason::WorkerCrashed);
     answer.m_reachedWorker = true;
-    answer.m_ends = m_quarantine.CrashCount(kFingerprint);
+    answer.m_crashCount = m_quarantine.CrashCount(kFingerprint);
     return answer;
   }
 
--- a/tests/daemon/run_service.cpp
+++ b/tests/daemon/run_service.cpp
@@ -41,7 +41,7 @@
                     },
                   .m_trace = [](const Span&) {},
                   .m_onCrash =
-                    [this](EndReport aReport) {
+                    [this](CrashReport aReport) {
                       m_crashReports.push_back(std::move(aReport));
                     },
                   .m_onSuccess = [](Fingerprint) {},
@@ -98,7 +98,7 @@
     asio::post(m_loop, [this] { m_worker.reset(); });
   }
   Quarantine& GetQuarantine() { return m_quarantine; }
-  [[nodiscard]] const std::vector<EndReport>& CrashReports() const
+  [[nodiscard]] const std::vector<CrashReport>& CrashReports() const
   {
     return m_crashReports;
   }
@@ -137,7 +137,7 @@
   std::vector<CallAnswer> m_answers;
   Quarantine m_quarantine;
   RolloutTable m_rollouts;
-  std::vector<EndReport> m_crashReports;
+  std::vector<CrashReport> m_crashReports;
   std::uint64_t m_lastCall{ 0 };
   RunService m_service;
 };
@@ -296,7 +296,7 @@
   CallRequest other = RunServiceFixture::ReleaseRequest();
   other.m_target = "/release/2";
   for (std::uint64_t i = 1; i <= 2; ++i) {
-    EndReport end{ i, "lockers-9", "locker-app", {}, {} };
+    CrashReport end{ i, "lockers-9", "locker-app", {}, {} };
     for (const CallRequest& each :
          { RunServiceFixture::ReleaseRequest(), other }) {
       end.m_ran.push_back(
--- a/tests/quarantine/crash_replay.hpp
+++ b/tests/quarantine/crash_replay.hpp
@@ -265,7 +265,7 @@
     }
     worker.m_isUp = false;
     const std::vector<Running> lost = std::exchange(worker.m_running, {});
-    EndReport report{ ++m_lastCrash, "w", "s", {}, {} };
+    CrashReport report{ ++m_lastCrash, "w", "s", {}, {} };
     for (const Running& each : lost) {
       report.m_ran.push_back(
         { each.m_fingerprint, m_now - each.m_started, std::nullopt });
--- a/tests/quarantine/quarantine.cpp
+++ b/tests/quarantine/quarantine.cpp
@@ -12,12 +12,12 @@
 constexpr Fingerprint kOther{ 8, 8 };
 
 /// \param aRan how long each request had been running.
-EndReport
+CrashReport
 MakeReport(std::uint64_t aId,
            std::vector<Fingerprint> aFingerprints,
            Duration aRan = 60ms)
 {
-  EndReport report{ aId, "lockers-1", "locker-app", {}, {} };
+  CrashReport report{ aId, "lockers-1", "locker-app", {}, {} };
   for (const Fingerprint each : aFingerprints) {
     report.m_ran.push_back({ each, aRan, std::nullopt });
   }
@@ -46,7 +46,7 @@
   Quarantine quarantine;
   const auto first =
     quarantine.OnLocalCrash(kStart, MakeReport(1, { kCrashing }));
-  CHECK(first.m_update.m_ends.size() == 1);
+  CHECK(first.m_update.m_crashes.size() == 1);
   CHECK_FALSE(quarantine.IsSuspect(kCrashing));
   static_cast<void>(
     quarantine.OnUpdate(kStart + 1s, { { MakeReport(2, { kCrashing }) }, {} }));
@@ -218,14 +218,15 @@
 TEST_CASE("a crash with many runs is split into datagrams")
 {
   QuarantineUpdate update;
-  update.m_ends.push_back(MakeReport(1, std::vector<Fingerprint>(100, kOther)));
+  update.m_crashes.push_back(
+    MakeReport(1, std::vector<Fingerprint>(100, kOther)));
   for (std::uint64_t i = 0; i < 100; ++i) {
-    update.m_ends[0].m_ran[i].m_fingerprint = { i, i };
+    update.m_crashes[0].m_ran[i].m_fingerprint = { i, i };
   }
   Quarantine quarantine;
   for (const QuarantineUpdate& each : SplitIntoDatagrams(update)) {
-    REQUIRE(each.m_ends.size() == 1);
-    CHECK(each.m_ends[0].m_ran.size() <= 30);
+    REQUIRE(each.m_crashes.size() == 1);
+    CHECK(each.m_crashes[0].m_ran.size() <= 30);
     static_cast<void>(quarantine.OnUpdate(kStart, each));
   }
   CHECK(quarantine.CrashCount({ 99, 99 }) == 1);
--- a/tests/quarantine/verdict_writer.cpp
+++ b/tests/quarantine/verdict_writer.cpp
@@ -19,7 +19,7 @@
   verdict.m_service = "locker-app";
   verdict.m_generation = aGeneration;
   verdict.m_isQuarantined = true;
-  verdict.m_ends = 3;
+  verdict.m_crashCount = 3;
   return verdict;
 }
 
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -30,16 +30,16 @@
   }
   message.m_entries.push_back(
     { Version{ 9 }, R"({"services":{}})", Sha256("x"), Sha256("y") });
-  EndReport end{ 5, "lockers-1", "locker-app", 40ms, {} };
+  CrashReport end{ 5, "lockers-1", "locker-app", 40ms, {} };
   end.m_ran.push_back({ { 1, 2 }, 60ms, std::nullopt });
   end.m_ran.push_back({ { 3, 4 }, 7ms, 900ms });
-  message.m_quarantine.m_ends.push_back(std::move(end));
+  message.m_quarantine.m_crashes.push_back(std::move(end));
   QuarantineVerdict verdict;
   verdict.m_fingerprint = { 1, 2 };
   verdict.m_service = "locker-app";
   verdict.m_generation = 2;
   verdict.m_cause = VerdictCause::Operator;
-  verdict.m_ends = 3;
+  verdict.m_crashCount = 3;
   verdict.m_age = 20s;
   message.m_quarantine.m_verdicts.push_back(std::move(verdict));
   message.m_verdicts = 99;
@@ -77,8 +77,8 @@
   CHECK(got.value().m_entries == sent.m_entries);
   CHECK(got.value().m_head.m_chain == sent.m_head.m_chain);
   CHECK(got.value().m_verdicts == 99);
-  REQUIRE(got.value().m_quarantine.m_ends.size() == 1);
-  const EndReport& end = got.value().m_quarantine.m_ends[0];
+  REQUIRE(got.value().m_quarantine.m_crashes.size() == 1);
+  const CrashReport& end = got.value().m_quarantine.m_crashes[0];
   CHECK(end.m_id == 5);
   CHECK(end.m_slot == "lockers-1");
   CHECK(end.m_service == "locker-app");
@@ -95,7 +95,7 @@
   CHECK(verdict.m_generation == 2);
   CHECK_FALSE(verdict.m_isQuarantined);
   CHECK(verdict.m_cause == VerdictCause::Operator);
-  CHECK(verdict.m_ends == 3);
+  CHECK(verdict.m_crashCount == 3);
   CHECK(verdict.m_age == 20s);
 }
 
@@ -167,7 +167,7 @@
                                       RefusalReason::Quarantined,
                                       RefusalReason::RetryBudgetExhausted }) {
     CallAnswer sent = Refuse(3, CallOutcome::NotRun, reason, 5min);
-    sent.m_ends = reason == RefusalReason::WorkerCrashed ? 2 : 0;
+    sent.m_crashCount = reason == RefusalReason::WorkerCrashed ? 2 : 0;
     std::string bytes;
     AppendFrame(bytes, sent);
     const auto frame =
@@ -175,7 +175,7 @@
     REQUIRE(frame);
     const auto& got = std::get<CallAnswer>(frame.value());
     CHECK(got.m_reason == reason);
-    CHECK(got.m_ends == sent.m_ends);
+    CHECK(got.m_crashCount == sent.m_crashCount);
     CHECK(got.m_retryAfter == 5min);
 
     wire::Frame headFrame;
