--- a/include/greengagehub/calls/worker_presence.hpp
+++ b/include/greengagehub/calls/worker_presence.hpp
@@ -13,7 +13,7 @@
 /// \brief Content of a backend server's heartbeat.
 struct WorkerReport
 {
-  WorkerIncarnation m_start{};
+  WorkerIncarnation m_incarnation{};
   std::string m_service{};
   std::string m_address{};
   /// Empty: not reported.
@@ -82,7 +82,7 @@
   /// A replaced incarnation, or one that left before its first report.
   struct PastIncarnation
   {
-    WorkerIncarnation m_start;
+    WorkerIncarnation m_incarnation;
     /// Sequence number of its last report.
     std::uint64_t m_sequence{ 0 };
     TimePoint m_addedAt{};
--- a/include/greengagehub/calls/worker_table.hpp
+++ b/include/greengagehub/calls/worker_table.hpp
@@ -26,7 +26,7 @@
   std::uint64_t m_slotHash{ 0 };
   std::uint32_t m_slots{ 1 };
   /// 0: not reported.
-  IncarnationTag m_start{ 0 };
+  IncarnationTag m_incarnation{ 0 };
   /// Attempts in flight from this daemon.
   std::uint32_t m_inFlight{ 0 };
   /// Calls queued and running.
--- a/include/greengagehub/membership/member.hpp
+++ b/include/greengagehub/membership/member.hpp
@@ -49,7 +49,7 @@
   /// Maximum number of concurrent calls.
   std::uint32_t m_slots{ 0 };
   /// Same as MemberRecord::m_workerIncarnation.
-  std::uint32_t m_start{ 0 };
+  std::uint32_t m_incarnation{ 0 };
   /// Version of the backend server's software; empty if unknown.
   std::string m_version{};
 };
--- a/src/calls/worker_presence.cpp
+++ b/src/calls/worker_presence.cpp
@@ -30,29 +30,29 @@
 WorkerPresence::FindPast(TimePoint aNow,
                          const WorkerIncarnation& aIncarnation) const
 {
-  const auto found =
-    std::find_if(m_pastIncarnations.begin(),
-                 m_pastIncarnations.end(),
-                 [&](const PastIncarnation& aEach) {
-                   const bool isExpired = !aEach.m_start.m_startedAt &&
-                                          aNow - aEach.m_addedAt > kIdMatchLife;
-                   return !isExpired && MayBeSame(aEach.m_start, aIncarnation);
-                 });
+  const auto found = std::find_if(
+    m_pastIncarnations.begin(),
+    m_pastIncarnations.end(),
+    [&](const PastIncarnation& aEach) {
+      const bool isExpired = !aEach.m_incarnation.m_startedAt &&
+                             aNow - aEach.m_addedAt > kIdMatchLife;
+      return !isExpired && MayBeSame(aEach.m_incarnation, aIncarnation);
+    });
   return found == m_pastIncarnations.end() ? nullptr : &*found;
 }
 
 bool
 WorkerPresence::IsSuccessor(TimePoint aNow, const WorkerReport& aReport) const
 {
-  if (FindPast(aNow, aReport.m_start) != nullptr) {
+  if (FindPast(aNow, aReport.m_incarnation) != nullptr) {
     return false;
   }
   if (!m_current || IsSilent(aNow)) {
     return true;
   }
-  const WorkerIncarnation& known = m_current->m_start;
-  if (known.m_startedAt && aReport.m_start.m_startedAt) {
-    return *aReport.m_start.m_startedAt > *known.m_startedAt;
+  const WorkerIncarnation& known = m_current->m_incarnation;
+  if (known.m_startedAt && aReport.m_incarnation.m_startedAt) {
+    return *aReport.m_incarnation.m_startedAt > *known.m_startedAt;
   }
   // Without start times: a delayed report of an earlier incarnation has a
   // higher sequence number than one of a new process.
@@ -62,15 +62,15 @@
 bool
 WorkerPresence::IsConfirmed(TimePoint aNow, const WorkerReport& aReport)
 {
-  const PastIncarnation* past = FindPast(aNow, aReport.m_start);
+  const PastIncarnation* past = FindPast(aNow, aReport.m_incarnation);
   const bool isOld =
-    past != nullptr &&
-    (!past->m_start.m_startedAt || aReport.m_sequence <= past->m_sequence);
-  if (!m_current || !aReport.m_start.m_startedAt || isOld) {
+    past != nullptr && (!past->m_incarnation.m_startedAt ||
+                        aReport.m_sequence <= past->m_sequence);
+  if (!m_current || !aReport.m_incarnation.m_startedAt || isOld) {
     return false;
   }
   const bool isRepeated =
-    m_candidate && MayBeSame(m_candidate->m_start, aReport.m_start);
+    m_candidate && MayBeSame(m_candidate->m_incarnation, aReport.m_incarnation);
   if (isRepeated && aReport.m_sequence <= m_candidate->m_sequence) {
     return false;
   }
@@ -87,7 +87,7 @@
   }
   const bool wasLeaving = m_current->m_isDraining;
   const bool isUnchanged = m_current->m_slots == aReport.m_slots &&
-                           m_current->m_start == aReport.m_start;
+                           m_current->m_incarnation == aReport.m_incarnation;
   m_candidate.reset();
   m_lastReportAt = aNow;
   m_current = aReport;
@@ -103,11 +103,11 @@
 WorkerPresence::Replace(TimePoint aNow, const WorkerReport& aReport)
 {
   if (m_current) {
-    AddPast({ m_current->m_start, m_current->m_sequence, aNow });
+    AddPast({ m_current->m_incarnation, m_current->m_sequence, aNow });
     m_previousLastReportAt = m_lastReportAt;
   }
   std::erase_if(m_pastIncarnations, [&](const PastIncarnation& aEach) {
-    return aEach.m_start == aReport.m_start;
+    return aEach.m_incarnation == aReport.m_incarnation;
   });
   m_candidate.reset();
   m_lastReportAt = aNow;
@@ -127,11 +127,11 @@
 WorkerPresence::Change
 WorkerPresence::OnReport(TimePoint aNow, const WorkerReport& aReport)
 {
-  if (m_reportsStartTime && !aReport.m_start.m_startedAt) {
+  if (m_reportsStartTime && !aReport.m_incarnation.m_startedAt) {
     return Change::None;
   }
-  m_reportsStartTime = aReport.m_start.m_startedAt.has_value();
-  if (m_current && MayBeSame(m_current->m_start, aReport.m_start)) {
+  m_reportsStartTime = aReport.m_incarnation.m_startedAt.has_value();
+  if (m_current && MayBeSame(m_current->m_incarnation, aReport.m_incarnation)) {
     return UpdateCurrent(aNow, aReport);
   }
   const bool isAccepted =
@@ -142,7 +142,7 @@
 WorkerPresence::Change
 WorkerPresence::OnProbed(TimePoint aNow, WorkerReport aReport)
 {
-  if (m_current || FindPast(aNow, aReport.m_start) != nullptr) {
+  if (m_current || FindPast(aNow, aReport.m_incarnation) != nullptr) {
     return Change::None;
   }
   // Lower than in any heartbeat.
@@ -153,7 +153,7 @@
 WorkerPresence::Change
 WorkerPresence::OnLeft(TimePoint aNow, const WorkerIncarnation& aIncarnation)
 {
-  if (!m_current || !MayBeSame(m_current->m_start, aIncarnation)) {
+  if (!m_current || !MayBeSame(m_current->m_incarnation, aIncarnation)) {
     AddPast({ aIncarnation, 0, aNow });
     return Change::None;
   }
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -129,8 +129,8 @@
 UpdateIncarnation(WorkerRow& aRow, IncarnationTag aIncarnation)
 {
   const bool isNewIncarnation =
-    aRow.m_start != 0 && aRow.m_start != aIncarnation;
-  aRow.m_start = aIncarnation;
+    aRow.m_incarnation != 0 && aRow.m_incarnation != aIncarnation;
+  aRow.m_incarnation = aIncarnation;
   if (!isNewIncarnation) {
     return;
   }
@@ -179,8 +179,8 @@
         row.m_version = std::move(aRow.m_version);
         UpdateMainVersion(row.m_service);
       }
-      if (aRow.m_start != 0) {
-        UpdateIncarnation(row, aRow.m_start);
+      if (aRow.m_incarnation != 0) {
+        UpdateIncarnation(row, aRow.m_incarnation);
       }
       return;
     }
--- a/src/daemon/call_gateway_links.cpp
+++ b/src/daemon/call_gateway_links.cpp
@@ -139,7 +139,7 @@
   own.m_service = m_deps.m_settings.m_service;
   own.m_domain = m_deps.m_settings.m_domain;
   own.m_slots = aPresence.Current()->m_slots;
-  own.m_start = TagOf(aPresence.Current()->m_start);
+  own.m_incarnation = TagOf(aPresence.Current()->m_incarnation);
   own.m_version = aPresence.Current()->m_version;
   own.m_isUnavailable = !aPresence.TakesCalls() || m_draining;
   m_dispatcher.Workers().Put(std::move(own));
@@ -166,7 +166,7 @@
   row.m_service = aRecord.m_service;
   row.m_domain = aRecord.m_domain;
   row.m_slots = std::max(1U, aRecord.m_slots);
-  row.m_start = aRecord.m_workerIncarnation;
+  row.m_incarnation = aRecord.m_workerIncarnation;
   row.m_version = aRecord.m_workerVersion;
   row.m_isUnavailable = !TakesCalls(aRecord.m_state) || aRecord.m_slots == 0;
   m_dispatcher.Workers().Put(std::move(row));
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -184,7 +184,7 @@
   const WorkerReport& worker = *aPresence.Current();
   m_control.Announce(
     isDraining ? MemberState::Leaving : MemberState::Alive,
-    { worker.m_slots, TagOf(worker.m_start), worker.m_version });
+    { worker.m_slots, TagOf(worker.m_incarnation), worker.m_version });
 }
 
 void
--- a/src/daemon/platform_endpoints.cpp
+++ b/src/daemon/platform_endpoints.cpp
@@ -96,7 +96,7 @@
   const auto* left =
     std::get_if<platform::WorkerDeregistration>(&notice.value());
   const WorkerPresence::Change change =
-    left != nullptr ? m_worker.OnLeft(Clock::now(), left->m_start)
+    left != nullptr ? m_worker.OnLeft(Clock::now(), left->m_incarnation)
                     : ApplyReport(std::get<WorkerReport>(notice.value()));
   PublishChange(change);
   // The answer follows the change because the worker receives calls only
@@ -122,7 +122,7 @@
 PlatformEndpoints::OnProbed(std::string aId)
 {
   WorkerReport report;
-  report.m_start.m_id = std::move(aId);
+  report.m_incarnation.m_id = std::move(aId);
   report.m_service = m_deps.m_settings.m_service;
   report.m_slots = m_deps.m_minPeerSlots().value_or(kDefaultSlots);
   PublishChange(m_worker.OnProbed(Clock::now(), std::move(report)));
@@ -139,11 +139,11 @@
     "worker",
     "worker_changed",
     { { "change", NameOf(aChange) },
-      { "instance", worker.m_start.m_id },
+      { "instance", worker.m_incarnation.m_id },
       { "version", worker.m_version },
       { "born_ms",
-        worker.m_start.m_startedAt
-          ? worker.m_start.m_startedAt->time_since_epoch().count()
+        worker.m_incarnation.m_startedAt
+          ? worker.m_incarnation.m_startedAt->time_since_epoch().count()
           : 0 },
       { "slots", std::uint64_t{ worker.m_slots } },
       { "sequence", worker.m_sequence } });
@@ -160,7 +160,7 @@
   if (!isOwn) {
     RejectReport("heartbeat_of_another",
                  fmt::format("instance {} of service {} at {}",
-                             aReport.m_start.m_id,
+                             aReport.m_incarnation.m_id,
                              aReport.m_service,
                              aReport.m_address));
     return WorkerPresence::Change::None;
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -122,7 +122,7 @@
     }
     return;
   }
-  OnIncarnation(worker->m_start, aPresence.PreviousLastReportAt());
+  OnIncarnation(worker->m_incarnation, aPresence.PreviousLastReportAt());
   m_version = worker->m_version;
   m_warmUpEnd = Clock::now() + worker->m_warmUpLeft;
   m_hasWorker = true;
--- a/src/membership/membership_time.cpp
+++ b/src/membership/membership_time.cpp
@@ -255,7 +255,7 @@
 {
   ++m_self.m_incarnation;
   m_self.m_slots = aWorker.m_slots;
-  m_self.m_workerIncarnation = aWorker.m_start;
+  m_self.m_workerIncarnation = aWorker.m_incarnation;
   m_self.m_workerVersion = std::move(aWorker.m_version);
   return Announce(aState);
 }
--- a/tests/calls/worker_presence.cpp
+++ b/tests/calls/worker_presence.cpp
@@ -13,7 +13,7 @@
 WorkerReport
 Report(const char* aId, std::uint64_t aSequence, bool aLeaving = false)
 {
-  return { .m_start = { aId, std::nullopt },
+  return { .m_incarnation = { aId, std::nullopt },
            .m_service = "locker-app",
            .m_slots = 18,
            .m_isDraining = aLeaving,
@@ -60,7 +60,7 @@
     CHECK(worker.OnReport(kStart, Report("new", 2)) == Change::Arrived);
     CHECK(worker.OnReport(kStart + 1s, Report("old", 41)) == Change::None);
   }
-  CHECK(worker.Current()->m_start.m_id == "new");
+  CHECK(worker.Current()->m_incarnation.m_id == "new");
 }
 
 TEST_CASE("a health check response is used until the first heartbeat")
@@ -71,7 +71,7 @@
   CHECK(worker.TakesCalls());
   CHECK(worker.OnReport(kStart, Report("a", 1, true)) == Change::Leaving);
   CHECK(worker.OnProbed(kStart, Report("b", 0)) == Change::None);
-  CHECK(worker.Current()->m_start.m_id == "a");
+  CHECK(worker.Current()->m_incarnation.m_id == "a");
 }
 
 TEST_CASE("another incarnation is accepted while the current one is silent")
@@ -80,5 +80,5 @@
   CHECK(worker.OnReport(kStart, Report("a", 2)) == Change::Arrived);
   CHECK(worker.IsSilent(kStart + 5s));
   CHECK(worker.OnReport(kStart + 5s, Report("b", 9)) == Change::Arrived);
-  CHECK(worker.Current()->m_start.m_id == "b");
+  CHECK(worker.Current()->m_incarnation.m_id == "b");
 }
--- a/tests/calls/worker_restart.cpp
+++ b/tests/calls/worker_restart.cpp
@@ -23,7 +23,7 @@
        bool aLeaving = false,
        const char* aId = "a")
 {
-  return { .m_start = { aId, aStartTime },
+  return { .m_incarnation = { aId, aStartTime },
            .m_service = "locker-app",
            .m_slots = 18,
            .m_isDraining = aLeaving,
@@ -34,7 +34,7 @@
 IsServing(const WorkerPresence& aWorker, WallTime aStartTime)
 {
   return aWorker.TakesCalls() &&
-         aWorker.Current()->m_start.m_startedAt == aStartTime;
+         aWorker.Current()->m_incarnation.m_startedAt == aStartTime;
 }
 
 }
@@ -142,7 +142,7 @@
 {
   WorkerPresence worker{ kPeriod };
   WorkerReport probed = Report(kWorkerStart, 0);
-  probed.m_start.m_startedAt.reset();
+  probed.m_incarnation.m_startedAt.reset();
   CHECK(worker.OnProbed(kStart, probed) == Change::Arrived);
   CHECK(worker.OnReport(kStart + 1s, Report(kWorkerStart, 7)) ==
         Change::Updated);
@@ -156,7 +156,7 @@
   WorkerPresence worker{ kPeriod };
   CHECK(worker.OnReport(kStart, Report(kWorkerStart, 1)) == Change::Arrived);
   WorkerReport untimed = Report(kWorkerStart, 2, true);
-  untimed.m_start.m_startedAt.reset();
+  untimed.m_incarnation.m_startedAt.reset();
   CHECK(worker.OnReport(kStart + 1s, untimed) == Change::None);
   CHECK(IsServing(worker, kWorkerStart));
 }
@@ -189,7 +189,7 @@
   WorkerRow row;
   row.m_slot = "w1";
   row.m_service = "ledger";
-  row.m_start = 1;
+  row.m_incarnation = 1;
   workers.Put(row);
   const auto index = *workers.Find("w1");
   Random random{ 1 };
@@ -211,13 +211,13 @@
   }
   SUBCASE("no incarnation, as from a daemon of an older release")
   {
-    row.m_start = 0;
+    row.m_incarnation = 0;
     workers.Put(row);
     CHECK(workers.At(index).m_failures > 0.0);
   }
   SUBCASE("another incarnation")
   {
-    row.m_start = 2;
+    row.m_incarnation = 2;
     workers.Put(row);
     const WorkerRow& now = workers.At(index);
     CHECK(now.m_failures == 0.0);
--- a/tests/platform/heartbeat.cpp
+++ b/tests/platform/heartbeat.cpp
@@ -31,7 +31,7 @@
     platform::ParseWorkerRequest(Request("PUT", "/instances/i-7f", kBody));
   REQUIRE(beat);
   const auto& report = std::get<WorkerReport>(beat.value());
-  CHECK(report.m_start.m_id == "i-7f");
+  CHECK(report.m_incarnation.m_id == "i-7f");
   CHECK(report.m_service == "lockers");
   CHECK(report.m_slots == 18);
   CHECK(report.m_isDraining);
@@ -41,8 +41,9 @@
   const auto left =
     platform::ParseWorkerRequest(Request("DELETE", "/instances/i-7f"));
   REQUIRE(left);
-  CHECK(std::get<platform::WorkerDeregistration>(left.value()).m_start.m_id ==
-        "i-7f");
+  CHECK(
+    std::get<platform::WorkerDeregistration>(left.value()).m_incarnation.m_id ==
+    "i-7f");
 
   CHECK_FALSE(
     platform::ParseWorkerRequest(Request("PUT", "/instances/i-7f", "{")));
@@ -60,13 +61,13 @@
     Request("PUT", "/instances/i-7f", body.dump()));
   REQUIRE(beat);
   const WallTime born{ std::chrono::milliseconds{ 1'764'000'000'123 } };
-  CHECK(std::get<WorkerReport>(beat.value()).m_start.m_startedAt == born);
+  CHECK(std::get<WorkerReport>(beat.value()).m_incarnation.m_startedAt == born);
 
   const auto left = platform::ParseWorkerRequest(
     Request("DELETE", "/instances/i-7f", R"({"born":1764000000123})"));
   REQUIRE(left);
   CHECK(std::get<platform::WorkerDeregistration>(left.value())
-          .m_start.m_startedAt == born);
+          .m_incarnation.m_startedAt == born);
 }
 
 TEST_CASE("a report with a missing or invalid field is rejected")
