--- a/include/greengagehub/quarantine/quarantine_update.hpp
+++ b/include/greengagehub/quarantine/quarantine_update.hpp
@@ -17,7 +17,7 @@
 /// \brief A request that was running when a backend server crashed.
 struct Witness
 {
-  Fingerprint m_content{};
+  Fingerprint m_fingerprint{};
   /// How long the request had been running.
   Duration m_ran{};
   /// Time from the last success of this request on the same backend server to
@@ -26,7 +26,7 @@
 };
 
 /// \brief A crash of a backend server, as reported by its daemon.
-struct EndReport
+struct CrashReport
 {
   /// Unique across the fleet.
   std::uint64_t m_id{ 0 };
@@ -57,26 +57,26 @@
 /// and changes no quarantine.
 struct QuarantineVerdict
 {
-  Fingerprint m_content{};
+  Fingerprint m_fingerprint{};
   /// Service of the last backend server that crashed.
   std::string m_service{};
   std::uint32_t m_generation{ 0 };
   bool m_isQuarantined{ false };
   VerdictCause m_cause{ VerdictCause::Crashes };
   /// Crashes that count against the request.
-  std::uint32_t m_ends{ 0 };
+  std::uint32_t m_crashCount{ 0 };
   Duration m_age{};
 };
 
 /// \brief Crash reports and verdicts exchanged between daemons.
 struct QuarantineUpdate
 {
-  std::vector<EndReport> m_ends{};
+  std::vector<CrashReport> m_crashes{};
   std::vector<QuarantineVerdict> m_verdicts{};
 
   [[nodiscard]] bool IsEmpty() const noexcept
   {
-    return m_ends.empty() && m_verdicts.empty();
+    return m_crashes.empty() && m_verdicts.empty();
   }
 };
 
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -84,7 +84,8 @@
                                             : RefusalReason::AnswerLost);
   answer.m_reachedWorker = true;
   if (aWorkerCrashed) {
-    answer.m_ends = m_deps.m_quarantine.CrashCount(run->second.m_fingerprint);
+    answer.m_crashCount =
+      m_deps.m_quarantine.CrashCount(run->second.m_fingerprint);
   }
   FinishRun(aKey, std::move(answer));
 }
@@ -121,7 +122,7 @@
     }
     return;
   }
-  OnIncarnation(worker->m_start, aPresence.PreviousLastReportAt());
+  OnIncarnation(worker->m_incarnation, aPresence.PreviousLastReportAt());
   m_version = worker->m_version;
   m_warmUpEnd = Clock::now() + worker->m_warmUpLeft;
   m_hasWorker = true;
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -14,7 +14,7 @@
 DigestOf(const QuarantineVerdict& aVerdict)
 {
   return ShortHash(fmt::format("{}/{}/{}",
-                               ToHex(aVerdict.m_content),
+                               ToHex(aVerdict.m_fingerprint),
                                aVerdict.m_generation,
                                aVerdict.m_isQuarantined));
 }
@@ -172,23 +172,23 @@
 }
 
 QuarantineChanges
-Quarantine::OnLocalCrash(TimePoint aNow, EndReport aReport)
+Quarantine::OnLocalCrash(TimePoint aNow, CrashReport aReport)
 {
   QuarantineChanges out;
   for (Witness& each : aReport.m_ran) {
-    if (const auto lastSuccess = m_successes.Find(each.m_content)) {
+    if (const auto lastSuccess = m_successes.Find(each.m_fingerprint)) {
       each.m_lastSuccess = aNow - aReport.m_age - *lastSuccess;
     }
   }
   if (AddCrash(aNow, aReport, true)) {
     EvaluateCrash(aNow, aReport, out);
-    out.m_update.m_ends.push_back(std::move(aReport));
+    out.m_update.m_crashes.push_back(std::move(aReport));
   }
   return out;
 }
 
 bool
-Quarantine::AddCrash(TimePoint aNow, const EndReport& aReport, bool aIsLocal)
+Quarantine::AddCrash(TimePoint aNow, const CrashReport& aReport, bool aIsLocal)
 {
   if (aReport.m_age > kRetention) {
     return false;
@@ -203,13 +203,13 @@
   }
   bool addsRuns = false;
   for (const Witness& each : aReport.m_ran) {
-    if (std::ranges::find(crash.m_fingerprints, each.m_content) !=
+    if (std::ranges::find(crash.m_fingerprints, each.m_fingerprint) !=
         crash.m_fingerprints.end()) {
       continue;
     }
     addsRuns = true;
-    crash.m_fingerprints.push_back(each.m_content);
-    Suspect& suspect = m_suspects[each.m_content];
+    crash.m_fingerprints.push_back(each.m_fingerprint);
+    Suspect& suspect = m_suspects[each.m_fingerprint];
     suspect.m_runs.push_back(
       { aReport.m_id, crash.m_crashedAt - each.m_ran, crash.m_crashedAt });
     if (each.m_lastSuccess) {
@@ -225,11 +225,11 @@
 
 void
 Quarantine::EvaluateCrash(TimePoint aNow,
-                          const EndReport& aReport,
+                          const CrashReport& aReport,
                           QuarantineChanges& aOut)
 {
   for (const Witness& each : aReport.m_ran) {
-    EvaluateFingerprint(aNow, aReport.m_service, each.m_content, aOut);
+    EvaluateFingerprint(aNow, aReport.m_service, each.m_fingerprint, aOut);
   }
 }
 
@@ -255,12 +255,12 @@
   }
   const auto record = m_records.find(aFingerprint);
   QuarantineVerdict verdict;
-  verdict.m_content = aFingerprint;
+  verdict.m_fingerprint = aFingerprint;
   verdict.m_service = aService;
   verdict.m_generation =
     record == m_records.end() ? 1 : record->second.m_verdict.m_generation + 1;
   verdict.m_isQuarantined = true;
-  verdict.m_ends = tally.m_count;
+  verdict.m_crashCount = tally.m_count;
   SetVerdict(aNow, verdict, aOut);
   if (HasLocalCrash(suspect)) {
     aOut.m_ownVerdicts.push_back(std::move(verdict));
@@ -323,7 +323,7 @@
   }
   aSuspect.m_lastSuccess = localSuccess;
   QuarantineVerdict update;
-  update.m_content = aFingerprint;
+  update.m_fingerprint = aFingerprint;
   update.m_cause = VerdictCause::Succeeded;
   update.m_age = aNow - *localSuccess;
   aOut.m_update.m_verdicts.push_back(std::move(update));
@@ -334,17 +334,17 @@
                          const QuarantineVerdict& aVerdict,
                          QuarantineChanges& aOut)
 {
-  const auto suspect = m_suspects.find(aVerdict.m_content);
+  const auto suspect = m_suspects.find(aVerdict.m_fingerprint);
   if (suspect == m_suspects.end()) {
     return;
   }
   std::optional<TimePoint>& lastSuccess = suspect->second.m_lastSuccess;
   const TimePoint at = aNow - aVerdict.m_age;
   const auto counted =
-    CountCrashes(suspect->second, aVerdict.m_content, lastSuccess).m_count;
+    CountCrashes(suspect->second, aVerdict.m_fingerprint, lastSuccess).m_count;
   const bool isNew =
     !(lastSuccess >= at) &&
-    CountCrashes(suspect->second, aVerdict.m_content, at).m_count < counted;
+    CountCrashes(suspect->second, aVerdict.m_fingerprint, at).m_count < counted;
   if (isNew) {
     lastSuccess = at;
     aOut.m_update.m_verdicts.push_back(aVerdict);
@@ -360,9 +360,9 @@
   for (const QuarantineVerdict& each : aUpdate.m_verdicts) {
     ApplyVerdict(aNow, each, out);
   }
-  for (const EndReport& each : aUpdate.m_ends) {
+  for (const CrashReport& each : aUpdate.m_crashes) {
     if (AddCrash(aNow, each, false)) {
-      out.m_update.m_ends.push_back(each);
+      out.m_update.m_crashes.push_back(each);
       EvaluateCrash(aNow, each, out);
     }
   }
@@ -385,7 +385,7 @@
     return;
   }
   const TimePoint at = aNow - aVerdict.m_age;
-  const auto known = m_records.find(aVerdict.m_content);
+  const auto known = m_records.find(aVerdict.m_fingerprint);
   if (known == m_records.end() ||
       Overrides(aVerdict, known->second.m_verdict)) {
     SetVerdict(at, aVerdict, aOut);
@@ -399,14 +399,14 @@
                        const QuarantineVerdict& aVerdict,
                        QuarantineChanges& aOut)
 {
-  EraseRecord(aVerdict.m_content);
+  EraseRecord(aVerdict.m_fingerprint);
   if (m_records.size() >= kMaxVerdicts) {
     DropOldestRecord();
   }
-  m_records.emplace(aVerdict.m_content, Record{ aVerdict, aAt });
+  m_records.emplace(aVerdict.m_fingerprint, Record{ aVerdict, aAt });
   m_summary ^= DigestOf(aVerdict);
   m_quarantinedCount += aVerdict.m_isQuarantined ? 1 : 0;
-  const auto suspect = m_suspects.find(aVerdict.m_content);
+  const auto suspect = m_suspects.find(aVerdict.m_fingerprint);
   const bool clearsCrashes =
     !aVerdict.m_isQuarantined && aVerdict.m_cause != VerdictCause::Expired;
   if (clearsCrashes && suspect != m_suspects.end()) {
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -111,7 +111,7 @@
 }
 
 void
-ToWire(const EndReport& aReport, wire::EndReport& aOut)
+ToWire(const CrashReport& aReport, wire::EndReport& aOut)
 {
   aOut.set_id(aReport.m_id);
   aOut.set_slot(aReport.m_slot);
@@ -119,8 +119,8 @@
   aOut.set_age_ms(ToMs(aReport.m_age));
   for (const Witness& each : aReport.m_ran) {
     wire::Witness& ran = *aOut.add_ran();
-    ran.set_content_high(each.m_content.m_high);
-    ran.set_content_low(each.m_content.m_low);
+    ran.set_content_high(each.m_fingerprint.m_high);
+    ran.set_content_low(each.m_fingerprint.m_low);
     ran.set_ran_ms(ToMs(each.m_ran));
     if (each.m_lastSuccess) {
       ran.set_last_good_ms(ToMs(*each.m_lastSuccess));
@@ -128,10 +128,10 @@
   }
 }
 
-Outcome<EndReport>
+Outcome<CrashReport>
 FromWire(const wire::EndReport& aWire)
 {
-  EndReport report;
+  CrashReport report;
   report.m_id = aWire.id();
   report.m_slot = aWire.slot();
   report.m_service = aWire.service();
@@ -151,13 +151,13 @@
 void
 ToWire(const QuarantineVerdict& aVerdict, wire::Verdict& aOut)
 {
-  aOut.set_content_high(aVerdict.m_content.m_high);
-  aOut.set_content_low(aVerdict.m_content.m_low);
+  aOut.set_content_high(aVerdict.m_fingerprint.m_high);
+  aOut.set_content_low(aVerdict.m_fingerprint.m_low);
   aOut.set_service(aVerdict.m_service);
   aOut.set_generation(aVerdict.m_generation);
   aOut.set_is_held(aVerdict.m_isQuarantined);
   aOut.set_cause(static_cast<std::uint32_t>(aVerdict.m_cause));
-  aOut.set_ends(aVerdict.m_ends);
+  aOut.set_ends(aVerdict.m_crashCount);
   aOut.set_age_ms(ToMs(aVerdict.m_age));
 }
 
@@ -168,12 +168,12 @@
     return Malformed("verdict: unknown cause");
   }
   QuarantineVerdict verdict;
-  verdict.m_content = { aWire.content_high(), aWire.content_low() };
+  verdict.m_fingerprint = { aWire.content_high(), aWire.content_low() };
   verdict.m_service = aWire.service();
   verdict.m_generation = aWire.generation();
   verdict.m_isQuarantined = aWire.is_held();
   verdict.m_cause = static_cast<VerdictCause>(aWire.cause());
-  verdict.m_ends = aWire.ends();
+  verdict.m_crashCount = aWire.ends();
   verdict.m_age = FromMs(aWire.age_ms());
   return verdict;
 }
@@ -212,7 +212,7 @@
   out.set_floor(aMessage.m_minimumVersion.m_number);
   out.set_watching(aMessage.m_watching);
   out.set_members(aMessage.m_members);
-  for (const EndReport& each : aMessage.m_quarantine.m_ends) {
+  for (const CrashReport& each : aMessage.m_quarantine.m_crashes) {
     ToWire(each, *out.add_ends());
   }
   for (const QuarantineVerdict& each : aMessage.m_quarantine.m_verdicts) {
@@ -263,7 +263,7 @@
   auto head = FromWire(in.head());
   auto updates = AllFromWire<MemberRecord>(in.updates());
   auto entries = AllFromWire<VersionEntry>(in.entries());
-  auto ends = AllFromWire<EndReport>(in.ends());
+  auto ends = AllFromWire<CrashReport>(in.ends());
   auto verdicts = AllFromWire<QuarantineVerdict>(in.verdicts());
   auto rollouts = AllFromWire<RolloutRecord>(in.rollouts());
   auto counts = FromWire(in.counts());
--- a/tests/calls/quarantined_calls.cpp
+++ b/tests/calls/quarantined_calls.cpp
@@ -38,7 +38,7 @@
     plan.m_idempotent = true;
     plan.m_deadline = kStart + 1s;
     plan.m_retriesLeft = 3;
-    plan.m_content = kFingerprint;
+    plan.m_fingerprint = kFingerprint;
     m_sends.clear();
     auto actions = m_dispatcher.Begin(kStart, ++m_lastCall, std::move(plan));
     while (const auto* send = std::get_if<SendAttempt>(&actions.front())) {
@@ -53,14 +53,14 @@
   /// \returns The answer for a worker that crashes during the call.
   CallAnswer Crash()
   {
-    EndReport report{ ++m_lastCrash, "lockers-1", "locker-app", {}, {} };
+    CrashReport report{ ++m_lastCrash, "lockers-1", "locker-app", {}, {} };
     report.m_ran.push_back({ kFingerprint, 40ms, std::nullopt });
     const TimePoint at = kStart + std::chrono::seconds{ m_lastCrash };
     static_cast<void>(m_quarantine.OnUpdate(at, { { report }, {} }));
     CallAnswer answer =
       Refuse(0, CallOutcome::Unknown, RefusalReason::WorkerCrashed);
     answer.m_reachedWorker = true;
-    answer.m_ends = m_quarantine.CrashCount(kFingerprint);
+    answer.m_crashCount = m_quarantine.CrashCount(kFingerprint);
     return answer;
   }
 
