--- a/include/greengagehub/calls/call_dialect.hpp
+++ b/include/greengagehub/calls/call_dialect.hpp
@@ -25,7 +25,8 @@
   std::string_view m_notExecuted{};
   /// Signature of the backend server, in successful responses.
   std::string_view m_seal{};
-  /// The standard allows only whole seconds.
+  /// Whether Retry-After may contain a fraction; the standard allows only whole
+  /// seconds.
   bool m_fractionalRetryAfter{ false };
   /// Whether to send depth, remaining retries and trace context as headers.
   bool m_sendsHopHeaders{ true };
--- a/include/greengagehub/calls/call_kind.hpp
+++ b/include/greengagehub/calls/call_kind.hpp
@@ -10,8 +10,8 @@
 struct CallKind
 {
   constexpr CallKind() noexcept = default;
-  /// \brief All calls with a target latency, for calls whose route is not
-  /// known, as from daemons of an earlier version.
+  /// \brief The kind of all calls with this target latency whose route is not
+  /// known, such as calls from daemons of an earlier version.
   constexpr CallKind(std::chrono::milliseconds aTarget) noexcept
     : m_target(aTarget)
   {
--- a/include/greengagehub/calls/decision_settings.hpp
+++ b/include/greengagehub/calls/decision_settings.hpp
@@ -32,8 +32,8 @@
 
   /// Busy answers after which a call is queued at one of the workers.
   std::uint32_t m_maxBusyReplies{ 2 };
-  /// Another worker is asked if the expected wait is longer than the time left
-  /// to the target divided by this, and recent round trips were shorter.
+  /// Another worker is asked if the expected wait exceeds the time left to the
+  /// target divided by this, and recent busy replies took less than that.
   std::uint32_t m_busyWaitDivisor{ 20 };
   /// Further workers tried after a refusal; each costs a round trip.
   std::uint32_t m_maxRedirects{ 2 };
--- a/include/greengagehub/calls/dispatcher.hpp
+++ b/include/greengagehub/calls/dispatcher.hpp
@@ -19,7 +19,7 @@
   bool m_idempotent{ false };
   TimePoint m_deadline;
   CallKind m_kind{};
-  /// Latency target; an earlier answer has no more value.
+  /// Latency target; an answer before it is worth no more than one at it.
   TimePoint m_target{ TimePoint::max() };
   /// Retries that the call and the calls made for it may still use.
   std::uint32_t m_retriesLeft{ 2 };
--- a/include/greengagehub/calls/placement.hpp
+++ b/include/greengagehub/calls/placement.hpp
@@ -84,7 +84,7 @@
 MeanServiceTime(const std::vector<const WorkerRow*>& aRows,
                 CallKind aKind) noexcept;
 
-/// \returns Includes a penalty for recent refusals.
+/// \returns Queue wait and service time, plus a penalty for recent refusals.
 [[nodiscard]] Duration
 ExpectedResponseTime(const DecisionSettings& aDecisions,
                      const WorkerRow& aRow,
--- a/include/greengagehub/calls/run_table.hpp
+++ b/include/greengagehub/calls/run_table.hpp
@@ -144,6 +144,7 @@
   struct Run : boost::intrusive::list_base_hook<>
   {
     CallKey m_key;
+    /// Number of the caller's connection; a later one is higher.
     std::uint64_t m_epoch{ 0 };
     CallClass m_class{ CallClass::Critical };
     std::uint32_t m_priority{ 0 };
--- a/include/greengagehub/calls/worker_presence.hpp
+++ b/include/greengagehub/calls/worker_presence.hpp
@@ -74,7 +74,8 @@
   [[nodiscard]] Change OnReport(TimePoint aNow, const WorkerReport& aReport);
   /// \brief Accepts an ID from a health check until the first heartbeat.
   [[nodiscard]] Change OnProbed(TimePoint aNow, WorkerReport aReport);
-  /// \brief Handles a leave message; the backend server may still be serving.
+  /// \brief Handles the deregistration of a backend server, which may still be
+  /// finishing requests.
   [[nodiscard]] Change OnLeft(TimePoint aNow,
                               const WorkerIncarnation& aIncarnation);
 
--- a/include/greengagehub/calls/worker_table.hpp
+++ b/include/greengagehub/calls/worker_table.hpp
@@ -43,9 +43,9 @@
   };
   std::vector<KindStats> m_kindStats{};
   /// Moving average of the share of failed attempts, in [0, 1].
-  double m_failures{ 0.0 };
+  double m_failureShare{ 0.0 };
   /// Moving average of the share of attempts refused for overload, in [0, 1].
-  double m_refusals{ 0.0 };
+  double m_refusalShare{ 0.0 };
   TimePoint m_ejectedUntil{};
   std::uint32_t m_ejections{ 0 };
   bool m_isUnavailable{ false };
@@ -107,7 +107,8 @@
                                    Random& aRandom) const;
 };
 
-/// \brief Ties are broken at random.
+/// \brief Selects the worker with the lowest LoadScore(); ties are broken at
+/// random.
 struct ShortestQueue
 {
   [[nodiscard]] std::size_t Choose(const std::vector<const WorkerRow*>& aRows,
@@ -194,7 +195,7 @@
   }
   void RecordSent(Index aIndex);
   /// \returns Mean over the workers that have answered a call.
-  [[nodiscard]] double MeanFailures(const std::string& aService) const;
+  [[nodiscard]] double MeanFailureShare(const std::string& aService) const;
   /// \brief What an attempt shows about its worker.
   enum class Verdict : std::uint8_t
   {
@@ -217,7 +218,7 @@
                           TimePoint aNow,
                           const LoadReport& aReport);
   /// \returns 0 if the service has fewer than two workers.
-  [[nodiscard]] double LowestFailures(const std::string& aService) const;
+  [[nodiscard]] double LowestFailureShare(const std::string& aService) const;
 
   [[nodiscard]] std::vector<Index> AvailableWorkers(
     const std::string& aService,
--- a/include/greengagehub/workspaces/coordinator_role.hpp
+++ b/include/greengagehub/workspaces/coordinator_role.hpp
@@ -128,7 +128,7 @@
   bool m_isCallPending{ false };
   bool m_hasResigned{ false };
   bool m_hasReportedStart{ false };
-  /// The predecessor may grant tokens until then.
+  /// Time until which the predecessor may grant tokens.
   TimePoint m_predecessorLeaseEnd{};
   /// When the last successful claim or confirmation was sent.
   TimePoint m_leaseStart{};
--- a/src/calls/dispatch_rules.hpp
+++ b/src/calls/dispatch_rules.hpp
@@ -54,10 +54,12 @@
 
 /// Divisor of a new sample in the moving mean of the time to a busy reply.
 inline constexpr int kBusyReplyTimeDivisor = 8;
-/// Without the decay, a high mean would never be measured again.
+/// Divisor of the mean's decay at each attempt that doesn't request busy
+/// replies. Without it, a high mean would never be updated again.
 inline constexpr int kBusyReplyDecayDivisor = 32;
 
-/// Rates a worker by an answer that its daemon or the dispatcher gave instead.
+/// \returns The verdict on a worker after an answer that its daemon or the
+/// dispatcher gave in its place.
 inline WorkerTable::Verdict
 VerdictOf(const CallAnswer& aAnswer)
 {
--- a/src/calls/dispatcher.cpp
+++ b/src/calls/dispatcher.cpp
@@ -101,7 +101,7 @@
     skip.insert(skip.end(), aCall.m_busySlots.begin(), aCall.m_busySlots.end());
     const auto selected = m_workers.Choose(
       m_policy, aCall.m_plan.m_service, skip, context, m_random, aRule);
-    // Otherwise waiting at a busy worker may cost less than crossing.
+    // Otherwise crossing is compared below with waiting, which may cost less.
     if (selected && IsInOwnDomain(m_policy, m_workers.At(*selected))) {
       return selected;
     }
@@ -134,32 +134,32 @@
         aCall.m_id, CallOutcome::NotRun, RefusalReason::Quarantined, *left));
     return;
   }
-  const auto selected = SelectWorker(aNow, aCall);
+  const auto next = SelectWorker(aNow, aCall);
   const bool isRetry = !aCall.m_tried.empty();
-  // Only after refusals by daemons; the retry budget bounds those by workers.
-  const bool isRefused = selected && isRetry && !aPrevious.m_reachedWorker &&
+  // A redirect stops at a refusing worker; the budget bounds other retries.
+  const bool isRefused = next && isRetry && !aPrevious.m_reachedWorker &&
                          aPrevious.m_reason != RefusalReason::Busy &&
-                         m_workers.At(*selected).m_refusals > kMaxRefusalShare;
-  if (!selected || isRefused) {
+                         m_workers.At(*next).m_refusalShare > kMaxRefusalShare;
+  if (!next || isRefused) {
     Finish(aOut, aCall, std::move(aPrevious));
     return;
   }
   const bool wasBusy =
     std::find(aCall.m_busySlots.begin(),
               aCall.m_busySlots.end(),
-              m_workers.At(*selected).m_slot) != aCall.m_busySlots.end();
+              m_workers.At(*next).m_slot) != aCall.m_busySlots.end();
   const bool mayRefuse =
     aCall.m_busySlots.size() < m_decisions.m_maxBusyReplies && !wasBusy &&
-    IsInOwnDomain(m_policy, m_workers.At(*selected));
+    IsInOwnDomain(m_policy, m_workers.At(*next));
   const bool refuseIfBusy = mayRefuse && IsBusyReplyFast(aNow, aCall);
   if (mayRefuse && !refuseIfBusy) {
     // Decays without samples, so that busy replies are requested again.
     m_busyReplyTime -= m_busyReplyTime / kBusyReplyDecayDivisor;
   }
-  m_workers.RecordSent(*selected);
+  m_workers.RecordSent(*next);
   m_attempts.erase(aCall.m_attempt);
   aCall.m_attempt = ++m_lastAttempt;
-  aCall.m_slot = m_workers.At(*selected).m_slot;
+  aCall.m_slot = m_workers.At(*next).m_slot;
   aCall.m_process = 0;
   aCall.m_sentAt = aNow;
   aCall.m_inDoubt = false;
@@ -257,7 +257,7 @@
     return ++aCall.m_unavailableAttempts <= kMaxUnavailableWorkers;
   }
   if (reachedNoWorker) {
-    // Adds no load to workers, so the retry budget doesn't apply.
+    // A redirect adds no load to workers, so the retry budget doesn't apply.
     return ++aCall.m_redirects <= m_decisions.m_maxRedirects;
   }
   if (aCall.m_plan.m_retriesLeft == 0 ||
@@ -295,9 +295,9 @@
 {
   const bool failed = aAnswer.m_response.m_status >= kFirstServerError;
   // Retries only if the cause is local and an answer can meet the target.
-  const bool isCommon =
-    failed && m_decisions.m_detectsCommonCause &&
-    m_workers.MeanFailures(aCall.m_plan.m_service) > kCommonCauseFailureShare;
+  const bool isCommon = failed && m_decisions.m_detectsCommonCause &&
+                        m_workers.MeanFailureShare(aCall.m_plan.m_service) >
+                          kCommonCauseFailureShare;
   const bool retry = failed && !isCommon && aCall.m_plan.m_idempotent &&
                      aNow + 2 * aAnswer.m_serviceTime < aCall.m_plan.m_target;
   if (!retry) {
--- a/src/calls/placement.cpp
+++ b/src/calls/placement.cpp
@@ -122,7 +122,7 @@
   const double slowdown = kLoadSlowdown * std::min(1.0, load);
   Seconds expected = service * (1.0 + excessLoad + slowdown) + wait;
   if (aDecisions.m_penalizesFailures) {
-    expected += aRow.m_refusals * kRefusalCost;
+    expected += aRow.m_refusalShare * kRefusalCost;
   }
   return std::chrono::duration_cast<Duration>(expected);
 }
@@ -162,7 +162,8 @@
     LatenessProbability(expected, aContext.m_targetLeft);
   const double deadlineProbability =
     LatenessProbability(expected, aContext.m_deadlineLeft);
-  const double failed = aDecisions.m_penalizesFailures ? aRow.m_failures : 0.0;
+  const double failed =
+    aDecisions.m_penalizesFailures ? aRow.m_failureShare : 0.0;
   const double answered = 1.0 - failed;
   return failed +
          answered * (aDecisions.m_lateLoss * lateProbability +
--- a/src/calls/worker_table.cpp
+++ b/src/calls/worker_table.cpp
@@ -33,8 +33,9 @@
   const double reported = freshness * aRow.m_reportedLoad;
   const double own = aRow.m_inFlight;
   const double slots = std::max(1U, aRow.m_slots);
-  return std::max(own, reported) / slots + aRow.m_failures * kFailurePenalty +
-         aRow.m_refusals * kRefusalPenalty;
+  return std::max(own, reported) / slots +
+         aRow.m_failureShare * kFailurePenalty +
+         aRow.m_refusalShare * kRefusalPenalty;
 }
 
 std::size_t
@@ -137,8 +138,8 @@
   aRow.m_reportedLoad = 0;
   aRow.m_reportedAt = TimePoint{};
   aRow.m_kindStats.clear();
-  aRow.m_failures = 0.0;
-  aRow.m_refusals = 0.0;
+  aRow.m_failureShare = 0.0;
+  aRow.m_refusalShare = 0.0;
   aRow.m_ejectedUntil = TimePoint{};
   aRow.m_ejections = 0;
 }
@@ -363,7 +364,7 @@
 }
 
 double
-WorkerTable::MeanFailures(const std::string& aService) const
+WorkerTable::MeanFailureShare(const std::string& aService) const
 {
   const auto group = m_byService.find(aService);
   if (group == m_byService.end()) {
@@ -374,7 +375,7 @@
   for (const Index index : group->second) {
     const WorkerRow& row = m_rows.At(index);
     if (row.m_reportedAt != TimePoint{}) {
-      sum += row.m_failures;
+      sum += row.m_failureShare;
       ++known;
     }
   }
@@ -382,7 +383,7 @@
 }
 
 double
-WorkerTable::LowestFailures(const std::string& aService) const
+WorkerTable::LowestFailureShare(const std::string& aService) const
 {
   const auto group = m_byService.find(aService);
   if (group == m_byService.end() || group->second.size() < 2) {
@@ -390,7 +391,7 @@
   }
   double least = 1.0;
   for (const Index index : group->second) {
-    least = std::min(least, m_rows.At(index).m_failures);
+    least = std::min(least, m_rows.At(index).m_failureShare);
   }
   return least;
 }
@@ -419,21 +420,24 @@
   }
   const bool failed = aVerdict == Verdict::Failed;
   const bool refused = aVerdict == Verdict::Refused;
-  row.m_failures += kOutcomeWeight * ((failed ? 1.0 : 0.0) - row.m_failures);
-  row.m_refusals += kOutcomeWeight * ((refused ? 1.0 : 0.0) - row.m_refusals);
+  row.m_failureShare +=
+    kOutcomeWeight * ((failed ? 1.0 : 0.0) - row.m_failureShare);
+  row.m_refusalShare +=
+    kOutcomeWeight * ((refused ? 1.0 : 0.0) - row.m_refusalShare);
   if (!failed) {
-    row.m_ejections = row.m_failures < kOutcomeWeight ? 0 : row.m_ejections;
+    row.m_ejections = row.m_failureShare < kOutcomeWeight ? 0 : row.m_ejections;
     return;
   }
   // Failures common to all workers have no local cause.
-  const double excessFailures = row.m_failures - LowestFailures(row.m_service);
+  const double excessFailures =
+    row.m_failureShare - LowestFailureShare(row.m_service);
   if (m_decisions.m_ejects && excessFailures > kEjectionThreshold &&
       row.m_ejectedUntil <= aNow) {
     const auto ejectionTime = kFirstEjectionTime * (1U << row.m_ejections);
     row.m_ejectedUntil = aNow + Jittered(aRandom, ejectionTime);
     row.m_ejections = std::min(row.m_ejections + 1, kMaxEjectionDoublings);
     // Only further failures eject the worker again.
-    row.m_failures = kEjectionThreshold / 2;
+    row.m_failureShare = kEjectionThreshold / 2;
   }
 }
 
--- a/src/workspaces/coordinator_role.cpp
+++ b/src/workspaces/coordinator_role.cpp
@@ -160,10 +160,10 @@
 CoordinatorRole::Step
 CoordinatorRole::Resign() noexcept
 {
-  const bool heldKey = m_holdsKey;
+  const bool hadKey = m_holdsKey;
   m_holdsKey = false;
   m_hasResigned = true;
-  return heldKey ? Step::Release : Step::None;
+  return hadKey ? Step::Release : Step::None;
 }
 
 bool
--- a/src/workspaces/quota_coordinator.cpp
+++ b/src/workspaces/quota_coordinator.cpp
@@ -115,7 +115,8 @@
   for (const QuotaDemand& each : aDemands) {
     const WorkspaceRow* workspace = aTable.Find(each.m_workspace);
     if (workspace == nullptr || workspace->m_perSecond <= 0.0) {
-      // Without a limit, all are granted; an unknown workspace gets none.
+      // Without a limit, all wanted tokens are granted; an unknown workspace
+      // gets none.
       grants.push_back(
         { .m_workspace = each.m_workspace,
           .m_tokens = workspace != nullptr ? each.m_wanted : 0 });
--- a/tests/calls/call_age_estimator.cpp
+++ b/tests/calls/call_age_estimator.cpp
@@ -28,9 +28,10 @@
   Random random{ 1 };
   const CallAgeEstimator age = EstimatorWithSamples(random);
   for (int i = 0; i < 200; ++i) {
-    const auto asked = 3400ms + std::chrono::milliseconds{ Below(random, 600) };
-    CHECK(age.Estimate(asked, false) == 0ms);
-    CHECK(age.Estimate(asked, true) <= 300ms);
+    const auto timeLeft =
+      3400ms + std::chrono::milliseconds{ Below(random, 600) };
+    CHECK(age.Estimate(timeLeft, false) == 0ms);
+    CHECK(age.Estimate(timeLeft, true) <= 300ms);
   }
   CHECK(age.Estimate(3450ms, true) == 0ms);
   CHECK(age.Estimate(4000ms, true) == 0ms);
--- a/tests/calls/placement.cpp
+++ b/tests/calls/placement.cpp
@@ -105,7 +105,7 @@
   rows[0].m_inFlight = 200;
   CHECK(Choose(rows, 250ms, kHighCrossingCost, random) == 1);
   rows[0].m_inFlight = 0;
-  rows[0].m_failures = 0.8;
+  rows[0].m_failureShare = 0.8;
   CHECK(Choose(rows, 250ms, kHighCrossingCost, random) == 1);
 }
 
--- a/tests/calls/replay.hpp
+++ b/tests/calls/replay.hpp
@@ -52,7 +52,7 @@
 /// real dispatchers and run tables.
 ///
 /// Mean service times are 140 ms for two workers in three and 62 ms for the
-/// others.
+/// rest.
 class Replay
 {
 public:
--- a/tests/calls/retry_budget.cpp
+++ b/tests/calls/retry_budget.cpp
@@ -87,7 +87,8 @@
     budget.Deposit(now, "board", 2);
     budget.Deposit(now, "board", 1);
     if (i % 50 == 0) {
-      // A few calls of highest priority must not demote the others.
+      // A few calls of highest priority must not reduce the budget of calls
+      // with mean priority.
       budget.Deposit(now, "board", 0);
     }
     plans += budget.Withdraw(now, "board", 2) ? 1 : 0;
--- a/tests/calls/unequal_domains.cpp
+++ b/tests/calls/unequal_domains.cpp
@@ -10,14 +10,14 @@
 
 /// Three domains; only the first may be overloaded.
 ReplayResult
-RunReplay(bool aSharesNews, double aFirstLoad)
+RunReplay(bool aUsesDomainReports, double aFirstLoad)
 {
   test::ReplaySetup setup;
   setup.m_domains = { { 60, 12, aFirstLoad },
                       { 60, 12, 0.6 },
                       { 60, 12, 0.6 } };
   setup.m_crossingCost = 0.06;
-  setup.m_decisions.m_usesDomainReports = aSharesNews;
+  setup.m_decisions.m_usesDomainReports = aUsesDomainReports;
   return Replay{ setup }.Run();
 }
 
--- a/tests/calls/worker_presence.cpp
+++ b/tests/calls/worker_presence.cpp
@@ -35,7 +35,7 @@
   CHECK_FALSE(worker.TakesCalls());
 }
 
-TEST_CASE("a leave message without a preceding report counts as leaving")
+TEST_CASE("a deregistration without a preceding report counts as leaving")
 {
   WorkerPresence worker{ 1500ms };
   CHECK(worker.OnLeft(kStart, { "a", std::nullopt }) == Change::None);
--- a/tests/calls/worker_restart.cpp
+++ b/tests/calls/worker_restart.cpp
@@ -4,8 +4,8 @@
 
 #include <doctest/doctest.h>
 
-// A backend server that restarts under the same id. Its sequence numbers
-// restart, so that only the start time tells the incarnations apart.
+// A backend server that restarts under the same id: only the start time
+// distinguishes the incarnations.
 
 using namespace greengagehub;
 using namespace std::chrono_literals;
@@ -104,8 +104,8 @@
 
 TEST_CASE("a new incarnation is accepted after the clock was set back")
 {
-  // Its start time seems to be the earlier one; its second report, while the
-  // previous incarnation missed one, shows that it is current.
+  // The new incarnation has the earlier start time. It is accepted at its
+  // second report, as the previous one has missed a heartbeat by then.
   WorkerPresence worker{ kPeriod };
   CHECK(worker.OnReport(kStart, Report(kWorkerStart, 40)) == Change::Arrived);
   const WallTime newStartTime = kWorkerStart - 1h;
@@ -162,7 +162,7 @@
 }
 
 TEST_CASE(
-  "a leave report of an unknown incarnation blocks its id for a limited time")
+  "a deregistration of an unknown incarnation blocks its id for a limited time")
 {
   // Guards against an id that stays blocked for the next incarnation.
   WorkerPresence worker{ kPeriod };
@@ -206,21 +206,21 @@
   SUBCASE("the same incarnation")
   {
     workers.Put(row);
-    CHECK(workers.At(index).m_failures > 0.0);
+    CHECK(workers.At(index).m_failureShare > 0.0);
     CHECK(workers.At(index).m_kindStats.size() == 1);
   }
   SUBCASE("no incarnation, as from a daemon of an older release")
   {
     row.m_incarnation = 0;
     workers.Put(row);
-    CHECK(workers.At(index).m_failures > 0.0);
+    CHECK(workers.At(index).m_failureShare > 0.0);
   }
   SUBCASE("another incarnation")
   {
     row.m_incarnation = 2;
     workers.Put(row);
     const WorkerRow& now = workers.At(index);
-    CHECK(now.m_failures == 0.0);
+    CHECK(now.m_failureShare == 0.0);
     CHECK(now.m_ejectedUntil <= kStart);
     CHECK(now.m_kindStats.empty());
     CHECK(now.m_reportedAt == TimePoint{});
--- a/tests/workspaces/coordinator_role.cpp
+++ b/tests/workspaces/coordinator_role.cpp
@@ -116,9 +116,8 @@
   CHECK(second.IsLeading(kStart + 3100ms));
 }
 
-TEST_CASE(
-  "a coordinator that the store rejects stands down, and a successor that "
-  "received its report need not wait")
+TEST_CASE("a coordinator stands down after failed confirmations, and its "
+          "successor need not wait")
 {
   StoredKey key;
   CoordinatorRole first{ "a", 1, kStart, 7 };
@@ -156,8 +155,8 @@
   CHECK_FALSE(second.IsLeading(now + 900ms));
 }
 
-TEST_CASE("a candidate gives a coordinator that it finds in the key time to "
-          "send a report")
+TEST_CASE(
+  "a candidate waits for a report of the coordinator that the key names")
 {
   StoredKey key;
   CoordinatorRole first{ "a", 1, kStart, 7 };
