--- a/include/greengagehub/dissemination/disseminator.hpp
+++ b/include/greengagehub/dissemination/disseminator.hpp
@@ -44,7 +44,7 @@
   [[nodiscard]] std::vector<VersionEntry> EntriesToPush(
     const ConfigHolder& aHolder,
     Version aBefore) const;
-  /// \returns Entries to add to a probe of a peer that lags behind.
+  /// \returns Entries to add to a probe sent to a peer with an older version.
   [[nodiscard]] std::vector<VersionEntry> EntriesToRepair(
     const ConfigHolder& aHolder,
     Version aTheirs) const;
--- a/include/greengagehub/membership/member_table.hpp
+++ b/include/greengagehub/membership/member_table.hpp
@@ -23,11 +23,13 @@
   Version m_version{};
   /// A suspect is declared dead at this time.
   TimePoint m_suspectUntil{};
-  TimePoint m_goneSince{};
-  /// Times that the record was sent since its last change, and whether it is
-  /// queued: within the own failure domain, and to other domains.
+  TimePoint m_lostSince{};
+  /// Times that the record was sent since its last change: within the own
+  /// failure domain, and to other domains.
   std::array<std::uint16_t, 2> m_transmits{};
+  /// Whether the record is queued, in the same order.
   std::array<bool, 2> m_pending{};
+  /// Whether the daemon watches the store.
   bool m_watching{ false };
 };
 
--- a/include/greengagehub/membership/membership.hpp
+++ b/include/greengagehub/membership/membership.hpp
@@ -127,7 +127,7 @@
     TimePoint m_sent;
     TimePoint m_deadline;
     bool m_active{ false };
-    bool m_indirect{ false };
+    bool m_isIndirect{ false };
   };
   /// A probe on behalf of another member.
   struct IndirectProbe
--- a/include/greengagehub/membership/seed_publisher.hpp
+++ b/include/greengagehub/membership/seed_publisher.hpp
@@ -15,7 +15,8 @@
 ///
 /// The first daemons of each failure domain by rank publish theirs. The keys
 /// have no lease, so that seeds are available after all daemons have stopped;
-/// a stale address costs its reader one lost datagram.
+/// a stale address costs its reader one lost datagram. Used only with a
+/// platform; without one, WatchLease writes the keys, with a lease.
 class SeedPublisher
 {
 public:
--- a/include/greengagehub/membership/watch_lease.hpp
+++ b/include/greengagehub/membership/watch_lease.hpp
@@ -16,10 +16,10 @@
 {
   std::uint32_t m_watchers{ 2 };
   std::chrono::milliseconds m_leaseTime{ std::chrono::seconds{ 6 } };
-  /// Initial interval between attempts to acquire a place, jittered; doubles
-  /// with each failure.
+  /// Initial interval between attempts to acquire one of the m_watchers seed
+  /// keys, jittered; doubles with each failure.
   std::chrono::milliseconds m_retry{ std::chrono::seconds{ 2 } };
-  /// Upper bound of the interval; also used while all places are taken.
+  /// Upper bound of the interval; also used while all keys are taken.
   std::chrono::milliseconds m_maxRetry{ std::chrono::seconds{ 5 } };
 };
 
@@ -27,7 +27,9 @@
 /// domain; its holder watches the store.
 ///
 /// A daemon that resumes with an expired lease causes one superfluous read and
-/// no inconsistency. Joining daemons use the addresses in the keys.
+/// no inconsistency. Joining daemons use the addresses in the keys. Used only
+/// without a platform; with one, SeedPublisher writes the keys, without a
+/// lease.
 class WatchLease
 {
 public:
--- a/include/greengagehub/quarantine/quarantine.hpp
+++ b/include/greengagehub/quarantine/quarantine.hpp
@@ -39,8 +39,9 @@
 class Quarantine
 {
 public:
-  /// Crashes after which a request without a recent success is quarantined. Two
-  /// would catch unrelated requests that are retried beside the cause.
+  /// Crashes after which a request without a recent success is quarantined. A
+  /// limit of two would also quarantine unrelated requests that are retried
+  /// together with the cause.
   static constexpr std::uint32_t kCrashLimit = 3;
   /// Crashes after which a request is a suspect: it runs in isolation and is
   /// not retried at once.
@@ -123,7 +124,7 @@
     TimePoint m_ended;
   };
   /// A request that was running during at least one crash.
-  struct Suspect
+  struct InterruptedRequest
   {
     std::vector<LostRun> m_runs{};
     /// Last success known to all daemons.
@@ -139,28 +140,29 @@
   struct CrashTally
   {
     std::uint32_t m_count{ 0 };
-    TimePoint m_first{};
+    TimePoint m_firstAt{};
   };
   struct Record
   {
     QuarantineVerdict m_verdict;
-    /// m_verdict.m_age is not updated.
+    /// When the verdict was given; m_verdict.m_age is not kept current.
     TimePoint m_givenAt;
   };
 
   [[nodiscard]] CrashTally CountCrashes(
-    const Suspect& aSuspect,
+    const InterruptedRequest& aRequest,
     Fingerprint aFingerprint,
     std::optional<TimePoint> aLastSuccess) const;
-  /// \returns The later success of those known to all daemons and to this one.
+  /// \returns The later of the last success known to all daemons and the last
+  /// one on the local backend server.
   [[nodiscard]] std::optional<TimePoint> LastSuccess(
-    const Suspect& aSuspect,
+    const InterruptedRequest& aRequest,
     Fingerprint aFingerprint) const;
   /// \returns Whether the crash also interrupted another request that has been
   /// quarantined.
   [[nodiscard]] bool HasKnownCause(std::uint64_t aCrash,
                                    Fingerprint aFingerprint) const;
-  [[nodiscard]] bool HasLocalCrash(const Suspect& aSuspect) const;
+  [[nodiscard]] bool HasLocalCrash(const InterruptedRequest& aRequest) const;
   /// \returns Whether the report contained new runs.
   bool AddCrash(TimePoint aNow, const CrashReport& aReport, bool aIsLocal);
   void EvaluateCrash(TimePoint aNow,
@@ -173,7 +175,7 @@
   /// \brief Publishes a success that only this daemon knows of, if it lowers
   /// the crash count of a suspect.
   void PublishSuccess(TimePoint aNow,
-                      Suspect& aSuspect,
+                      InterruptedRequest& aRequest,
                       Fingerprint aFingerprint,
                       QuarantineChanges& aOut);
   void ApplyVerdict(TimePoint aNow,
@@ -197,7 +199,8 @@
   std::unordered_map<std::uint64_t, Crash> m_crashes;
   /// Crash ids in order of arrival.
   std::deque<std::uint64_t> m_crashOrder;
-  std::unordered_map<Fingerprint, Suspect, FingerprintHash> m_suspects;
+  std::unordered_map<Fingerprint, InterruptedRequest, FingerprintHash>
+    m_interruptedRequests;
   std::unordered_map<Fingerprint, Record, FingerprintHash> m_records;
   std::uint64_t m_summary{ 0 };
   std::size_t m_quarantinedCount{ 0 };
--- a/include/greengagehub/quarantine/quarantine_update.hpp
+++ b/include/greengagehub/quarantine/quarantine_update.hpp
@@ -80,8 +80,8 @@
   }
 };
 
-/// \returns Parts that each fit into a datagram of 1,400 bytes together with
-/// the sender. A crash with many runs is split.
+/// \returns Parts that each fit into a datagram together with the sender. A
+/// crash with many runs is split.
 [[nodiscard]] std::vector<QuarantineUpdate>
 SplitIntoDatagrams(const QuarantineUpdate& aUpdate);
 
--- a/include/greengagehub/quarantine/verdict_writer.hpp
+++ b/include/greengagehub/quarantine/verdict_writer.hpp
@@ -60,7 +60,7 @@
   {
     QuarantineVerdict m_verdict;
     TimePoint m_due;
-    Step m_first{ Step::Lease };
+    Step m_firstStep{ Step::Lease };
   };
 
   [[nodiscard]] StoreRequest Begin(Step aStep);
--- a/include/greengagehub/rollout/canary_analyzer.hpp
+++ b/include/greengagehub/rollout/canary_analyzer.hpp
@@ -8,13 +8,14 @@
 
 namespace greengagehub {
 
-/// \returns The log-likelihood ratio of `aHits` in `aRuns` for a rate raised by
-/// `aLift` of its remainder to one (Wald's sequential test). Above ln(1/a) the
-/// rate has risen, below ln(b) it has not, with error rates of at most a and b.
+/// \returns The log-likelihood ratio of `aHits` in `aRuns` for the rate
+/// r + aLift * (1 - r) against r, the baseline rate (Wald's sequential test).
+/// Above ln(1/a) the rate has risen, below ln(b) it has not, with error rates
+/// of at most a and b.
 [[nodiscard]] double
 LikelihoodRatio(double aHits,
                 double aRuns,
-                double aExpected,
+                double aBaselineRate,
                 double aLift) noexcept;
 
 /// \brief Compares the runs of a canary with concurrent runs of the version in
@@ -79,7 +80,7 @@
 
 private:
   static constexpr std::size_t kMeasureCount = 3;
-  /// See Judgement.
+  /// Runs of the canary by one measure; the fields are as in Judgement.
   struct Tally
   {
     double m_runs{ 0.0 };
@@ -110,7 +111,7 @@
     void Add(const RouteCounts& aCurrent,
              const RouteCounts& aPrevious) noexcept;
     void Decay() noexcept;
-    [[nodiscard]] double TimesFrom(std::size_t aBucket) const noexcept;
+    [[nodiscard]] double CountFromBucket(std::size_t aBucket) const noexcept;
   };
   struct Route
   {
--- a/include/greengagehub/rollout/rollout_leader.hpp
+++ b/include/greengagehub/rollout/rollout_leader.hpp
@@ -10,8 +10,8 @@
 /// permits step by step.
 ///
 /// Every daemon receives the record and the counts, so any of them can continue
-/// at the current step. Two concurrent leaders grant the same
-/// permits or smaller ones, and the store accepts the result of one of them.
+/// at the current step. Two concurrent leaders grant the same permits or
+/// smaller ones, and the store accepts the result of one of them.
 class RolloutLeader
 {
 public:
--- a/include/greengagehub/rollout/rollout_table.hpp
+++ b/include/greengagehub/rollout/rollout_table.hpp
@@ -73,7 +73,7 @@
   static constexpr std::chrono::milliseconds kPermitTime{ 1500 };
   /// Time after a final state from which a worker without a reported version is
   /// assumed to run the remaining version.
-  static constexpr std::chrono::seconds kOldWorkersGoneAfter{ 5 };
+  static constexpr std::chrono::seconds kOldWorkersStoppedAfter{ 5 };
   /// Number of earlier orders kept per service.
   static constexpr std::size_t kMaxEarlierTargets = 16;
 
--- a/src/dissemination/disseminator.cpp
+++ b/src/dissemination/disseminator.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr std::size_t kMaxSources = 8;
-/// Bytes of an entry on the wire beside its patch.
+/// Bytes of an entry on the wire in addition to its patch.
 constexpr std::size_t kEntryOverhead = 80;
-/// Bytes available in a probe beside its membership records.
+/// Bytes available in a probe in addition to its membership records.
 constexpr std::size_t kMaxRepairBytes = 600;
 
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -168,7 +168,7 @@
       ProbeRoundOf(aRecord).push_back(index);
       aOut.m_events.push_back({ MemberEvent::Kind::Joined, aRecord });
     } else {
-      m_members.At(index).m_goneSince = aNow;
+      m_members.At(index).m_lostSince = aNow;
       m_lostMembers.push_back(index);
     }
     if (aRecord.m_state == MemberState::Suspect) {
@@ -191,7 +191,7 @@
     m_suspects.push_back(*known);
   }
   if (!IsPresent(aRecord.m_state)) {
-    row.m_goneSince = aNow;
+    row.m_lostSince = aNow;
     m_lostMembers.push_back(*known);
     if (wasPresent) {
       aOut.m_events.push_back({ MemberEvent::Kind::Gone, aRecord });
@@ -256,7 +256,8 @@
   GossipMessage ack = MakeMessage(Kind::Ack, ScopeOf(aMessage.m_sender));
   ack.m_sequence = aMessage.m_sequence;
   ack.m_minimumVersion = MinimumVersionOf(aMessage.m_sender.m_slot);
-  // The sender refutes its record if it is treated as lost.
+  // A sender that is recorded as lost receives that record, so that it refutes
+  // it.
   const auto known = m_members.Find(aMessage.m_sender.m_slot);
   if (known && !IsPresent(m_members.At(*known).m_record.m_state)) {
     ack.m_updates.push_back(m_members.At(*known).m_record);
--- a/src/membership/membership_time.cpp
+++ b/src/membership/membership_time.cpp
@@ -103,7 +103,7 @@
       return false;
     }
     m_members.SetState(aIndex, MemberState::Dead);
-    row.m_goneSince = aNow;
+    row.m_lostSince = aNow;
     m_lostMembers.push_back(aIndex);
     MarkPending(aIndex);
     aOut.m_events.push_back({ MemberEvent::Kind::Gone, row.m_record });
@@ -119,7 +119,7 @@
         IsPresent(m_members.At(aIndex).m_record.m_state)) {
       return true;
     }
-    if (aNow - m_members.At(aIndex).m_goneSince < m_settings.m_forgetAfter) {
+    if (aNow - m_members.At(aIndex).m_lostSince < m_settings.m_forgetAfter) {
       return false;
     }
     m_members.Erase(aIndex);
@@ -146,10 +146,10 @@
   }
   const Duration timeout =
     m_settings.m_ackTimeout * (1 + m_localHealthScore / 4);
-  if (aProbe.m_indirect || aNow - aProbe.m_sent < timeout) {
+  if (aProbe.m_isIndirect || aNow - aProbe.m_sent < timeout) {
     return;
   }
-  aProbe.m_indirect = true;
+  aProbe.m_isIndirect = true;
   for (const MemberPeer& each : SampleOwnDomainFirst(m_settings.m_indirect)) {
     GossipMessage request = MakeMessage(Kind::PingRequest, ScopeOf(each));
     request.m_sequence = aProbe.m_sequence;
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -77,8 +77,8 @@
 std::uint32_t
 Quarantine::CrashCount(Fingerprint aFingerprint) const
 {
-  const auto found = m_suspects.find(aFingerprint);
-  if (found == m_suspects.end()) {
+  const auto found = m_interruptedRequests.find(aFingerprint);
+  if (found == m_interruptedRequests.end()) {
     return 0;
   }
   return CountCrashes(found->second,
@@ -88,9 +88,10 @@
 }
 
 std::optional<TimePoint>
-Quarantine::LastSuccess(const Suspect& aSuspect, Fingerprint aFingerprint) const
+Quarantine::LastSuccess(const InterruptedRequest& aRequest,
+                        Fingerprint aFingerprint) const
 {
-  return std::max(aSuspect.m_lastSuccess, m_successes.Find(aFingerprint));
+  return std::max(aRequest.m_lastSuccess, m_successes.Find(aFingerprint));
 }
 
 bool
@@ -107,12 +108,12 @@
 }
 
 Quarantine::CrashTally
-Quarantine::CountCrashes(const Suspect& aSuspect,
+Quarantine::CountCrashes(const InterruptedRequest& aRequest,
                          Fingerprint aFingerprint,
                          std::optional<TimePoint> aLastSuccess) const
 {
   std::vector<LostRun> runs;
-  for (const LostRun& each : aSuspect.m_runs) {
+  for (const LostRun& each : aRequest.m_runs) {
     const bool cleared = aLastSuccess && each.m_ended <= *aLastSuccess;
     if (!cleared && !HasKnownCause(each.m_crashId, aFingerprint)) {
       runs.push_back(each);
@@ -126,7 +127,7 @@
                             each.m_ended - lastCounted > kSameCauseWindow ||
                             each.m_begun + kAgeTolerance >= lastCounted;
     if (isSeparate) {
-      tally.m_first = tally.m_count == 0 ? each.m_ended : tally.m_first;
+      tally.m_firstAt = tally.m_count == 0 ? each.m_ended : tally.m_firstAt;
       ++tally.m_count;
       lastCounted = each.m_ended;
     }
@@ -135,9 +136,9 @@
 }
 
 bool
-Quarantine::HasLocalCrash(const Suspect& aSuspect) const
+Quarantine::HasLocalCrash(const InterruptedRequest& aRequest) const
 {
-  return std::ranges::any_of(aSuspect.m_runs, [this](const LostRun& aRun) {
+  return std::ranges::any_of(aRequest.m_runs, [this](const LostRun& aRun) {
     const auto crash = m_crashes.find(aRun.m_crashId);
     return crash != m_crashes.end() && crash->second.m_isLocal;
   });
@@ -147,11 +148,11 @@
 Quarantine::KnownCrashes(TimePoint aNow, Fingerprint aFingerprint) const
 {
   std::vector<KnownCrash> known;
-  const auto suspect = m_suspects.find(aFingerprint);
-  if (suspect == m_suspects.end()) {
+  const auto request = m_interruptedRequests.find(aFingerprint);
+  if (request == m_interruptedRequests.end()) {
     return known;
   }
-  for (const LostRun& each : suspect->second.m_runs) {
+  for (const LostRun& each : request->second.m_runs) {
     known.push_back({ m_crashes.at(each.m_crashId).m_slot,
                       aNow - each.m_ended,
                       each.m_ended - each.m_begun });
@@ -209,12 +210,12 @@
     }
     addsRuns = true;
     crash.m_fingerprints.push_back(each.m_fingerprint);
-    Suspect& suspect = m_suspects[each.m_fingerprint];
-    suspect.m_runs.push_back(
+    InterruptedRequest& request = m_interruptedRequests[each.m_fingerprint];
+    request.m_runs.push_back(
       { aReport.m_id, crash.m_crashedAt - each.m_ran, crash.m_crashedAt });
     if (each.m_lastSuccess) {
-      suspect.m_lastSuccess = std::max<std::optional<TimePoint>>(
-        suspect.m_lastSuccess, crash.m_crashedAt - *each.m_lastSuccess);
+      request.m_lastSuccess = std::max<std::optional<TimePoint>>(
+        request.m_lastSuccess, crash.m_crashedAt - *each.m_lastSuccess);
     }
   }
   if (m_crashes.size() > kMaxCrashes) {
@@ -239,16 +240,17 @@
                                 Fingerprint aFingerprint,
                                 QuarantineChanges& aOut)
 {
-  const auto found = m_suspects.find(aFingerprint);
-  if (found == m_suspects.end() || IsQuarantined(aNow, aFingerprint)) {
+  const auto found = m_interruptedRequests.find(aFingerprint);
+  if (found == m_interruptedRequests.end() ||
+      IsQuarantined(aNow, aFingerprint)) {
     return;
   }
-  Suspect& suspect = found->second;
-  PublishSuccess(aNow, suspect, aFingerprint, aOut);
-  const auto lastSuccess = LastSuccess(suspect, aFingerprint);
-  const CrashTally tally = CountCrashes(suspect, aFingerprint, lastSuccess);
+  InterruptedRequest& request = found->second;
+  PublishSuccess(aNow, request, aFingerprint, aOut);
+  const auto lastSuccess = LastSuccess(request, aFingerprint);
+  const CrashTally tally = CountCrashes(request, aFingerprint, lastSuccess);
   const bool hadRecentSuccess =
-    lastSuccess && tally.m_first - *lastSuccess <= kRecentSuccess;
+    lastSuccess && tally.m_firstAt - *lastSuccess <= kRecentSuccess;
   if (tally.m_count <
       (hadRecentSuccess ? kCrashLimitAfterSuccess : kCrashLimit)) {
     return;
@@ -262,7 +264,7 @@
   verdict.m_isQuarantined = true;
   verdict.m_crashCount = tally.m_count;
   SetVerdict(aNow, verdict, aOut);
-  if (HasLocalCrash(suspect)) {
+  if (HasLocalCrash(request)) {
     aOut.m_ownVerdicts.push_back(std::move(verdict));
   }
 }
@@ -273,14 +275,14 @@
   const std::uint64_t id = m_crashOrder.front();
   m_crashOrder.pop_front();
   for (const Fingerprint fingerprint : m_crashes.at(id).m_fingerprints) {
-    const auto suspect = m_suspects.find(fingerprint);
-    if (suspect == m_suspects.end()) {
+    const auto request = m_interruptedRequests.find(fingerprint);
+    if (request == m_interruptedRequests.end()) {
       continue;
     }
-    std::erase_if(suspect->second.m_runs,
+    std::erase_if(request->second.m_runs,
                   [id](const LostRun& aRun) { return aRun.m_crashId == id; });
-    if (suspect->second.m_runs.empty()) {
-      m_suspects.erase(suspect);
+    if (request->second.m_runs.empty()) {
+      m_interruptedRequests.erase(request);
     }
   }
   m_crashes.erase(id);
@@ -294,34 +296,34 @@
   if (const auto record = m_records.find(aFingerprint);
       record != m_records.end() && record->second.m_verdict.m_isQuarantined) {
     LiftVerdict(aNow, record->second.m_verdict, VerdictCause::Succeeded, out);
-  } else if (const auto suspect = m_suspects.find(aFingerprint);
-             suspect != m_suspects.end()) {
-    PublishSuccess(aNow, suspect->second, aFingerprint, out);
+  } else if (const auto request = m_interruptedRequests.find(aFingerprint);
+             request != m_interruptedRequests.end()) {
+    PublishSuccess(aNow, request->second, aFingerprint, out);
   }
   return out;
 }
 
 void
 Quarantine::PublishSuccess(TimePoint aNow,
-                           Suspect& aSuspect,
+                           InterruptedRequest& aRequest,
                            Fingerprint aFingerprint,
                            QuarantineChanges& aOut)
 {
   const auto localSuccess = m_successes.Find(aFingerprint);
-  if (!localSuccess || localSuccess <= aSuspect.m_lastSuccess) {
+  if (!localSuccess || localSuccess <= aRequest.m_lastSuccess) {
     return;
   }
   // Most requests that were interrupted once succeed soon after; publishing
   // those successes would dominate the traffic.
   const auto counted =
-    CountCrashes(aSuspect, aFingerprint, aSuspect.m_lastSuccess).m_count;
+    CountCrashes(aRequest, aFingerprint, aRequest.m_lastSuccess).m_count;
   const bool lowersCount =
     counted >= kSuspectCrashes &&
-    CountCrashes(aSuspect, aFingerprint, localSuccess).m_count < counted;
+    CountCrashes(aRequest, aFingerprint, localSuccess).m_count < counted;
   if (!lowersCount) {
     return;
   }
-  aSuspect.m_lastSuccess = localSuccess;
+  aRequest.m_lastSuccess = localSuccess;
   QuarantineVerdict update;
   update.m_fingerprint = aFingerprint;
   update.m_cause = VerdictCause::Succeeded;
@@ -334,17 +336,17 @@
                          const QuarantineVerdict& aVerdict,
                          QuarantineChanges& aOut)
 {
-  const auto suspect = m_suspects.find(aVerdict.m_fingerprint);
-  if (suspect == m_suspects.end()) {
+  const auto request = m_interruptedRequests.find(aVerdict.m_fingerprint);
+  if (request == m_interruptedRequests.end()) {
     return;
   }
-  std::optional<TimePoint>& lastSuccess = suspect->second.m_lastSuccess;
+  std::optional<TimePoint>& lastSuccess = request->second.m_lastSuccess;
   const TimePoint at = aNow - aVerdict.m_age;
   const auto counted =
-    CountCrashes(suspect->second, aVerdict.m_fingerprint, lastSuccess).m_count;
+    CountCrashes(request->second, aVerdict.m_fingerprint, lastSuccess).m_count;
   const bool isNew =
     !(lastSuccess >= at) &&
-    CountCrashes(suspect->second, aVerdict.m_fingerprint, at).m_count < counted;
+    CountCrashes(request->second, aVerdict.m_fingerprint, at).m_count < counted;
   if (isNew) {
     lastSuccess = at;
     aOut.m_update.m_verdicts.push_back(aVerdict);
@@ -406,12 +408,12 @@
   m_records.emplace(aVerdict.m_fingerprint, Record{ aVerdict, aAt });
   m_summary ^= DigestOf(aVerdict);
   m_quarantinedCount += aVerdict.m_isQuarantined ? 1 : 0;
-  const auto suspect = m_suspects.find(aVerdict.m_fingerprint);
+  const auto request = m_interruptedRequests.find(aVerdict.m_fingerprint);
   const bool clearsCrashes =
     !aVerdict.m_isQuarantined && aVerdict.m_cause != VerdictCause::Expired;
-  if (clearsCrashes && suspect != m_suspects.end()) {
-    suspect->second.m_lastSuccess =
-      std::max<std::optional<TimePoint>>(suspect->second.m_lastSuccess, aAt);
+  if (clearsCrashes && request != m_interruptedRequests.end()) {
+    request->second.m_lastSuccess =
+      std::max<std::optional<TimePoint>>(request->second.m_lastSuccess, aAt);
   }
   aOut.m_verdicts.push_back(aVerdict);
   aOut.m_update.m_verdicts.push_back(aVerdict);
--- a/src/quarantine/verdict_writer.cpp
+++ b/src/quarantine/verdict_writer.cpp
@@ -135,7 +135,7 @@
   }
   std::rotate(m_jobs.begin(), due, due + 1);
   m_isStale = false;
-  return Begin(m_jobs.front().m_first);
+  return Begin(m_jobs.front().m_firstStep);
 }
 
 void
--- a/src/rollout/canary_analyzer.cpp
+++ b/src/rollout/canary_analyzer.cpp
@@ -31,14 +31,14 @@
 constexpr double kDecayFactor = 0.9;
 /// Weight of the recent rate, in runs, when estimating the latest one.
 constexpr double kPriorRuns = 10.0;
-/// A run is slow if at most this share of the baseline runs takes longer than
-/// about half its time.
+/// Share of the baseline runs that take longer than the reference time; a run
+/// is slow from about twice that time.
 constexpr double kSlowShare = 0.05;
 constexpr std::size_t kSlowMargin = 2;
 /// Excess over all routes, without the worst workers, that makes a version bad.
 constexpr double kMaxExcess = 18.0;
-/// Including the worst workers, if the rest has an excess too: a fault under
-/// load affects the busiest workers most.
+/// Excess including the worst workers that makes a version bad if the rest has
+/// an excess too: a fault under load affects the busiest workers most.
 constexpr double kMaxExcessOfAll = 30.0;
 constexpr double kMinExcessOfRest = 4.0;
 /// Minimum excess of a bad version, in standard deviations.
@@ -84,11 +84,11 @@
 double
 LikelihoodRatio(double aHits,
                 double aRuns,
-                double aExpected,
+                double aBaselineRate,
                 double aLift) noexcept
 {
   constexpr double kMaxBaseline = 0.9;
-  const double baseline = std::clamp(aExpected, 1e-6, kMaxBaseline);
+  const double baseline = std::clamp(aBaselineRate, 1e-6, kMaxBaseline);
   const double raised = baseline + aLift * (1.0 - baseline);
   return aHits * std::log(raised / baseline) +
          (aRuns - aHits) * std::log((1.0 - raised) / (1.0 - baseline));
@@ -157,7 +157,7 @@
 }
 
 double
-CanaryAnalyzer::Baseline::TimesFrom(std::size_t aBucket) const noexcept
+CanaryAnalyzer::Baseline::CountFromBucket(std::size_t aBucket) const noexcept
 {
   double sum = 0.0;
   for (std::size_t i = aBucket; i < m_times.size(); ++i) {
@@ -182,10 +182,10 @@
 CanaryAnalyzer::FirstSlowBucket(const Route& aRoute) noexcept
 {
   const Baseline& all = aRoute.m_all;
-  const double total = all.TimesFrom(0);
+  const double total = all.CountFromBucket(0);
   std::size_t bucket = 0;
   while (bucket < RunTimeHistogram::kBuckets &&
-         all.TimesFrom(bucket) > kSlowShare * total) {
+         all.CountFromBucket(bucket) > kSlowShare * total) {
     ++bucket;
   }
   return std::min(bucket + kSlowMargin - 1, RunTimeHistogram::kBuckets - 1);
@@ -221,7 +221,8 @@
 {
   const double recentRate =
     (aCount(aRoute.m_recent) + aMinRate) / (aTotal(aRoute.m_recent) + 1.0);
-  // Few runs alone give no reliable rate.
+  // Combined with the recent rate, as the latest runs are too few for a
+  // reliable one.
   const double latestRate =
     (aCount(aRoute.m_latest) + kPriorRuns * recentRate) /
     (aTotal(aRoute.m_latest) + kPriorRuns);
@@ -244,7 +245,7 @@
     return aBaseline.m_runs;
   };
   const auto allTimes = [](const Baseline& aBaseline) {
-    return aBaseline.TimesFrom(0);
+    return aBaseline.CountFromBucket(0);
   };
   const double failureRate = BaselineRate(
     aRoute,
@@ -264,12 +265,12 @@
                       Increase(aCurrent.m_lost, aPrevious.m_lost),
                       runs * lossRate };
   // Without baseline times there is no threshold for slow runs.
-  if (aRoute.m_all.TimesFrom(0) > 0.0) {
+  if (aRoute.m_all.CountFromBucket(0) > 0.0) {
     const double slowRate = BaselineRate(
       aRoute,
       kMeasures.at(kSlow).m_minRate,
       [firstSlow](const Baseline& aBaseline) {
-        return aBaseline.TimesFrom(firstSlow);
+        return aBaseline.CountFromBucket(firstSlow);
       },
       allTimes);
     fresh.at(kSlow) = { timed, slow, timed * slowRate };
--- a/src/rollout/rollout_table.cpp
+++ b/src/rollout/rollout_table.cpp
@@ -213,7 +213,7 @@
   const bool areOldWorkersGone =
     IsFinal(record.m_state) &&
     (!aEntry.m_finalSince ||
-     aNow - *aEntry.m_finalSince >= kOldWorkersGoneAfter);
+     aNow - *aEntry.m_finalSince >= kOldWorkersStoppedAfter);
   if (hasMoved || !record.m_base.empty()) {
     const std::string& version =
       hasMoved ? record.m_order.m_target : record.m_base;
--- a/src/rollout/run_counts.cpp
+++ b/src/rollout/run_counts.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Corrects the times of a cold worker, which takes about twice as long.
-constexpr std::size_t kColdBuckets = 2;
+constexpr std::size_t kColdBucketShift = 2;
 
 }
 
@@ -72,7 +72,7 @@
     ++counts.m_times.back();
   } else if (aResult == Result::Good) {
     const std::size_t bucket = RunTimeHistogram::BucketOf(aTook);
-    const std::size_t shift = aIsCold ? kColdBuckets : 0;
+    const std::size_t shift = aIsCold ? kColdBucketShift : 0;
     ++counts.m_times.at(bucket - std::min(bucket, shift));
   }
 }
--- a/tests/membership/quarantine_spread.cpp
+++ b/tests/membership/quarantine_spread.cpp
@@ -115,6 +115,7 @@
     << " ms; missed " << missed << " of " << count * kRuns
     << ", at most in one run " << maxMissed);
   CHECK(longest < 500ms);
-  // A fanout of 4 misses about one in e^4, and lost datagrams some more.
+  // With a fanout of 4, about one member in e^4 is not reached, and slightly
+  // more because of lost datagrams.
   CHECK(missed * 20 <= count * kRuns);
 }
--- a/tests/membership/seed_publisher.cpp
+++ b/tests/membership/seed_publisher.cpp
@@ -42,14 +42,14 @@
              .m_revision = m_keys[aRequest.m_key].m_revision };
   }
 
-  void Run(SeedPublisher& aKeeper,
+  void Run(SeedPublisher& aPublisher,
            TimePoint aFrom,
            Duration aFor,
            std::optional<std::size_t> aRank)
   {
     for (TimePoint now = aFrom; now < aFrom + aFor; now += 500ms) {
-      if (const auto request = aKeeper.OnTick(now, aRank)) {
-        aKeeper.OnReply(now, Execute(*request));
+      if (const auto request = aPublisher.OnTick(now, aRank)) {
+        aPublisher.OnReply(now, Execute(*request));
       }
     }
   }
--- a/tests/quarantine/crash_detector.cpp
+++ b/tests/quarantine/crash_detector.cpp
@@ -46,7 +46,8 @@
 
 TEST_CASE("a connection closed by a running worker is not a crash")
 {
-  // Resets and aborted answers would otherwise count against requests.
+  // Guards against connection resets and aborted answers that count as crashes
+  // of their requests.
   CrashDetector detector;
   CHECK(detector.OnConnectionLost(Run(1)));
   CHECK_FALSE(detector.OnProbed(false));
--- a/tests/quarantine/error_rates.cpp
+++ b/tests/quarantine/error_rates.cpp
@@ -93,7 +93,8 @@
   }
   const Totals totals = RunReplays(scenario);
   if (!hasConcurrentCopies) {
-    // Three, plus those that were running when the third was reported.
+    // Three crashes lead to the quarantine; up to three further runs may be in
+    // progress when the third is reported.
     CHECK(totals.m_maxCrashes <= 6);
   }
   CHECK(totals.m_maxLateRuns <= kMaxLateRuns);
--- a/tests/quarantine/verdict_writer.cpp
+++ b/tests/quarantine/verdict_writer.cpp
@@ -110,9 +110,9 @@
     writer.Lift(MakeVerdict().m_fingerprint, kStart);
     CHECK_FALSE(writer.OnTick(kStart));
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
-    const auto gone = writer.OnTick(kStart);
-    REQUIRE(gone);
-    CHECK(gone->m_kind == Kind::Delete);
+    const auto deletion = writer.OnTick(kStart);
+    REQUIRE(deletion);
+    CHECK(deletion->m_kind == Kind::Delete);
     CHECK_FALSE(writer.OnReply(kStart, MakeReply(Status::Ok)));
     CHECK(writer.CountQueued() == 0);
   }
--- a/tests/rollout/rollout_table.cpp
+++ b/tests/rollout/rollout_table.cpp
@@ -81,7 +81,7 @@
         Change::None);
   CHECK_FALSE(table.MayRun(kNow, "lockers", "v2"));
   // Workers without a reported version are then assumed to be in service.
-  CHECK(Allowed(table, kNow + RolloutTable::kOldWorkersGoneAfter, true) ==
+  CHECK(Allowed(table, kNow + RolloutTable::kOldWorkersStoppedAfter, true) ==
         Versions{ "v1", "" });
 }
 
