--- a/include/greengagehub/config/config_holder.hpp
+++ b/include/greengagehub/config/config_holder.hpp
@@ -23,7 +23,7 @@
   Applied,
   /// At or below the active version, in the same history.
   NotNewer,
-  /// Earlier versions are missing.
+  /// The version that the patch applies to is not active here.
   Gap,
   /// The chain digest does not follow from the active version.
   Forked,
@@ -31,7 +31,7 @@
   Corrupt,
 };
 
-/// \brief The active configuration of one proxy and its recent history.
+/// \brief The active configuration of one daemon and its recent history.
 ///
 /// Versions only increase. Each is validated on a copy and becomes active by a
 /// pointer swap, so readers never see a partly applied version.
--- a/include/greengagehub/config/content.hpp
+++ b/include/greengagehub/config/content.hpp
@@ -100,7 +100,8 @@
   std::chrono::milliseconds m_idleTimeout{ 0 };
 };
 
-/// \brief An immutable entity, shared by versions of the content.
+/// \brief A service, route or workspace. Immutable, so that versions of the
+/// content can share it.
 template<class T>
 struct Entity
   : boost::intrusive_ref_counter<Entity<T>, boost::thread_unsafe_counter>
--- a/include/greengagehub/config/decision.hpp
+++ b/include/greengagehub/config/decision.hpp
@@ -17,7 +17,8 @@
   Version m_version;
   /// Canonical JSON merge patch on the previous version.
   std::string m_patch;
-  /// Chain digest over the history up to this version.
+  /// Chain digest over the history up to this version; equal to m_content if
+  /// m_base is set.
   Digest m_chain;
   /// Digest of the content after the patch.
   Digest m_content;
--- a/include/greengagehub/config/decision_process.hpp
+++ b/include/greengagehub/config/decision_process.hpp
@@ -20,7 +20,7 @@
     NotKnown,
     /// The id belongs to another patch, whose decision is m_decision.
     IdReused,
-    /// The store has an older or a different history than this proxy.
+    /// The store has an older or a different history than this daemon.
     StoreBehind,
     /// A value in the store cannot be parsed.
     StoreCorrupt,
@@ -34,8 +34,9 @@
 /// \brief Decides one patch, or looks up its decision, through the store.
 ///
 /// A state machine without I/O that returns store requests and, last, the
-/// answer. An id is not decided twice: a decision leaves the log only after the
-/// archive and the index have it, and a change of the log makes the swap fail.
+/// answer. An id is not decided twice: a decision is removed from the log only
+/// after it is in the archive and the index, and a concurrent change of the log
+/// makes the swap fail.
 ///
 /// \code
 /// DecisionProcess process{ active, submission };
--- a/include/greengagehub/config/readiness_gate.hpp
+++ b/include/greengagehub/config/readiness_gate.hpp
@@ -21,12 +21,14 @@
   /// Peers that must report, or all of them if there are fewer.
   static constexpr std::size_t kRequiredPeers = 3;
 
+  /// Source that must report the required version before the gate opens.
   enum class Authority : std::uint8_t
   {
-    /// Peers; the store only without peers, as it may be an old backup.
+    /// Peers. The store is used only if there are none, as it may be an old
+    /// backup.
     PeersFirst,
-    /// The store, whose versions never decrease, or peers.
-    StoreFirst,
+    /// Either the store, whose versions never decrease, or peers.
+    StoreOrPeers,
   };
 
   explicit ReadinessGate(Authority aAuthority = Authority::PeersFirst) noexcept
@@ -55,7 +57,7 @@
     m_required = std::max(m_required, aHead);
   }
   /// \brief Records that a peer's full member table was received.
-  void Joined() noexcept { m_joined = true; }
+  void RecordJoined() noexcept { m_joined = true; }
 
   /// \param aActiveVersion version of this daemon.
   /// \param aAlivePeers number of other daemons considered alive.
@@ -66,7 +68,8 @@
       aAlivePeers > 0 && m_joined &&
       m_peers.size() >= std::min(kRequiredPeers, aAlivePeers);
     const bool byStore =
-      m_storeRead && (aAlivePeers == 0 || m_authority == Authority::StoreFirst);
+      m_storeRead &&
+      (aAlivePeers == 0 || m_authority == Authority::StoreOrPeers);
     const bool isConfirmed = byPeers || byStore;
     m_open = m_open || (isConfirmed && aActiveVersion > Version{} &&
                         aActiveVersion >= m_required);
--- a/include/greengagehub/config/snapshot_reader.hpp
+++ b/include/greengagehub/config/snapshot_reader.hpp
@@ -13,13 +13,13 @@
   enum class Status : std::uint8_t
   {
     Ok,
-    /// The snapshot was deleted; read the log again.
-    Gone,
+    /// A part of the snapshot no longer exists; read the log again.
+    Deleted,
     /// The store did not answer.
-    Lost,
+    NoAnswer,
     Corrupt,
   };
-  Status m_status{ Status::Lost };
+  Status m_status{ Status::NoAnswer };
   VersionEntry m_head{};
   /// Canonical JSON of the content; empty unless Ok.
   std::string m_text{};
--- a/include/greengagehub/core/store_message.hpp
+++ b/include/greengagehub/core/store_message.hpp
@@ -34,6 +34,8 @@
   Kind m_kind{ Kind::Get };
   std::string m_key{};
   std::string m_value{};
+  /// Put and Check: revision that the key must have. Watch: store revision
+  /// after which changes are reported.
   Revision m_expected{ 0 };
   /// Put: lease that the key expires with; 0: none. LeaseKeep: lease to renew.
   std::uint64_t m_lease{ 0 };
--- a/include/greengagehub/daemon/call_gateway.hpp
+++ b/include/greengagehub/daemon/call_gateway.hpp
@@ -130,11 +130,12 @@
                     HttpRequest aRequest,
                     HttpResponder aResponder);
   /// \brief Answers a request for which no call is started.
-  void Refuse(const HttpRequest& aRequest,
-              HttpResponder& aResponder,
-              RefusalReason aReason,
-              std::chrono::milliseconds aRetryAfter = StartBuffer::kMaxHoldTime,
-              const WorkspaceRow* aWorkspace = nullptr);
+  void Refuse(
+    const HttpRequest& aRequest,
+    HttpResponder& aResponder,
+    RefusalReason aReason,
+    std::chrono::milliseconds aRetryAfter = StartBuffer::kMaxBufferTime,
+    const WorkspaceRow* aWorkspace = nullptr);
   /// \brief Checks key and quota, then starts, queues or refuses the call.
   /// \param aIsNew false for a request from the token queue.
   void Admit(const Route& aRoute,
--- a/include/greengagehub/daemon/call_headers.hpp
+++ b/include/greengagehub/daemon/call_headers.hpp
@@ -14,7 +14,7 @@
 inline constexpr std::string_view kTraceparentHeader = "traceparent";
 /// Number of hops before this call. Workers copy it to the calls they make.
 inline constexpr std::string_view kDepthHeader = "Greengagehub-Depth";
-/// Number of retries left to the call; copied likewise.
+/// Number of retries that the call may still use; workers copy it, too.
 inline constexpr std::string_view kRetriesHeader = "Greengagehub-Tries";
 /// "not-run" or "unknown"; set on answers that a daemon generated.
 inline constexpr std::string_view kOutcomeHeader = "Greengagehub-Outcome";
--- a/include/greengagehub/daemon/control_plane.hpp
+++ b/include/greengagehub/daemon/control_plane.hpp
@@ -84,8 +84,8 @@
   /// \returns The lowest version in force on this daemon and on present
   /// members, as they last reported it.
   [[nodiscard]] Version LowestInForce() const;
-  /// \returns The lowest number of slots reported by a present worker of the
-  /// own service, if any.
+  /// \returns The lowest number of slots reported by a present worker of this
+  /// daemon's service, if any.
   [[nodiscard]] std::optional<std::uint32_t> MinSlotsOfOwnService() const;
   /// \brief Probes members whose last reported version is below `aVersion`.
   void ProbeBelowVersion(Version aVersion);
@@ -120,7 +120,7 @@
                          QuarantineService::Scope aScope);
   void SendQuarantine(const std::vector<MemberPeer>& aTo,
                       const QuarantineUpdate& aUpdate);
-  /// \brief Sends the own verdicts to a peer whose digest differs.
+  /// \brief Sends this daemon's verdicts to a peer whose digest differs.
   void SyncVerdicts(TimePoint aNow, const GossipMessage& aMessage);
   [[nodiscard]] RolloutService::Dependencies RolloutDependencies();
   [[nodiscard]] WorkspaceService::Dependencies WorkspaceDependencies(
@@ -130,7 +130,7 @@
                        RolloutTable::Change aChange);
   void SendRollouts(const std::vector<MemberPeer>& aTo,
                     const std::vector<RolloutRecord>& aRecords);
-  /// \brief Sends the own roll-outs to a peer whose digest differs.
+  /// \brief Sends this daemon's roll-outs to a peer whose digest differs.
   void SyncRollouts(TimePoint aNow, const GossipMessage& aMessage);
   void SendCounts(WorkerCounts aCounts);
   [[nodiscard]] RolloutLeader::Workers WorkersOf(
@@ -141,7 +141,7 @@
   void UpdateStoreRoles(TimePoint aNow);
   /// \brief Writes again what a store restored from a backup may have lost.
   void OnStoreRestored();
-  void ExecuteWatchRequest(StoreRequest aRequest);
+  void ExecuteLeaseRequest(StoreRequest aRequest);
   /// \brief Records that the member table is as complete as a peer's.
   void SetJoined();
   void SyncMembers(TimePoint aNow, const GossipMessage& aMessage);
--- a/include/greengagehub/daemon/quarantine_service.hpp
+++ b/include/greengagehub/daemon/quarantine_service.hpp
@@ -17,7 +17,7 @@
   {
     /// Local changes go to all failure domains.
     AllDomains,
-    /// Received changes are forwarded within the own failure domain.
+    /// Received changes are forwarded within this daemon's domain.
     OwnDomain,
   };
   struct Dependencies
--- a/include/greengagehub/daemon/resume_filter.hpp
+++ b/include/greengagehub/daemon/resume_filter.hpp
@@ -12,8 +12,8 @@
 ///
 /// While a process is paused, its sockets collect requests together with the
 /// cancellations and closes that follow them. A short delay lets the latter be
-/// read first, so that requests of callers that have left are dropped rather
-/// than run.
+/// read first, so that requests of disconnected callers are dropped rather than
+/// run.
 class ResumeFilter
 {
 public:
--- a/include/greengagehub/daemon/run_service.hpp
+++ b/include/greengagehub/daemon/run_service.hpp
@@ -60,8 +60,8 @@
 
   void OnRequest(CallKey aKey, std::uint64_t aEpoch, CallRequest aRequest);
   /// \param aAbandon the answer is not needed, even if the run has started.
-  /// \returns The state of the attempt. Running also if a kept answer has been
-  /// delivered again; Finished means that the answer is lost.
+  /// \returns The state of the attempt: Running also if its kept answer was
+  /// sent again, Finished if its answer is lost.
   [[nodiscard]] CancelResult OnCancel(CallKey aKey, bool aAbandon);
   void OnEpoch(std::uint64_t aProcess, std::uint64_t aEpoch);
   void StartDraining();
--- a/include/greengagehub/daemon/start_buffer.hpp
+++ b/include/greengagehub/daemon/start_buffer.hpp
@@ -38,7 +38,7 @@
   void DropConnection(std::uint64_t aConnection);
   /// \brief Removes and returns all requests, in the order of Add().
   [[nodiscard]] std::vector<Entry> TakeAll();
-  /// \brief Removes and returns the requests that are kMaxHoldTime old.
+  /// \brief Removes and returns the requests that are kMaxBufferTime old.
   [[nodiscard]] std::vector<Entry> TakeExpired(TimePoint aNow);
 
   /// Requests are refused from this time after the start on, because the store
@@ -46,7 +46,7 @@
   static constexpr std::chrono::milliseconds kMaxStartTime{ 1500 };
   /// Longest time that a request is buffered; equal to the time after which a
   /// refused caller retries.
-  static constexpr std::chrono::milliseconds kMaxHoldTime{ 1000 };
+  static constexpr std::chrono::milliseconds kMaxBufferTime{ 1000 };
   static constexpr std::size_t kMaxRequests = 256;
   static constexpr std::size_t kMaxBytes = 1024UL * 1024;
 
--- a/include/greengagehub/daemon/workspace_service.hpp
+++ b/include/greengagehub/daemon/workspace_service.hpp
@@ -21,7 +21,8 @@
   /// None: the request is admitted, unless m_waits is set.
   RefusalReason m_refusal{ RefusalReason::None };
   std::chrono::milliseconds m_retryAfter{ 0 };
-  /// The request waits for tokens; to be admitted again at SetRetryHandler().
+  /// The request waits for tokens; Admit() is to be called again when the
+  /// handler of SetRetryHandler() runs.
   bool m_waits{ false };
   /// Workspace of the key; nullptr: the key is unknown or was not checked.
   const WorkspaceRow* m_workspace{ nullptr };
@@ -72,8 +73,8 @@
   }
   /// \param aKey API key from the request; empty: none.
   /// \param aIsNew false for a request that has waited for tokens.
-  /// \param aIsLate the target time of the request has passed; such a request
-  /// is refused while tokens are scarce.
+  /// \param aIsLate the route's target latency has passed; such a request is
+  /// refused while tokens are scarce.
   [[nodiscard]] WorkspaceAdmission Admit(std::string_view aKey,
                                          bool aIsNew,
                                          bool aIsLate);
--- a/src/config/compaction_process.cpp
+++ b/src/config/compaction_process.cpp
@@ -94,7 +94,8 @@
 bool
 CompactionProcess::CanSnapshot() const
 {
-  // The active content becomes the snapshot if the log has its history.
+  // The active content may become the snapshot only if its version is in the
+  // log with the same chain digest.
   if (m_active->m_version == m_log.m_head) {
     return m_active->m_chain == m_log.m_chain;
   }
@@ -233,7 +234,8 @@
     next.m_snapshot = m_active->m_version;
   }
   if (next.m_snapshot < next.m_archivedVersion) {
-    // The log could no longer rebuild its head from this older snapshot.
+    // Decisions after the snapshot would be archived, so the head could not be
+    // rebuilt from the log.
     return Result::Aborted;
   }
   return Request(State::Swap,
--- a/src/config/decision_process.cpp
+++ b/src/config/decision_process.cpp
@@ -219,9 +219,9 @@
   }
   const SnapshotResult& read = std::get<SnapshotResult>(aStep);
   switch (read.m_status) {
-    case SnapshotResult::Status::Gone:
+    case SnapshotResult::Status::Deleted:
       return Retry();
-    case SnapshotResult::Status::Lost:
+    case SnapshotResult::Status::NoAnswer:
       return Answer(DecisionAnswer::Kind::NotKnown,
                     "the store does not answer");
     case SnapshotResult::Status::Corrupt:
--- a/src/config/snapshot_reader.cpp
+++ b/src/config/snapshot_reader.cpp
@@ -24,10 +24,10 @@
 SnapshotReader::OnReply(const StoreReply& aReply)
 {
   if (aReply.m_status == StoreReply::Status::NotFound) {
-    return MakeResult(Status::Gone);
+    return MakeResult(Status::Deleted);
   }
   if (aReply.m_status != StoreReply::Status::Ok) {
-    return MakeResult(Status::Lost);
+    return MakeResult(Status::NoAnswer);
   }
   if (!m_hasManifest) {
     auto manifest = ParseManifest(aReply.m_value);
--- a/src/daemon/call_gateway_callers.cpp
+++ b/src/daemon/call_gateway_callers.cpp
@@ -324,7 +324,8 @@
 CallGateway::StatisticsOf(const std::string& aKey)
 {
   if (m_routeStatistics.size() > kMaxRouteStatistics) {
-    // Most entries belong to removed routes; the others refill quickly.
+    // Most entries belong to removed routes. Statistics of current routes are
+    // soon collected again.
     m_routeStatistics.clear();
   }
   const auto [found, isNew] = m_routeStatistics.try_emplace(aKey);
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -17,7 +17,7 @@
 /// Time without a datagram after which a daemon treats itself as isolated; a
 /// multiple of the probe interval.
 constexpr auto kIsolatedAfter = std::chrono::milliseconds{ 2500 };
-/// Computing the own rank scans all members.
+/// Computing this daemon's rank scans all members.
 constexpr auto kRankInterval = std::chrono::milliseconds{ 500 };
 constexpr auto kMaxFeedBackoff = std::chrono::milliseconds{ 500 };
 /// Up to this bandwidth the whole configuration would delay calls noticeably.
@@ -133,7 +133,7 @@
   , m_tickTimer(aLoop)
   , m_memberSync(Clock::now(), m_random())
   , m_readinessGate(aSettings.m_platform.m_enabled
-                      ? ReadinessGate::Authority::StoreFirst
+                      ? ReadinessGate::Authority::StoreOrPeers
                       : ReadinessGate::Authority::PeersFirst)
 {
 }
@@ -375,7 +375,7 @@
   const std::size_t rank =
     m_watchLease.NeedsRank(aNow) ? m_membership.RankInDomain() : 0;
   if (auto request = m_watchLease.OnTick(aNow, rank)) {
-    ExecuteWatchRequest(std::move(*request));
+    ExecuteLeaseRequest(std::move(*request));
   }
   m_storeSync.SetWatching(m_watchLease.Holds(aNow));
 }
@@ -444,11 +444,11 @@
 }
 
 void
-ControlPlane::ExecuteWatchRequest(StoreRequest aRequest)
+ControlPlane::ExecuteLeaseRequest(StoreRequest aRequest)
 {
   m_store.Execute(std::move(aRequest), [this](const StoreReply& aReply) {
     if (auto next = m_watchLease.OnReply(Clock::now(), aReply)) {
-      ExecuteWatchRequest(std::move(*next));
+      ExecuteLeaseRequest(std::move(*next));
     }
   });
 }
--- a/src/daemon/control_plane_joining.cpp
+++ b/src/daemon/control_plane_joining.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 // Joining the fleet: finds peers through the seed addresses in the store, those
-// of the own failure domain first, and synchronizes the member table with them.
+// of this daemon's domain first, and synchronizes the member table with them.
 
 namespace greengagehub {
 
@@ -66,7 +66,7 @@
   const TimePoint now = Clock::now();
   m_nextJoin = now + Jittered(m_random, m_joinBackoff);
   if (!m_knownSeeds.empty()) {
-    // Leaves the contacted seeds more time to answer.
+    // Gives the contacted seeds more time to answer.
     m_nextJoin += kStartupJoinBackoff;
   }
   const auto maxBackoff =
@@ -112,7 +112,7 @@
   }
   const bool hasOwnDomainPeer = !m_knownSeeds.empty();
   if (!hasOwnDomainPeer || m_joinAttempts > 1) {
-    // No peer of the own domain is known, or none has answered.
+    // No peer of this daemon's domain is known, or none has answered.
     std::shuffle(otherDomainPeers.begin(), otherDomainPeers.end(), m_random);
     otherDomainPeers.resize(
       std::min(otherDomainPeers.size(), kMaxOtherDomainSeeds));
@@ -139,7 +139,7 @@
     return;
   }
   m_memberSync.Joined();
-  m_readinessGate.Joined();
+  m_readinessGate.RecordJoined();
   for (const MemberPeer& each :
        m_membership.SampleOwnDomainFirst(ReadinessGate::kRequiredPeers)) {
     Contact(each);
--- a/src/daemon/control_plane_rollouts.cpp
+++ b/src/daemon/control_plane_rollouts.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-/// Peers of the own domain to which a daemon forwards a change of state. The
+/// Peers of its domain to which a daemon forwards a change of state. The
 /// few that it does not reach are updated when a probe shows a different
 /// digest, and stop when their permit expires.
 constexpr std::size_t kStateFanout = 4;
-/// Peers to which a daemon forwards a renewed permit; renewals follow at a
-/// third of the permit's time.
+/// Number of peers to which a daemon forwards a renewed permit. Fewer suffice,
+/// as a permit is renewed after a third of its lifetime.
 constexpr std::size_t kPermitFanout = 2;
 /// Shortest time between two transmissions of all roll-outs.
 constexpr std::chrono::milliseconds kRolloutsInterval{ 200 };
-/// Records that fit into a datagram beside the sender.
+/// Number of roll-out records that fit into a datagram with the sender's
+/// record.
 constexpr std::size_t kRecordsPerDatagram = 6;
 
 }
--- a/src/daemon/control_plane_versions.cpp
+++ b/src/daemon/control_plane_versions.cpp
@@ -75,8 +75,8 @@
   if (!m_settings.m_platform.m_enabled || aFanout == 0) {
     return m_membership.Sample(aFanout);
   }
-  // Each domain watches the store itself. Pushes of the relays cover for a
-  // domain whose watchers have failed.
+  // Each domain watches the store itself. Relays also push to other domains, in
+  // case the watchers of a domain have failed.
   std::vector<MemberPeer> targets = m_membership.SampleOwnDomain(aFanout - 1);
   if (m_membership.IsDomainRelay()) {
     const auto remote = m_membership.SampleOtherDomains();
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr auto kTickInterval = std::chrono::milliseconds{ 100 };
-/// A tick that is late by more than this means that the process was paused.
-constexpr auto kPauseThreshold = std::chrono::milliseconds{ 1000 };
+/// After a longer gap between ticks, the process drops links and permits.
+constexpr auto kLongPauseThreshold = std::chrono::milliseconds{ 1000 };
 constexpr int kFailureExitCode = 1;
 constexpr auto kTrafficLogInterval = std::chrono::seconds{ 10 };
 /// Part of the grace time that remains when an unfinished drain is aborted.
@@ -267,7 +267,7 @@
   const TimePoint now = Clock::now();
   const std::chrono::nanoseconds bootTime = BootTime();
   const auto sinceLastTick = bootTime - m_lastBootTime;
-  if (m_lastTick != TimePoint{} && sinceLastTick > kPauseThreshold) {
+  if (m_lastTick != TimePoint{} && sinceLastTick > kLongPauseThreshold) {
     m_log.Warning(
       "daemon",
       "was_paused",
--- a/src/daemon/platform_endpoints.cpp
+++ b/src/daemon/platform_endpoints.cpp
@@ -87,17 +87,18 @@
 PlatformEndpoints::OnHeartbeat(const HttpRequest& aRequest,
                                HttpResponder aResponder)
 {
-  const auto notice = platform::ParseWorkerRequest(aRequest);
-  if (!notice) {
-    RejectReport("heartbeat_unreadable", notice.error().m_message);
+  const auto request = platform::ParseWorkerRequest(aRequest);
+  if (!request) {
+    RejectReport("heartbeat_unreadable", request.error().m_message);
     aResponder.Answer(JsonResponse(400, "{}"));
     return;
   }
-  const auto* left =
-    std::get_if<platform::WorkerDeregistration>(&notice.value());
+  const auto* deregistration =
+    std::get_if<platform::WorkerDeregistration>(&request.value());
   const WorkerPresence::Change change =
-    left != nullptr ? m_worker.OnLeft(Clock::now(), left->m_incarnation)
-                    : ApplyReport(std::get<WorkerReport>(notice.value()));
+    deregistration != nullptr
+      ? m_worker.OnLeft(Clock::now(), deregistration->m_incarnation)
+      : ApplyReport(std::get<WorkerReport>(request.value()));
   PublishChange(change);
   // The answer follows the change because the worker receives calls only
   // through this daemon.
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -140,7 +140,7 @@
     Execute(m_runs.Finish(now, aKey));
     return;
   }
-  const auto left =
+  const auto timeLeft =
     std::chrono::duration_cast<std::chrono::milliseconds>(run.m_deadline - now);
   run.m_startedAt = now;
   m_retriedRuns.Record(now, call.m_isRetry);
@@ -154,7 +154,7 @@
   request.m_headers =
     HeadersToWorker(m_deps.m_dialect,
                     call,
-                    std::max(left, std::chrono::milliseconds{ 1 }),
+                    std::max(timeLeft, std::chrono::milliseconds{ 1 }),
                     run.m_span,
                     m_incarnation.m_id);
   request.m_body = call.m_body;
@@ -176,8 +176,8 @@
     return Refusal{ RefusalReason::NotInService, {} };
   }
   const Quarantine& quarantine = m_deps.m_quarantine;
-  if (const auto left = quarantine.QuarantineTimeLeft(aNow, aFingerprint)) {
-    return Refusal{ RefusalReason::Quarantined, *left };
+  if (const auto timeLeft = quarantine.QuarantineTimeLeft(aNow, aFingerprint)) {
+    return Refusal{ RefusalReason::Quarantined, *timeLeft };
   }
   const bool runsBesideSuspect =
     quarantine.IsSuspect(aFingerprint) &&
--- a/src/daemon/run_service_worker.cpp
+++ b/src/daemon/run_service_worker.cpp
@@ -15,8 +15,8 @@
 /// Time for answers of the previous incarnation that are still in transit on
 /// this machine.
 constexpr auto kPreviousAnswerGrace = std::chrono::milliseconds{ 100 };
-/// Within an instance a connection is accepted or refused at once; a timeout
-/// leaves the state of the worker undecided.
+/// Within an instance a connection is accepted or refused at once; after a
+/// timeout, the state of the worker is unknown.
 constexpr auto kListenCheckTimeout = std::chrono::milliseconds{ 20 };
 
 asio::ip::tcp::endpoint
--- a/src/daemon/start_buffer.cpp
+++ b/src/daemon/start_buffer.cpp
@@ -12,7 +12,7 @@
 {
   const std::size_t bytes = m_bytes + aRequest.m_body.size();
   const bool isAccepted = aNow - m_startedAt < kMaxStartTime &&
-                          aNow - aReceivedAt < kMaxHoldTime &&
+                          aNow - aReceivedAt < kMaxBufferTime &&
                           m_entries.size() < kMaxRequests && bytes <= kMaxBytes;
   if (!isAccepted) {
     return false;
@@ -48,7 +48,7 @@
 {
   std::vector<Entry> expired;
   while (!m_entries.empty() &&
-         aNow - m_entries.front().m_receivedAt >= kMaxHoldTime) {
+         aNow - m_entries.front().m_receivedAt >= kMaxBufferTime) {
     m_bytes -= m_entries.front().m_request.m_body.size();
     expired.push_back(std::move(m_entries.front()));
     m_entries.pop_front();
--- a/tests/config/content.cpp
+++ b/tests/config/content.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 Content
-WithLocker()
+ContentWithRoute()
 {
   Content content;
   REQUIRE(content
@@ -22,7 +22,7 @@
 
 TEST_CASE("a patch that adds a route and its service is accepted")
 {
-  const Content content = WithLocker();
+  const Content content = ContentWithRoute();
   CHECK(content.Services().size() == 1);
   CHECK(content.Routes().at("release")->m_value.m_service == "locker-app");
 }
@@ -39,7 +39,7 @@
 
 TEST_CASE("a service in use by a route cannot be removed alone")
 {
-  Content content = WithLocker();
+  Content content = ContentWithRoute();
   const auto reasons = content.Apply(R"({"services":{"locker-app":null}})");
   REQUIRE(reasons.size() == 1);
   CHECK(reasons[0].m_code == ReasonCode::ServiceInUse);
@@ -48,7 +48,7 @@
 
 TEST_CASE("a service can be removed together with its routes")
 {
-  Content content = WithLocker();
+  Content content = ContentWithRoute();
   CHECK(
     content
       .Apply(R"({"services":{"locker-app":null},"routes":{"release":null}})")
@@ -66,7 +66,7 @@
 
 TEST_CASE("two routes with the same host and path are rejected")
 {
-  Content content = WithLocker();
+  Content content = ContentWithRoute();
   const auto reasons = content.Apply(
     R"({"routes":{"again":{"path":"/release","service":"locker-app"}}})");
   REQUIRE(reasons.size() == 1);
@@ -76,7 +76,7 @@
 
 TEST_CASE("incremental patches and the whole content give the same digest")
 {
-  Content incremental = WithLocker();
+  Content incremental = ContentWithRoute();
   REQUIRE(incremental.Apply(R"({"services":{"ledger":{"slots":3}}})").empty());
   REQUIRE(incremental.Apply(R"({"limits":{"retry_percent":5}})").empty());
   REQUIRE(incremental.Apply(R"({"services":{"ledger":{"queue":9}}})").empty());
--- a/tests/config/decision_interleavings.cpp
+++ b/tests/config/decision_interleavings.cpp
@@ -22,7 +22,7 @@
   None,
   /// The write takes effect; the reply is lost.
   ReplyLost,
-  /// The request is lost; the sender cannot tell.
+  /// The request is lost; the sender receives no reply.
   RequestLost,
   /// The write takes effect later, or never.
   Delayed,
@@ -126,16 +126,16 @@
   return answer.m_decision;
 }
 
-/// \param aFault set when two decisions share a number.
+/// \param aViolation set when two decisions share a number.
 std::vector<Decision>
-AllDecisions(const FakeStore& aStore, std::string& aFault)
+AllDecisions(const FakeStore& aStore, std::string& aViolation)
 {
   std::map<std::uint64_t, Decision> bySequence;
   const auto add = [&](const std::vector<Decision>& aDecisions) {
     for (const Decision& each : aDecisions) {
       const auto [known, isNew] = bySequence.emplace(each.m_sequence, each);
       if (!isNew && known->second != each) {
-        aFault = "two decisions under one sequence number";
+        aViolation = "two decisions under one sequence number";
       }
     }
   };
@@ -157,14 +157,14 @@
   return all;
 }
 
-/// \returns The fault of the recorded history; empty if it is consistent.
+/// \returns The violation in the recorded history; empty if it is consistent.
 std::string
 CheckHistory(const FakeStore& aStore)
 {
-  std::string fault;
+  std::string violation;
   ConfigHolder holder;
   std::set<std::string> ids;
-  for (const Decision& each : AllDecisions(aStore, fault)) {
+  for (const Decision& each : AllDecisions(aStore, violation)) {
     if (!ids.insert(each.m_id).second) {
       return "an id was decided twice";
     }
@@ -182,15 +182,16 @@
       return "the head's digest is not that of its content";
     }
   }
-  return fault;
+  return violation;
 }
 
 /// \returns The violation at the end of an interleaving; empty for none.
 std::string
 Check(const World& aWorld)
 {
-  if (std::string fault = CheckHistory(aWorld.m_store); !fault.empty()) {
-    return fault;
+  if (std::string violation = CheckHistory(aWorld.m_store);
+      !violation.empty()) {
+    return violation;
   }
   for (const Actor& each : aWorld.m_actors) {
     if (!each.m_answer ||
@@ -297,7 +298,8 @@
   return fmt::format(R"({{"services":{{"{}":{{}}}}}})", aName);
 }
 
-/// Records `aVersions` accepted versions and brings the proxy to the head.
+/// Records `aVersions` accepted versions in the store and applies them to
+/// the holder.
 void
 RecordVersions(World& aWorld, ConfigHolder& aHolder, std::uint64_t aVersions)
 {
--- a/tests/config/malformed_values.cpp
+++ b/tests/config/malformed_values.cpp
@@ -7,7 +7,7 @@
 #include <functional>
 #include <nlohmann/json.hpp>
 
-// Other writers can leave arbitrary values under the daemon's keys. Guards
+// Other writers can store arbitrary values under the daemon's keys. Guards
 // against crashes on, and partial reads of, malformed values.
 
 using namespace greengagehub;
@@ -37,7 +37,7 @@
   return aLeft.type() == aRight.type() && !aRight.is_string();
 }
 
-/// Omits each field in turn, and replaces it by values of other types.
+/// Checks that a value is rejected if one field is missing or has another type.
 void
 CheckEachField(const Json& aWhole,
                const std::vector<std::string>& aFreeTextFields,
--- a/tests/config/readiness_gate.cpp
+++ b/tests/config/readiness_gate.cpp
@@ -10,7 +10,7 @@
   // report is out of date. Guards against taking the slot back to version 1.
   ReadinessGate gate;
   gate.RecordPeer("paused", Version{ 1 }, Version{ 1 });
-  gate.Joined();
+  gate.RecordJoined();
   CHECK_FALSE(gate.IsOpen(Version{ 1 }, 3));
   gate.RecordPeer("current", Version{ 3 }, Version{ 3 });
   gate.RecordPeer("other", Version{ 3 }, Version{ 0 });
@@ -21,7 +21,7 @@
 TEST_CASE("the gate requires the slot's last version even if peers are behind")
 {
   ReadinessGate gate;
-  gate.Joined();
+  gate.RecordJoined();
   gate.RecordPeer("a", Version{ 2 }, Version{ 5 });
   CHECK_FALSE(gate.IsOpen(Version{ 2 }, 1));
   CHECK(gate.IsOpen(Version{ 5 }, 1));
