--- a/bench/rollout_lab.hpp
+++ b/bench/rollout_lab.hpp
@@ -153,7 +153,7 @@
     }
   };
 
-  [[nodiscard]] Duration SinceOrder() const { return m_now - kOrdered; }
+  [[nodiscard]] Duration SinceOrder() const { return m_now - kOrderedAt; }
   [[nodiscard]] bool Chance(double aShare)
   {
     return std::uniform_real_distribution<>{}(m_random) < aShare;
@@ -180,7 +180,7 @@
       worker.m_isNew = aVersion == "new";
       worker.m_speed = kSpeeds.at(Below(m_random, kSpeeds.size()));
       worker.m_isDisturbed = Chance(disturbedShare);
-      worker.m_startsAt = kOrdered + aStartDelay;
+      worker.m_startsAt = kOrderedAt + aStartDelay;
       m_workers.push_back(std::move(worker));
     }
   }
@@ -358,7 +358,7 @@
 
   [[nodiscard]] std::uint32_t StartedNew() const
   {
-    return m_now >= kOrdered + kNewWorkersDelay ? m_scenario.m_newWorkers : 0;
+    return m_now >= kOrderedAt + kNewWorkersDelay ? m_scenario.m_newWorkers : 0;
   }
 
   void ReportCounts()
@@ -395,11 +395,11 @@
     }
   }
 
-  static constexpr TimePoint kOrdered{ std::chrono::hours{ 1 } };
+  static constexpr TimePoint kOrderedAt{ std::chrono::hours{ 1 } };
 
   RolloutScenario m_scenario;
   Random m_random;
-  TimePoint m_now{ kOrdered };
+  TimePoint m_now{ kOrderedAt };
   RolloutTable m_table;
   std::optional<RolloutLeader> m_leader;
   std::vector<Worker> m_workers;
--- a/bench/routing_lab.cpp
+++ b/bench/routing_lab.cpp
@@ -44,7 +44,7 @@
     "| {:6} | {:7.1f} | {:5.1f}% | {:4.1f}% | {:5.2f}% |",
     aPolicy,
     static_cast<double>(useful) /
-      std::chrono::duration<double>(kLength).count(),
+      std::chrono::duration<double>(kSimulatedTime).count(),
     100.0 * static_cast<double>(refused) / static_cast<double>(result.m_calls),
     100.0 * static_cast<double>(failed) / static_cast<double>(result.m_calls),
     100.0 * static_cast<double>(result.m_avoidableRejections) /
--- a/bench/routing_lab.hpp
+++ b/bench/routing_lab.hpp
@@ -30,7 +30,7 @@
   std::uint32_t m_queue{ 40 };
   /// Shares of capacity between which the load alternates.
   std::vector<double> m_loads;
-  /// Length of each load.
+  /// Time for which each load lasts.
   Duration m_phase{ 10s };
 };
 
@@ -45,7 +45,7 @@
 
 constexpr std::size_t kCallers = 8;
 constexpr auto kDeadline = 500ms;
-constexpr auto kLength = 40s;
+constexpr auto kSimulatedTime = 40s;
 /// One-way delay between caller and worker.
 constexpr auto kNetworkDelay = std::chrono::microseconds{ 500 };
 
@@ -148,7 +148,7 @@
 
   void GenerateCall()
   {
-    if (m_now - m_start > kLength) {
+    if (m_now - m_start > kSimulatedTime) {
       return;
     }
     const std::chrono::duration<double> gap{ 1.0 / (LoadNow() * m_capacity) };
@@ -288,7 +288,7 @@
       Execute(c, m_callers[c]->OnTick(m_now));
     }
     UpdateRecovery();
-    if (m_now - m_start < kLength + 2s) {
+    if (m_now - m_start < kSimulatedTime + 2s) {
       Schedule(m_now + 10ms, [this] { Tick(); });
     }
   }
--- a/include/greengagehub/http/backend_client.hpp
+++ b/include/greengagehub/http/backend_client.hpp
@@ -24,11 +24,12 @@
   /// empty.
   std::string m_echoHeader{};
   std::string m_echoValue{};
-  /// The request fails and its connection is closed at this time.
+  /// A request without a response by this time fails, and its connection is
+  /// closed.
   TimePoint m_deadline{};
   /// Connections that were idle for longer are not reused, as the backend
   /// server may have closed them.
-  std::chrono::milliseconds m_maxIdle{ std::chrono::seconds{ 5 } };
+  std::chrono::milliseconds m_maxIdleTime{ std::chrono::seconds{ 5 } };
 };
 
 struct BackendResult
@@ -49,6 +50,7 @@
   /// A reused connection was lost before any byte of a response; most likely
   /// the backend server had closed it while it was idle.
   bool m_wasStale{ false };
+  /// The connection attempt was refused.
   bool m_refused{ false };
   /// The backend server closed or reset the connection after the send began.
   bool m_closed{ false };
@@ -60,7 +62,7 @@
   std::chrono::milliseconds m_connectTimeout{ 300 };
   std::size_t m_maxAnswerBytes{ 64UL * 1024 * 1024 };
   /// Maximum number of idle connections.
-  std::size_t m_maxIdle{ 100 };
+  std::size_t m_maxIdleConnections{ 100 };
 };
 
 /// \brief HTTP/1.1 client for one backend server, with persistent connections.
--- a/include/greengagehub/http/http_server.hpp
+++ b/include/greengagehub/http/http_server.hpp
@@ -86,8 +86,9 @@
   /// \brief Stops accepting connections; each open one closes after its next
   /// answer.
   void StopAccepting();
-  /// \brief Stops accepting connections, and closes the open ones: idle ones
-  /// shortly, others after the answer to their current request.
+  /// \brief Stops accepting connections and closes the open ones: idle ones at
+  /// the next timeout check, busy ones after the answer to their current
+  /// request.
   void Finish();
   /// \returns Number of connections that receive, handle or answer a request.
   [[nodiscard]] std::size_t Busy() const noexcept;
--- a/include/greengagehub/observe/request_trace.hpp
+++ b/include/greengagehub/observe/request_trace.hpp
@@ -26,7 +26,8 @@
 
 /// \brief Collects the lines about one request from the logs of processes.
 ///
-/// Lines after a backward step of a process's clock keep its latest time.
+/// If the clock of a process steps back, its later lines are sorted by the
+/// latest time before the step.
 /// \param aLogs the log text of each process.
 [[nodiscard]] RequestTrace
 TraceRequest(std::string_view aId, const std::vector<std::string>& aLogs);
--- a/include/greengagehub/transport/bulk_message.hpp
+++ b/include/greengagehub/transport/bulk_message.hpp
@@ -27,7 +27,8 @@
   /// m_entries starts right after the requested version.
   std::string m_snapshot{};
   VersionEntry m_snapshotHead{};
-  /// Records that differ from the request's digests, if members are wanted.
+  /// Records that differ from the request's digests; empty unless the request
+  /// has m_includeMembers.
   std::vector<MemberRecord> m_members{};
   /// Highest version that the requester's slot is known to have run.
   Version m_minimumVersion{};
--- a/include/greengagehub/transport/link_frame.hpp
+++ b/include/greengagehub/transport/link_frame.hpp
@@ -17,7 +17,7 @@
   std::uint64_t m_process{ 0 };
   /// Increases with each connection that a process opens to the same slot.
   std::uint64_t m_epoch{ 0 };
-  /// Failure domain; heads are compressed if the two ends differ in it.
+  /// Failure domain; heads are compressed between daemons of different domains.
   std::string m_domain{};
 };
 
@@ -25,6 +25,7 @@
 /// and is answered on the newest connection, unless it is abandoned.
 struct LinkCancel
 {
+  /// Number of the attempt, as in CallRequest::m_call.
   std::uint64_t m_call{ 0 };
   /// The answer is no longer needed; no LinkCancelResult is sent.
   bool m_abandon{ false };
@@ -33,6 +34,7 @@
 /// \brief Answer to a LinkCancel without m_abandon.
 struct LinkCancelResult
 {
+  /// Number of the attempt, as in CallRequest::m_call.
   std::uint64_t m_call{ 0 };
   bool m_started{ false };
   /// The attempt has finished and its answer is no longer stored.
--- a/include/greengagehub/transport/link_pool.hpp
+++ b/include/greengagehub/transport/link_pool.hpp
@@ -19,7 +19,8 @@
   std::chrono::milliseconds m_heartbeatInterval{ 500 };
   /// A link on which nothing was received for this long is reset.
   std::chrono::milliseconds m_silenceTimeout{ 1500 };
-  /// How long to reconnect after a loss, to resolve calls in doubt.
+  /// Time limit of the reconnect attempts after a loss; the peer then reports
+  /// whether pending calls have started.
   std::chrono::milliseconds m_reconnectTimeout{ std::chrono::seconds{ 10 } };
   std::chrono::milliseconds m_reconnectInterval{ 50 };
   /// Links are closed this long after the last Send().
@@ -37,10 +38,10 @@
     /// A connection is open and the process of the slot has sent its hello.
     std::function<void(const std::string& aSlot, std::uint64_t aProcess)>
       m_onConnected;
-    /// An open connection was lost; pending calls on it are in doubt.
+    /// An open connection was lost; whether its pending calls ran is unknown.
     std::function<void(const std::string& aSlot)> m_onConnectionLost;
-    /// The process is gone: the connection was refused, or another instance
-    /// has the address.
+    /// The process no longer runs: the connection was refused, or another
+    /// instance has the address.
     std::function<void(const std::string& aSlot)> m_onProcessGone;
     /// A request is about to be sent to a process.
     std::function<void(std::uint64_t aAttempt, std::uint64_t aProcess)>
--- a/include/greengagehub/transport/link_server.hpp
+++ b/include/greengagehub/transport/link_server.hpp
@@ -47,7 +47,7 @@
   /// \brief Sends to every connection whose hello was received.
   void Broadcast(const LinkFrame& aFrame);
   void StopAccepting();
-  /// Drops unread frames.
+  /// \brief Closes all connections; frames not yet read are dropped.
   void CloseAll();
 
 private:
--- a/src/cli/quarantine.hpp
+++ b/src/cli/quarantine.hpp
@@ -4,7 +4,8 @@
 
 namespace greengagehub::cli {
 
-/// \brief Prints the quarantined fingerprints and the workers they crashed.
+/// \brief Prints the quarantined request fingerprints and the worker crashes
+/// that caused each quarantine.
 [[nodiscard]] int
 ShowQuarantine(const Options& aOptions);
 
--- a/src/daemon/run_service.cpp
+++ b/src/daemon/run_service.cpp
@@ -31,7 +31,7 @@
   settings.m_address = { asio::ip::make_address(aSettings.m_worker.m_host),
                          aSettings.m_worker.m_port };
   settings.m_maxAnswerBytes = aSettings.m_calls.m_maxBodyBytes;
-  settings.m_maxIdle = aSettings.m_workerConnections;
+  settings.m_maxIdleConnections = aSettings.m_workerConnections;
   return settings;
 }
 
@@ -162,7 +162,7 @@
   request.m_echoValue =
     HeaderValue(call.m_headers, m_deps.m_dialect.m_requestId);
   request.m_deadline = run.m_deadline + kDeadlineGrace;
-  request.m_maxIdle = call.m_idempotent ? kMaxIdle : kMaxIdleNonIdempotent;
+  request.m_maxIdleTime = call.m_idempotent ? kMaxIdle : kMaxIdleNonIdempotent;
   run.m_ticket =
     m_client.Send(std::move(request), [this, aKey](BackendResult aResult) {
       OnBackendResult(aKey, std::move(aResult));
--- a/src/greengagehub.cpp
+++ b/src/greengagehub.cpp
@@ -22,7 +22,7 @@
 using greengagehub::HttpClientRequest;
 using greengagehub::HttpClientResult;
 using greengagehub::SendAndWait;
-using namespace greengagehub::cli; // NOLINT: a program in one file
+using namespace greengagehub::cli; // NOLINT: this program's namespace
 namespace po = boost::program_options;
 
 constexpr const char* kVersion = "0.1.0";
--- a/src/greengagehubd.cpp
+++ b/src/greengagehubd.cpp
@@ -75,8 +75,8 @@
       return kBadSettings;
     }
     return RunWith(given["settings"].as<std::string>());
-  } catch (const std::exception& fault) {
-    fmt::print(stderr, "{}\n", fault.what());
+  } catch (const std::exception& error) {
+    fmt::print(stderr, "{}\n", error.what());
     return kBadSettings;
   }
 }
--- a/src/http/backend_client.cpp
+++ b/src/http/backend_client.cpp
@@ -378,7 +378,7 @@
 BackendClient::Impl::KeepIdle(const Pointer& aConnection)
 {
   m_idleConnections.push_back(aConnection);
-  if (m_idleConnections.size() > m_settings.m_maxIdle) {
+  if (m_idleConnections.size() > m_settings.m_maxIdleConnections) {
     m_idleConnections.front()->Detach();
     m_idleConnections.erase(m_idleConnections.begin());
   }
@@ -396,7 +396,7 @@
   const Ticket ticket = ++m_lastTicket;
   Pointer connection;
   if (!m_idleConnections.empty() &&
-      m_idleConnections.back()->IdleFor(now) <= aRequest.m_maxIdle) {
+      m_idleConnections.back()->IdleFor(now) <= aRequest.m_maxIdleTime) {
     connection = m_idleConnections.back();
     m_idleConnections.pop_back();
   } else {
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -231,8 +231,8 @@
     }
     asio::posix::stream_descriptor m_descriptor;
     int m_events{ 0 };
-    bool m_reading{ false };
-    bool m_writing{ false };
+    bool m_isAwaitingRead{ false };
+    bool m_isAwaitingWrite{ false };
   };
   using Transfers = std::unordered_map<Ticket, std::unique_ptr<Transfer>>;
 
@@ -318,12 +318,12 @@
 
   void StartWaits(curl_socket_t aSocket, const std::shared_ptr<Watch>& aWatch)
   {
-    if ((aWatch->m_events & CURL_POLL_IN) != 0 && !aWatch->m_reading) {
-      aWatch->m_reading = true;
+    if ((aWatch->m_events & CURL_POLL_IN) != 0 && !aWatch->m_isAwaitingRead) {
+      aWatch->m_isAwaitingRead = true;
       StartWait(aSocket, aWatch, asio::posix::descriptor_base::wait_read);
     }
-    if ((aWatch->m_events & CURL_POLL_OUT) != 0 && !aWatch->m_writing) {
-      aWatch->m_writing = true;
+    if ((aWatch->m_events & CURL_POLL_OUT) != 0 && !aWatch->m_isAwaitingWrite) {
+      aWatch->m_isAwaitingWrite = true;
       StartWait(aSocket, aWatch, asio::posix::descriptor_base::wait_write);
     }
   }
@@ -341,7 +341,7 @@
         if (!watch || aError) {
           return;
         }
-        (reading ? watch->m_reading : watch->m_writing) = false;
+        (reading ? watch->m_isAwaitingRead : watch->m_isAwaitingWrite) = false;
         const int wanted = reading ? CURL_POLL_IN : CURL_POLL_OUT;
         if ((watch->m_events & wanted) != 0) {
           HandleEvent(aSocket, reading ? CURL_CSELECT_IN : CURL_CSELECT_OUT);
--- a/src/http/message_parser.hpp
+++ b/src/http/message_parser.hpp
@@ -70,8 +70,8 @@
 private:
   struct Callbacks;
 
-  /// Such a request is rejected, since routing and the backend server might use
-  /// different hosts.
+  /// A request with several Host headers is rejected, since routing and the
+  /// backend server might use different ones.
   [[nodiscard]] bool HasDuplicateHost() const;
 
   http_parser m_parser{};
@@ -87,7 +87,8 @@
   bool m_isComplete{ false };
   bool m_keepsAlive{ false };
   bool m_isBodyTooLarge{ false };
-  /// The last callback was for a header value; a name starts a new header.
+  /// The last callback was for a header value, so the next name starts a new
+  /// header.
   bool m_isInValue{ false };
 };
 
--- a/src/observe/request_trace.cpp
+++ b/src/observe/request_trace.cpp
@@ -27,7 +27,7 @@
     if (!json.is_object() || json.value("request", std::string{}) != aId) {
       continue;
     }
-    // Keeps the written order when the wall clock stepped back.
+    // Keeps lines in the order of writing if the wall clock steps back.
     latestTime = std::max(latestTime, json.value("time", std::string{}));
     lines.push_back({ latestTime,
                       json.value("slot", std::string{}),
--- a/src/transport/bulk_channel.cpp
+++ b/src/transport/bulk_channel.cpp
@@ -147,7 +147,8 @@
     ++m_counts.m_sent;
     m_counts.m_bytesSent += bytes.size();
     pull->m_socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait);
-    // The send may have consumed the edge of the descriptor.
+    // The send may have consumed the readiness event of a message that has
+    // arrived.
     asio::post(m_loop, [this, pull, alive = m_alive] {
       if (*alive && !pull->m_isDone) {
         DrainPull(pull);
@@ -192,7 +193,7 @@
       ++m_counts.m_malformed;
       return;
     }
-    // Member records are highly repetitive.
+    // Compressed, since member records are highly repetitive.
     const std::string bytes =
       Compress(EncodePullAnswer(m_onRequest(request.value())));
     ++m_counts.m_sent;
--- a/src/transport/gossip_codec.cpp
+++ b/src/transport/gossip_codec.cpp
@@ -178,11 +178,11 @@
   return verdict;
 }
 
-template<class Typed, class Repeated>
-Outcome<std::vector<Typed>>
+template<class Decoded, class Repeated>
+Outcome<std::vector<Decoded>>
 AllFromWire(const Repeated& aWire)
 {
-  std::vector<Typed> all;
+  std::vector<Decoded> all;
   all.reserve(static_cast<std::size_t>(aWire.size()));
   for (const auto& each : aWire) {
     auto one = FromWire(each);
--- a/src/transport/link_pool.cpp
+++ b/src/transport/link_pool.cpp
@@ -12,7 +12,7 @@
   std::string m_slot;
   MemberAddress m_address;
   LinkConnection::Pointer m_connection;
-  std::unique_ptr<tcp::socket> m_connecting;
+  std::unique_ptr<tcp::socket> m_connectingSocket;
   std::uint64_t m_epoch{ 0 };
   std::uint64_t m_process{ 0 };
   /// Connected, and the hello of the peer was received.
@@ -76,7 +76,7 @@
     return;
   }
   link->m_pendingFrames.push_back(std::move(aFrame));
-  if (!link->m_connecting && !link->m_connection) {
+  if (!link->m_connectingSocket && !link->m_connection) {
     Connect(link);
   }
 }
@@ -123,22 +123,22 @@
   }
   aLink->m_epoch = ++m_lastEpoch;
   aLink->m_connectStartedAt = Clock::now();
-  aLink->m_connecting = std::make_unique<tcp::socket>(m_loop);
-  aLink->m_connecting->async_connect(
+  aLink->m_connectingSocket = std::make_unique<tcp::socket>(m_loop);
+  aLink->m_connectingSocket->async_connect(
     tcp::endpoint{ host, aLink->m_address.m_linkPort },
     [this, weak = std::weak_ptr<Link>{ aLink }, epoch = aLink->m_epoch](
       const asio::error_code& aError) {
       const LinkPtr link = weak.lock();
-      if (!link || link->m_epoch != epoch || !link->m_connecting) {
+      if (!link || link->m_epoch != epoch || !link->m_connectingSocket) {
         return;
       }
       if (aError) {
-        link->m_connecting.reset();
+        link->m_connectingSocket.reset();
         OnConnectFailed(link, aError == asio::error::connection_refused);
         return;
       }
-      tcp::socket socket = std::move(*link->m_connecting);
-      link->m_connecting.reset();
+      tcp::socket socket = std::move(*link->m_connectingSocket);
+      link->m_connectingSocket.reset();
       OnConnected(link, epoch, std::move(socket));
     });
 }
@@ -181,7 +181,7 @@
 LinkPool::OnHello(const LinkPtr& aLink, const LinkHello& aHello)
 {
   if (aHello.m_slot != aLink->m_slot) {
-    // Another instance has the address, so the intended one is gone.
+    // Another instance has the address, so the intended one no longer runs.
     LinkConnection::Pointer otherInstance = std::move(aLink->m_connection);
     aLink->m_connection = nullptr;
     otherInstance->Close();
@@ -243,9 +243,9 @@
 {
   const auto links = m_links;
   for (const auto& [slot, link] : links) {
-    if (link->m_connecting &&
+    if (link->m_connectingSocket &&
         aNow - link->m_connectStartedAt > m_settings.m_connectTimeout) {
-      link->m_connecting.reset();
+      link->m_connectingSocket.reset();
       OnConnectFailed(link, false);
     }
     if (link->m_connection && !link->m_isReady &&
@@ -266,7 +266,7 @@
         link->m_connection->Send(LinkPing{ ++m_lastPingNumber });
       }
     }
-    const bool idle = !link->m_connecting && !link->m_connection;
+    const bool idle = !link->m_connectingSocket && !link->m_connection;
     if (idle && link->m_reconnectUntil && aNow >= link->m_nextReconnectAt) {
       if (aNow < *link->m_reconnectUntil) {
         Connect(link);
@@ -274,7 +274,7 @@
         link->m_reconnectUntil.reset();
       }
     }
-    if (idle && !link->m_connecting && !link->m_reconnectUntil &&
+    if (idle && !link->m_connectingSocket && !link->m_reconnectUntil &&
         aNow - link->m_lastUsedAt > m_settings.m_idleTimeout) {
       m_links.erase(slot);
     }
--- a/tests/end_to_end/calls_under_failure.cpp
+++ b/tests/end_to_end/calls_under_failure.cpp
@@ -43,7 +43,8 @@
 
 TEST_CASE("answers that overtake each other reach their own callers")
 {
-  // A body with another request's id shows a mix-up.
+  // Each body contains its request's id; another id means that answers were
+  // swapped.
   Fleet fleet;
   StartLockers(fleet);
   fleet.SetBackendFaults("locker-app-1", { { "service_ms", 40 } });
@@ -72,8 +73,9 @@
 
 TEST_CASE("a worker's daemon is paused and resumed under load")
 {
-  // A daemon is paused for longer than its links' silence limit. Requests that
-  // wait unread have been answered meanwhile and must not start afterwards.
+  // A daemon is paused for longer than its links' silence limit. By then the
+  // callers have received answers for requests that it has not read; these must
+  // not start afterwards.
   Fleet fleet;
   StartLockers(fleet, { .m_slots = 4, .m_serviceMs = 10 });
   Process& paused = fleet.Daemon("locker-app-1");
--- a/tests/end_to_end/config_under_failure.cpp
+++ b/tests/end_to_end/config_under_failure.cpp
@@ -78,8 +78,9 @@
 
 TEST_CASE("a lost answer of a successful write gives no false result")
 {
-  // The store accepts a write, but its answer is lost: the operator must not
-  // get a guess, and a retry must return the same decision.
+  // The store accepts a write, but its answer is lost. The operator must be
+  // told the decision or that it is unknown, and a retry must return the same
+  // decision.
   Fleet fleet;
   StartDaemons(fleet, 2);
   fleet.SetStoreFaults({ { "lose_answers", 1 } });
@@ -221,7 +222,8 @@
     const auto stats = fleet.StoreStats();
     MESSAGE(count, " daemons: ", stats.dump());
     CHECK(stats["most_watching"] <= 5);
-    // Three decisions, four watch leases with renewals, a few lost races.
+    // Covers three decisions, four watch leases with renewals, and a few writes
+    // that lost a race.
     CHECK(stats["writes"] <= 20);
   }
 }
--- a/tests/end_to_end/crashing_requests.cpp
+++ b/tests/end_to_end/crashing_requests.cpp
@@ -85,8 +85,8 @@
 
 TEST_CASE("a quarantine outlasts a restart of all daemons")
 {
-  // All daemons restart while the workers keep running: a crash count that
-  // started at zero again would cost as many workers at each restart.
+  // All daemons restart while the workers keep running. If the crash counts
+  // were lost, as many workers would crash again after each restart.
   Fleet fleet;
   StartLockers(fleet, kWorkers);
   CrashOnRequest(fleet);
--- a/tests/end_to_end/paused_daemon.cpp
+++ b/tests/end_to_end/paused_daemon.cpp
@@ -29,8 +29,8 @@
 
 TEST_CASE("a request whose caller disconnected during a pause does not run")
 {
-  // The socket delivers the request before the close of its connection: the
-  // daemon must not forward the request without reading on.
+  // After the pause, the daemon reads the request before the close of its
+  // connection: it must detect the close before it forwards the request.
   Fleet fleet;
   StartLockers(fleet, 2);
   fleet.ControlWorker("lockers-1", { { "draining", true } });
--- a/tests/end_to_end/platform.cpp
+++ b/tests/end_to_end/platform.cpp
@@ -103,7 +103,8 @@
     return fleet.WorkerCounts("lockers-1").value("acknowledged", 0);
   };
   REQUIRE(WaitUntil([&] { return Runs(fleet, "lost") == 1; }));
-  // A report after the start of the run assigns it to this incarnation.
+  // Once the daemon has a report that follows the start of the run, it assigns
+  // the run to this incarnation.
   const auto beforeReport = acknowledged();
   REQUIRE(WaitUntil([&] { return acknowledged() > beforeReport; }));
   fleet.ControlWorker("lockers-1", { { "restart_same_id", startOffsetMs } });
--- a/tests/end_to_end/rollouts.cpp
+++ b/tests/end_to_end/rollouts.cpp
@@ -177,7 +177,7 @@
   REQUIRE(generator.CallUntil("completed"));
   const int old = RunsAtOld(fleet);
   generator.Call(200);
-  // The old workers may be stopped from now on.
+  // The old workers get no more calls, so they may be stopped.
   CHECK(RunsAtOld(fleet) == old);
   CHECK(generator.FailureCount() == 0);
 }
--- a/tests/end_to_end/workspaces.cpp
+++ b/tests/end_to_end/workspaces.cpp
@@ -140,8 +140,8 @@
   REQUIRE(WaitUntil([&] {
     return SendWithKey(fleet, "lockers-1", "/status/1", "a", "k2") == 200;
   }));
-  // At most (4 * 5 + 4) * 1.1 + 20 calls in any five seconds; the loop is
-  // shorter.
+  // Limit in any five seconds: (4 per second * 5 + burst of 4), plus 10% and 20
+  // calls of tolerance. The loop takes less time.
   int ran = 0;
   int rejected = 0;
   for (int i = 0; i < 300; ++i) {
--- a/tests/transport/link_deflate.cpp
+++ b/tests/transport/link_deflate.cpp
@@ -22,10 +22,10 @@
 CallRequest
 MakeLookup(Random& aRandom)
 {
-  static constexpr const char* kHex = "0123456789abcdef";
+  static constexpr const char* kHexDigits = "0123456789abcdef";
   std::string id;
   for (int i = 0; i < 16; ++i) {
-    id += kHex[Below(aRandom, 16)];
+    id += kHexDigits[Below(aRandom, 16)];
   }
   CallRequest request;
   request.m_call = Below(aRandom, 1'000'000);
--- a/tools/experiment.cpp
+++ b/tools/experiment.cpp
@@ -40,11 +40,11 @@
 
 Json
 ReportLatencies(const std::vector<std::chrono::nanoseconds>& aDirect,
-                const std::vector<std::chrono::nanoseconds>& aThrough,
+                const std::vector<std::chrono::nanoseconds>& aThroughDaemons,
                 const std::string& aName)
 {
   const Distribution direct{ aDirect };
-  const Distribution through{ aThrough };
+  const Distribution through{ aThroughDaemons };
   const auto added = [&](double aShare) {
     return ToMicroseconds(through.Quantile(aShare) - direct.Quantile(aShare));
   };
--- a/tools/results.cpp
+++ b/tools/results.cpp
@@ -12,6 +12,11 @@
 /// \brief Writes a page of results and a plot from the journal of measured
 /// runs: for each deployment, the worth of each standard day at the first and
 /// the last score, and the largest loss at the last one.
+///
+/// Terms of the journal: a day is one simulated scenario of load and faults.
+/// Answered calls earn credit. The worth of a day is the weighted sum of its
+/// parts, which are shares of the possible credit, minus its prices, which are
+/// deductions for resources used and for errors.
 
 namespace {
 
@@ -32,8 +37,8 @@
   std::string m_reason;
   std::vector<Day> m_days;
 
-  /// \returns Mean worth of the days with faults; their names do not start with
-  /// "quiet".
+  /// \returns Mean worth of the days with faults, which are all days whose name
+  /// does not start with "quiet".
   [[nodiscard]] double MeanWorth() const
   {
     double sum = 0.0;
@@ -50,8 +55,8 @@
 
 using Sites = std::map<std::string, std::vector<Score>>;
 
-/// \returns Name and size of the largest loss of a day, either from a part of
-/// the credit or from a price.
+/// \returns Name and size of the largest loss of worth in a day: a price, or
+/// the missing share of a part times the weight of the part.
 std::string
 LargestLoss(const Json& aDay)
 {
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -343,8 +343,8 @@
     }
     m_proxy.SetFault(ProxyFault::None);
     m_fleet.SetStoreFaults({ { "outage", "none" } });
-    // An earlier write may have failed or its answer been lost; this one is
-    // known to hold the newest version.
+    // Earlier writes may have failed without an answer; after this one the
+    // store has the newest version.
     PutConfig();
     if (m_failingVersion) {
       m_failingVersion->Order();
--- a/tools/testkit/process.hpp
+++ b/tools/testkit/process.hpp
@@ -10,7 +10,7 @@
 
 namespace greengagehub::testkit {
 
-/// \brief Polls a condition until it holds or the time limit has passed.
+/// \brief Polls a condition until it is true or the time limit has passed.
 [[nodiscard]] bool
 WaitUntil(const std::function<bool()>& aCondition,
           std::chrono::milliseconds aLimit = std::chrono::seconds{ 20 });
