--- a/include/greengagehub/calls/worker_presence.hpp
+++ b/include/greengagehub/calls/worker_presence.hpp
@@ -76,8 +76,8 @@
   [[nodiscard]] Change OnProbed(TimePoint aNow, WorkerReport aReport);
   /// \brief Handles the deregistration of a backend server, which may still be
   /// finishing requests.
-  [[nodiscard]] Change OnLeft(TimePoint aNow,
-                              const WorkerIncarnation& aIncarnation);
+  [[nodiscard]] Change OnDeregistered(TimePoint aNow,
+                                      const WorkerIncarnation& aIncarnation);
 
 private:
   /// A replaced incarnation, or one that left before its first report.
--- a/include/greengagehub/daemon/config_feed.hpp
+++ b/include/greengagehub/daemon/config_feed.hpp
@@ -38,7 +38,7 @@
     std::function<void(Version aHead)> m_onHead;
     /// A linearizable read sent at `aRequestedAt` returned this configuration;
     /// no newer one was acknowledged before that time.
-    std::function<void(TimePoint aRequestedAt, const StoreConfig&)>
+    std::function<void(TimePoint aRequestedAt, const StoredConfig&)>
       m_onConfirmed{};
     /// Other keys with the watched prefix have changed.
     std::function<void(const std::vector<StoreItem>&)> m_onPrefixChanged{};
@@ -108,7 +108,7 @@
     }
   }
 
-  [[nodiscard]] const StoreConfig& LastRead() const noexcept
+  [[nodiscard]] const StoredConfig& LastRead() const noexcept
   {
     return m_lastRead;
   }
@@ -419,7 +419,7 @@
   std::uint64_t m_era{ 0 };
   /// When the last read or check was sent.
   TimePoint m_requestedAt{};
-  StoreConfig m_lastRead{};
+  StoredConfig m_lastRead{};
   bool m_isLastReadValid{ true };
   platform::ConfigReader m_reader;
   bool m_isReachable{ true };
--- a/include/greengagehub/daemon/workspace_service.hpp
+++ b/include/greengagehub/daemon/workspace_service.hpp
@@ -48,7 +48,7 @@
     std::function<bool()> m_hasPeerContact;
     std::function<void(GossipSend)> m_send;
     /// Version and revision of the configuration read last from the store.
-    std::function<StoreConfig()> m_storeConfig;
+    std::function<StoredConfig()> m_storeConfig;
     std::function<void(StoreReply)> m_onNewerConfig;
   };
 
@@ -91,7 +91,7 @@
 
   void OnVersion();
   /// \param aReadSentAt when the read that returned `aConfig` was sent.
-  void OnConfirmed(TimePoint aReadSentAt, const StoreConfig& aConfig);
+  void OnConfirmed(TimePoint aReadSentAt, const StoredConfig& aConfig);
   void OnMessage(const GossipMessage& aMessage);
   void OnTick();
   void OnStoreRestored();
@@ -103,7 +103,7 @@
   struct StoreCheck
   {
     TimePoint m_sentAt{};
-    StoreConfig m_config{};
+    StoredConfig m_config{};
     bool m_confirmsRole{ false };
   };
 
@@ -123,7 +123,7 @@
   void OnStoreCheck(const StoreCheck& aCheck, StoreReply aReply);
   void ReadCoordinatorKey();
   void ClaimCoordinatorKey();
-  [[nodiscard]] StoreConfig KnownConfig() const;
+  [[nodiscard]] StoredConfig KnownConfig() const;
 
   Dependencies m_deps;
   Random m_random;
@@ -137,7 +137,7 @@
   /// Slot of the coordinator; empty: unknown.
   std::string m_coordinatorSlot;
   TimePoint m_lastCoordinatorReport{};
-  StoreConfig m_reportedConfig;
+  StoredConfig m_reportedConfig;
   bool m_isHighestRanked{ false };
   TimePoint m_nextRankCheck{};
   TimePoint m_nextStoreCheck{};
--- a/include/greengagehub/workspaces/coordinator_role.hpp
+++ b/include/greengagehub/workspaces/coordinator_role.hpp
@@ -60,7 +60,7 @@
   {
     m_newestTerm = std::max(m_newestTerm, aTerm);
   }
-  void OnFailed(TimePoint aNow);
+  void OnStoreCallFailed(TimePoint aNow);
   /// \brief Stops leading after kMaxFailures failed confirmations in a row.
   /// \returns Whether this daemon stopped; the ended term is
   /// ExpectedRevision().
--- a/include/greengagehub/workspaces/quota_message.hpp
+++ b/include/greengagehub/workspaces/quota_message.hpp
@@ -42,7 +42,7 @@
 };
 
 /// \brief Last known state of the operators' configuration in the store.
-struct StoreConfig
+struct StoredConfig
 {
   Version m_version{};
   /// Revision of its key; comparable only within the same m_era.
@@ -63,7 +63,7 @@
   /// Age of the sender's freshness proof at receipt of the query.
   std::optional<std::chrono::milliseconds> m_proofAge{};
   /// Configuration that the proof applies to.
-  StoreConfig m_config{};
+  StoredConfig m_config{};
   std::vector<QuotaGrant> m_grants{};
 };
 
--- a/src/calls/worker_presence.cpp
+++ b/src/calls/worker_presence.cpp
@@ -151,7 +151,8 @@
 }
 
 WorkerPresence::Change
-WorkerPresence::OnLeft(TimePoint aNow, const WorkerIncarnation& aIncarnation)
+WorkerPresence::OnDeregistered(TimePoint aNow,
+                               const WorkerIncarnation& aIncarnation)
 {
   if (!m_current || !MayBeSame(m_current->m_incarnation, aIncarnation)) {
     AddPast({ aIncarnation, 0, aNow });
--- a/src/daemon/control_plane.cpp
+++ b/src/daemon/control_plane.cpp
@@ -107,7 +107,7 @@
         .m_onHead =
           [this](Version aHead) { m_readinessGate.RecordStoreHead(aHead); },
         .m_onConfirmed =
-          [this](TimePoint aRequestedAt, const StoreConfig& aConfig) {
+          [this](TimePoint aRequestedAt, const StoredConfig& aConfig) {
             m_workspaces.OnConfirmed(aRequestedAt, aConfig);
           },
         .m_onPrefixChanged =
--- a/src/daemon/platform_endpoints.cpp
+++ b/src/daemon/platform_endpoints.cpp
@@ -97,7 +97,7 @@
     std::get_if<platform::WorkerDeregistration>(&request.value());
   const WorkerPresence::Change change =
     deregistration != nullptr
-      ? m_worker.OnLeft(Clock::now(), deregistration->m_incarnation)
+      ? m_worker.OnDeregistered(Clock::now(), deregistration->m_incarnation)
       : ApplyReport(std::get<WorkerReport>(request.value()));
   PublishChange(change);
   // The answer follows the change because the worker receives calls only
--- a/src/daemon/workspace_service.cpp
+++ b/src/daemon/workspace_service.cpp
@@ -68,10 +68,10 @@
   return m_coordinatorRole.IsLeading(BootNow());
 }
 
-StoreConfig
+StoredConfig
 WorkspaceService::KnownConfig() const
 {
-  const StoreConfig read = m_deps.m_storeConfig();
+  const StoredConfig read = m_deps.m_storeConfig();
   return m_reportedConfig.m_version > read.m_version ? m_reportedConfig : read;
 }
 
@@ -120,7 +120,8 @@
 }
 
 void
-WorkspaceService::OnConfirmed(TimePoint aReadSentAt, const StoreConfig& aConfig)
+WorkspaceService::OnConfirmed(TimePoint aReadSentAt,
+                              const StoredConfig& aConfig)
 {
   m_freshness.OnProof({ aReadSentAt, aConfig.m_version });
 }
@@ -195,7 +196,7 @@
   QuotaReport report{ .m_sequence = aQuery.m_sequence,
                       .m_proofAge = ProofAge() };
   report.m_config.m_version = m_deps.m_holder.GetVersion();
-  const StoreConfig known = KnownConfig();
+  const StoredConfig known = KnownConfig();
   if (known.m_version == report.m_config.m_version) {
     report.m_config = known;
   }
@@ -389,7 +390,7 @@
       m_deps.m_log.Info("workspaces", "coordinator_deposed");
       m_coordinatorRole.OnConfirmed(now, aCheck.m_sentAt, false);
     } else {
-      m_coordinatorRole.OnFailed(now);
+      m_coordinatorRole.OnStoreCallFailed(now);
     }
     if (m_coordinatorRole.StandDownIfFailing(now)) {
       m_deps.m_log.Warning("workspaces", "coordinator_stood_down");
@@ -398,7 +399,7 @@
   }
   if (configDiffers && !aReply.m_value.empty()) {
     m_deps.m_onNewerConfig(std::move(aReply));
-    const StoreConfig read = m_deps.m_storeConfig();
+    const StoredConfig read = m_deps.m_storeConfig();
     m_freshness.OnProof({ aCheck.m_sentAt, read.m_version });
   }
 }
--- a/src/workspaces/coordinator_role.cpp
+++ b/src/workspaces/coordinator_role.cpp
@@ -47,7 +47,7 @@
   m_isCallPending = false;
   const bool exists = aReply.m_status == StoreReply::Status::Ok;
   if (!exists && aReply.m_status != StoreReply::Status::NotFound) {
-    OnFailed(aNow);
+    OnStoreCallFailed(aNow);
     return;
   }
   m_revision = exists ? aReply.m_revision : 0;
@@ -130,7 +130,7 @@
 }
 
 void
-CoordinatorRole::OnFailed(TimePoint aNow)
+CoordinatorRole::OnStoreCallFailed(TimePoint aNow)
 {
   m_isCallPending = false;
   m_consecutiveFailures += m_holdsKey ? 1 : 0;
--- a/tests/calls/worker_presence.cpp
+++ b/tests/calls/worker_presence.cpp
@@ -38,10 +38,11 @@
 TEST_CASE("a deregistration without a preceding report counts as leaving")
 {
   WorkerPresence worker{ 1500ms };
-  CHECK(worker.OnLeft(kStart, { "a", std::nullopt }) == Change::None);
+  CHECK(worker.OnDeregistered(kStart, { "a", std::nullopt }) == Change::None);
   CHECK(worker.OnReport(kStart, Report("a", 1)) == Change::None);
   CHECK(worker.OnReport(kStart, Report("b", 1)) == Change::Arrived);
-  CHECK(worker.OnLeft(kStart, { "b", std::nullopt }) == Change::Leaving);
+  CHECK(worker.OnDeregistered(kStart, { "b", std::nullopt }) ==
+        Change::Leaving);
   CHECK_FALSE(worker.TakesCalls());
 }
 
--- a/tests/calls/worker_restart.cpp
+++ b/tests/calls/worker_restart.cpp
@@ -55,7 +55,8 @@
   }
   SUBCASE("the previous incarnation left without a start time")
   {
-    CHECK(worker.OnLeft(kStart + 1s, { "a", std::nullopt }) == Change::Leaving);
+    CHECK(worker.OnDeregistered(kStart + 1s, { "a", std::nullopt }) ==
+          Change::Leaving);
   }
   SUBCASE("another id reported in between")
   {
@@ -95,7 +96,8 @@
     CHECK(
       worker.OnReport(now + 120ms, Report(kWorkerStart, 60 + sequence, true)) ==
       Change::None);
-    CHECK(worker.OnLeft(now + 130ms, { "a", kWorkerStart }) == Change::None);
+    CHECK(worker.OnDeregistered(now + 130ms, { "a", kWorkerStart }) ==
+          Change::None);
     now += kPeriod;
     CHECK(worker.OnReport(now, Report(newStartTime, sequence)) == Change::None);
     CHECK(IsServing(worker, newStartTime));
@@ -166,7 +168,7 @@
 {
   // Guards against an id that stays blocked for the next incarnation.
   WorkerPresence worker{ kPeriod };
-  CHECK(worker.OnLeft(kStart, { "a", std::nullopt }) == Change::None);
+  CHECK(worker.OnDeregistered(kStart, { "a", std::nullopt }) == Change::None);
   CHECK(worker.OnReport(kStart + 1s, Report(kWorkerStart, 5)) == Change::None);
   CHECK(worker.OnReport(kStart + 3s, Report(kWorkerStart, 6)) == Change::None);
   CHECK(worker.OnReport(kStart + 31s, Report(kWorkerStart + 30s, 1)) ==
--- a/tests/workspaces/coordinator_role.cpp
+++ b/tests/workspaces/coordinator_role.cpp
@@ -126,7 +126,7 @@
   while (!first.StandDownIfFailing(now)) {
     REQUIRE(now < kStart + 5s);
     if (first.OnTick(now, true, false) == Step::Confirm) {
-      first.OnFailed(now);
+      first.OnStoreCallFailed(now);
     }
     now += 50ms;
   }
@@ -244,7 +244,7 @@
       } else if (step == Step::Claim) {
         role.OnClaimed(next.m_now, next.m_sentAt[i], reply);
       } else if (isLost) {
-        role.OnFailed(next.m_now);
+        role.OnStoreCallFailed(next.m_now);
       } else {
         role.OnConfirmed(
           next.m_now, next.m_sentAt[i], reply.m_status == Status::Ok);
