--- a/include/greengagehub/membership/membership.hpp
+++ b/include/greengagehub/membership/membership.hpp
@@ -19,7 +19,7 @@
   /// Timeout of a direct probe, after which indirect probes are requested.
   std::chrono::milliseconds m_ackTimeout{ 300 };
   /// Number of members asked for an indirect probe.
-  std::uint32_t m_indirect{ 3 };
+  std::uint32_t m_indirectProbeCount{ 3 };
   /// Suspicion timeout in periods, multiplied by log10 of the number of
   /// members.
   std::uint32_t m_suspicionFactor{ 4 };
--- a/include/greengagehub/rollout/rollout_plan.hpp
+++ b/include/greengagehub/rollout/rollout_plan.hpp
@@ -39,7 +39,7 @@
 {
   RolloutState m_state{ RolloutState::Running };
   RollbackCause m_cause{ RollbackCause::None };
-  /// m_left is filled in by the leader.
+  /// m_remainingTime is filled in by the leader.
   CanaryPermit m_permit{};
 };
 
--- a/include/greengagehub/rollout/rollout_record.hpp
+++ b/include/greengagehub/rollout/rollout_record.hpp
@@ -75,7 +75,7 @@
   /// wraps around.
   std::uint32_t m_first{ 0 };
   /// Remaining time.
-  Duration m_left{};
+  Duration m_remainingTime{};
 };
 
 struct VerdictEvidence
--- a/src/membership/membership_time.cpp
+++ b/src/membership/membership_time.cpp
@@ -150,7 +150,8 @@
     return;
   }
   aProbe.m_isIndirect = true;
-  for (const MemberPeer& each : SampleOwnDomainFirst(m_settings.m_indirect)) {
+  for (const MemberPeer& each :
+       SampleOwnDomainFirst(m_settings.m_indirectProbeCount)) {
     GossipMessage request = MakeMessage(Kind::PingRequest, ScopeOf(each));
     request.m_sequence = aProbe.m_sequence;
     request.m_target = aProbe.m_slot;
--- a/src/rollout/rollout_leader.cpp
+++ b/src/rollout/rollout_leader.cpp
@@ -120,7 +120,7 @@
   record.m_evidence = EvidenceOf(m_judgement);
   record.m_permit = step.m_permit;
   if (step.m_state == RolloutState::Running) {
-    record.m_permit.m_left = RolloutTable::kPermitTime;
+    record.m_permit.m_remainingTime = RolloutTable::kPermitTime;
   }
   record.m_isFromStore = false;
   ++record.m_step;
--- a/src/rollout/rollout_table.cpp
+++ b/src/rollout/rollout_table.cpp
@@ -99,7 +99,7 @@
   if (becomesFinal && !old.m_isFromStore) {
     aEntry.m_finalSince = aNow;
   }
-  aEntry.m_permitUntil = aNow + aRecord.m_permit.m_left;
+  aEntry.m_permitUntil = aNow + aRecord.m_permit.m_remainingTime;
   aEntry.m_record = std::move(aRecord);
   UpdateSummary();
 }
@@ -283,7 +283,7 @@
   }
   RolloutRecord record = entry->m_record;
   record.m_age = aNow - entry->m_orderedAt;
-  record.m_permit.m_left =
+  record.m_permit.m_remainingTime =
     std::max(Duration::zero(), entry->m_permitUntil - aNow);
   return record;
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -237,7 +237,7 @@
     }
     reader.Millis("period_ms", membership.m_period, 10, 60'000);
     reader.Millis("ack_timeout_ms", membership.m_ackTimeout, 5, 60'000);
-    reader.Count("indirect", membership.m_indirect, 0, 16);
+    reader.Count("indirect", membership.m_indirectProbeCount, 0, 16);
     reader.Count("suspicion_factor", membership.m_suspicionFactor, 1, 1000);
     reader.Count("lost_every", membership.m_lostProbePeriods, 1, 1000);
     reader.ReportUnknownKeys();
--- a/src/transport/rollout_wire.cpp
+++ b/src/transport/rollout_wire.cpp
@@ -70,7 +70,7 @@
   aOut.set_harmed(aRecord.m_evidence.m_badRuns);
   aOut.set_harmed_expected(aRecord.m_evidence.m_expected);
   aOut.set_first_worker(aRecord.m_permit.m_first);
-  aOut.set_leave_left_ms(ToMs(aRecord.m_permit.m_left));
+  aOut.set_leave_left_ms(ToMs(aRecord.m_permit.m_remainingTime));
   aOut.set_age_ms(ToMs(aRecord.m_age));
 }
 
--- a/tests/transport/codec.cpp
+++ b/tests/transport/codec.cpp
@@ -143,7 +143,7 @@
   CHECK(decodedRecord.m_permit.m_permille == 40);
   CHECK(decodedRecord.m_permit.m_workers == 3);
   CHECK(decodedRecord.m_permit.m_first == 6);
-  CHECK(decodedRecord.m_permit.m_left == 1200ms);
+  CHECK(decodedRecord.m_permit.m_remainingTime == 1200ms);
   CHECK(decodedRecord.m_age == 4s);
   REQUIRE(got.value().m_counts);
   const WorkerCounts& counts = *got.value().m_counts;
