--- a/include/greengagehub/transport/link_pool.hpp
+++ b/include/greengagehub/transport/link_pool.hpp
@@ -42,7 +42,7 @@
     std::function<void(const std::string& aSlot)> m_onConnectionLost;
     /// The process no longer runs: the connection was refused, or another
     /// instance has the address.
-    std::function<void(const std::string& aSlot)> m_onProcessGone;
+    std::function<void(const std::string& aSlot)> m_onProcessLost;
     /// A request is about to be sent to a process.
     std::function<void(std::uint64_t aAttempt, std::uint64_t aProcess)>
       m_onSent;
--- a/src/daemon/call_gateway.cpp
+++ b/src/daemon/call_gateway.cpp
@@ -122,7 +122,7 @@
   handlers.m_onConnectionLost = [this](const std::string& aSlot) {
     Execute(m_dispatcher.OnLinkLost(Clock::now(), aSlot));
   };
-  handlers.m_onProcessGone = [this](const std::string& aSlot) {
+  handlers.m_onProcessLost = [this](const std::string& aSlot) {
     // Process number 0 is never used, so all attempts that were sent to the
     // exited process fail.
     Execute(m_dispatcher.OnLinkUp(Clock::now(), aSlot, 0));
--- a/src/transport/link_pool.cpp
+++ b/src/transport/link_pool.cpp
@@ -172,7 +172,7 @@
 {
   FailPendingFrames(aLink);
   if (aRefused) {
-    m_handlers.m_onProcessGone(aLink->m_slot);
+    m_handlers.m_onProcessLost(aLink->m_slot);
   }
   aLink->m_nextReconnectAt = Clock::now() + m_settings.m_reconnectInterval;
 }
--- a/tests/transport/link_pool.cpp
+++ b/tests/transport/link_pool.cpp
@@ -20,7 +20,7 @@
   handlers.m_onFrame = [](const std::string&, const LinkFrame&) {};
   handlers.m_onConnected = [](const std::string&, std::uint64_t) {};
   handlers.m_onConnectionLost = [](const std::string&) {};
-  handlers.m_onProcessGone = [](const std::string&) {};
+  handlers.m_onProcessLost = [](const std::string&) {};
   handlers.m_onSent = [](std::uint64_t, std::uint64_t) {};
   handlers.m_onSendFailed = [](std::uint64_t) {};
   return handlers;
@@ -47,7 +47,7 @@
   std::vector<std::uint64_t> notSent;
   std::vector<std::string> lostSlots;
   LinkPool::Handlers handlers = NoOpHandlers();
-  handlers.m_onProcessGone = [&](const std::string& aSlot) {
+  handlers.m_onProcessLost = [&](const std::string& aSlot) {
     lostSlots.push_back(aSlot);
   };
   handlers.m_onSendFailed = [&](std::uint64_t aAttempt) {
